--- a/features/steps/scheduling.steps.ts
+++ b/features/steps/scheduling.steps.ts
@@ -225,7 +225,7 @@
       model.observePause(700 + (index % 10) * 20);
       model.observeEnd();
     }
-    const held = model.bestHold(1, 1 / 120_000);
+    const held = model.optimalHoldMilliseconds(1, 1 / 120_000);
     assert.ok(held >= 880 && held <= 3_000, `${held}`);
   },
 );
@@ -235,7 +235,7 @@
   for (let index = 0; index < 400; index += 1) {
     model.observeEnd();
   }
-  assert.equal(model.bestHold(1, 1 / 120_000), 0);
+  assert.equal(model.optimalHoldMilliseconds(1, 1 / 120_000), 0);
 });
 
 Then(
@@ -246,13 +246,13 @@
     for (let index = 0; index < calls; index += 1) {
       const prompt = random.integer(0, 4_000);
       const output = random.integer(10, 300);
-      const neighbours = random.integer(0, 15);
+      const concurrentCalls = random.integer(0, 15);
       const noise = 0.9 + 0.2 * random.uniform();
-      const time = (prompt * prefill + output * (decode + 0.3 * neighbours)) * noise;
-      model.observe(prompt, output, neighbours, time);
+      const time = (prompt * prefill + output * (decode + 0.3 * concurrentCalls)) * noise;
+      model.observe(prompt, output, concurrentCalls, time);
     }
-    assert.ok(Math.abs(model.prefillMilliseconds - prefill) < prefill * 0.15);
-    assert.ok(Math.abs(model.decodeMilliseconds - decode) < decode * 0.15);
+    assert.ok(Math.abs(model.prefillMillisecondsPerToken - prefill) < prefill * 0.15);
+    assert.ok(Math.abs(model.decodeMillisecondsPerToken - decode) < decode * 0.15);
   },
 );
 
@@ -278,14 +278,14 @@
       fc.record({ type: fc.constant('settle' as const), holder, used: fc.nat(900) }),
       fc.record({ type: fc.constant('return' as const), holder, twice: fc.boolean() }),
     );
-    fc.assert(fc.property(fc.array(step, { maxLength: 60 }), runBudget), {
+    fc.assert(fc.property(fc.array(step, { maxLength: 60 }), checkBudgetInvariants), {
       seed: 42,
       numRuns: 1_000,
     });
   },
 );
 
-function runBudget(steps: readonly BudgetStep[]): void {
+function checkBudgetInvariants(steps: readonly BudgetStep[]): void {
   const ledger = emptyLedger();
   const slices = Array.from({ length: HOLDERS }, () => emptySlice());
   const reserved: number[][] = slices.map(() => []);
--- a/src/budget/slice-client.ts
+++ b/src/budget/slice-client.ts
@@ -31,13 +31,13 @@
 export class SliceClient {
   private readonly waiters = new Map<GroupName, SliceWaiter[]>();
   private readonly sentAt = new Map<string, number>();
-  private readonly usedAt = new Map<GroupName, number>();
+  private readonly lastUsedAt = new Map<GroupName, number>();
 
   constructor(private readonly options: SliceClientOptions) {}
 
   /** Notes that a group is active here, so its slice is not idle. */
-  touch(group: GroupName): void {
-    this.usedAt.set(group, this.options.runtime.now());
+  recordUse(group: GroupName): void {
+    this.lastUsedAt.set(group, this.options.runtime.now());
   }
 
   /** Asks the ledger for tokens; the waiter hears when the answer is in the log. */
@@ -51,7 +51,9 @@
     }
     const amount = chooseSliceAmount(needed, this.options.budgetOf(group));
     const number = slice.requestNumber + 1;
-    this.options.host.propose({ type: 'requestSlice', group, number, amount }, () => this.resend());
+    this.options.host.propose({ type: 'requestSlice', group, number, amount }, () =>
+      this.sendUnanswered(),
+    );
   }
 
   /** Takes the ledger's answer. */
@@ -63,7 +65,7 @@
     }
     this.options.host.propose({ type: 'receiveSlice', group, number, granted }, (result) => {
       if (result.type === 'committed') {
-        this.wake(group, granted > 0);
+        this.notifyWaiters(group, granted > 0);
       }
     });
   }
@@ -76,8 +78,8 @@
 
   /** Repeats what has not been answered and returns idle slices; called about twice a second. */
   tick(): void {
-    this.returnIdle();
-    this.resend();
+    this.returnIdleSlices();
+    this.sendUnanswered();
   }
 
   /** Forgets everything of a leadership that is over. */
@@ -88,13 +90,13 @@
     waiting.forEach((waiter) => waiter(false));
   }
 
-  private wake(group: GroupName, granted: boolean): void {
+  private notifyWaiters(group: GroupName, granted: boolean): void {
     const waiters = this.waiters.get(group) ?? [];
     this.waiters.delete(group);
     waiters.forEach((waiter) => waiter(granted));
   }
 
-  private resend(): void {
+  private sendUnanswered(): void {
     const { host } = this.options;
     if (!host.canServe()) {
       return;
@@ -142,15 +144,15 @@
     this.options.send(this.options.leaders.targetOf(shard), build(shard));
   }
 
-  private returnIdle(): void {
+  private returnIdleSlices(): void {
     const { host, runtime } = this.options;
     for (const [group, slice] of host.state.slices) {
-      const idle = runtime.now() - (this.usedAt.get(group) ?? 0) > IDLE_RETURN_MILLISECONDS;
+      const idle = runtime.now() - (this.lastUsedAt.get(group) ?? 0) > IDLE_RETURN_MILLISECONDS;
       const settled = slice.reserved === 0 && slice.requestAmount === 0 && slice.returnAmount === 0;
       if (idle && settled && slice.available > 0 && !this.waiters.has(group)) {
         const number = slice.returnNumber + 1;
         const amount = slice.available;
-        this.touch(group);
+        this.recordUse(group);
         host.propose({ type: 'returnSlice', group, number, amount }, () => undefined);
       }
     }
--- a/src/budget/slices.ts
+++ b/src/budget/slices.ts
@@ -79,8 +79,8 @@
   if (number <= state.grantNumber) {
     return number === state.grantNumber ? state.lastGranted : 0;
   }
-  const left = Math.max(0, budget - ledger.outstanding);
-  const granted = Math.min(amount, left);
+  const unallocated = Math.max(0, budget - ledger.outstanding);
+  const granted = Math.min(amount, unallocated);
   state.grantNumber = number;
   state.lastGranted = granted;
   ledger.outstanding += granted;
@@ -121,17 +121,17 @@
 }
 
 /** Least tokens asked for at once, so that small calls do not each need a grant. */
-export const SMALLEST_SLICE_TOKENS = 20_000;
+export const MINIMUM_SLICE_TOKENS = 20_000;
 /** Part of the budget one shard may ask for at once. */
-const LARGEST_SLICE_FRACTION = 1 / 64;
+const SLICE_BUDGET_FRACTION = 1 / 64;
 
 /**
  * How much to ask for when `needed` tokens are missing: enough for a while, little enough that the
  * last part of a budget can be used by any shard.
  */
 export function chooseSliceAmount(needed: number, budget: number): number {
-  const usual = Math.max(SMALLEST_SLICE_TOKENS, Math.floor(budget * LARGEST_SLICE_FRACTION));
-  return Math.max(needed, usual);
+  const defaultAmount = Math.max(MINIMUM_SLICE_TOKENS, Math.floor(budget * SLICE_BUDGET_FRACTION));
+  return Math.max(needed, defaultAmount);
 }
 
 /** Group names with their slices, as one shard holds them. */
--- a/src/dispatch/engine-set.ts
+++ b/src/dispatch/engine-set.ts
@@ -54,15 +54,15 @@
 
   private configureOne(document: EngineDocument, now: number): void {
     const known = this.states.get(document.name);
-    if (known !== undefined && known.matches(document)) {
+    if (known !== undefined && known.hasSameCapacity(document)) {
       known.configure(document, now);
       return;
     }
     const next = new EngineState(document);
     if (known !== undefined) {
-      next.inherit(known);
+      next.copyCallsAndHolds(known);
     }
-    next.refresh(now);
+    next.updateAvailability(now);
     this.states.set(document.name, next);
   }
 }
--- a/src/dispatch/engine-state.ts
+++ b/src/dispatch/engine-state.ts
@@ -2,21 +2,21 @@
 import type { CallId, ProgramId } from '../model/identifiers.js';
 import type { EngineDocument } from '../configuration/documents.js';
 import type { EngineView } from '../scheduling/pool-view.js';
-import { occupiedTokens } from '../scheduling/placement-cost.js';
+import { peakCacheTokens } from '../scheduling/placement-cost.js';
 import type { CallTicket } from '../wire/messages.js';
 
 /** Failures in a row after which an engine gets no work for a while. */
 const EJECTION_FAILURES = 3;
 /** First rest of an ejected engine, in milliseconds; doubles with each further one. */
-const FIRST_EJECTION_MILLISECONDS = 2_000;
+const INITIAL_EJECTION_MILLISECONDS = 2_000;
 /** Longest rest of an ejected engine, in milliseconds. */
-const LONGEST_EJECTION_MILLISECONDS = 30_000;
+const MAXIMUM_EJECTION_MILLISECONDS = 30_000;
 
 /** Prompt memory held by our order. */
 export interface Hold {
   readonly tokens: number;
   /** Monotonic milliseconds at which it lapses by itself. */
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 /** One back end of a pool. */
@@ -24,7 +24,7 @@
   readonly view: EngineView;
   readonly running = new Map<CallId, CallTicket | undefined>();
   readonly holds = new Map<ProgramId, Hold>();
-  private failuresInRow = 0;
+  private consecutiveFailures = 0;
   private ejections = 0;
   private ejectedUntil = 0;
   private draining = false;
@@ -45,14 +45,14 @@
   }
 
   /** True when a document leaves everything but the draining as it is. */
-  matches(document: EngineDocument): boolean {
+  hasSameCapacity(document: EngineDocument): boolean {
     const { concurrency, cacheTokens, zone } = this.view;
     const same = cacheTokens === document.cacheTokens && zone === document.zone;
     return same && concurrency === Math.max(1, document.concurrency);
   }
 
   /** Takes over the calls and holds of an earlier state of the same back end. */
-  inherit(earlier: EngineState): void {
+  copyCallsAndHolds(earlier: EngineState): void {
     earlier.running.forEach((ticket, call) => this.addRunning(call, ticket, 0));
     earlier.holds.forEach((hold, program) => this.addHold(program, hold));
   }
@@ -60,7 +60,7 @@
   /** Takes over what a new revision of the document says. */
   configure(document: EngineDocument, now: number): void {
     this.draining = document.draining;
-    this.refresh(now);
+    this.updateAvailability(now);
   }
 
   /** Notes a call sent to the engine; the ticket is unknown for one learned from a report. */
@@ -71,7 +71,7 @@
     this.running.set(call, ticket);
     this.view.running = this.running.size;
     if (ticket !== undefined) {
-      this.view.runningTokens += occupiedTokens(ticket);
+      this.view.runningTokens += peakCacheTokens(ticket);
       this.view.pendingPrefillTokens += uncached;
     }
   }
@@ -80,14 +80,14 @@
   removeRunning(call: CallId): CallTicket | undefined {
     const ticket = this.running.get(call);
     if (this.running.delete(call) && ticket !== undefined) {
-      this.view.runningTokens -= occupiedTokens(ticket);
+      this.view.runningTokens -= peakCacheTokens(ticket);
     }
     this.view.running = this.running.size;
     return ticket;
   }
 
   /** Notes prompt tokens that have probably been computed by now. */
-  prefillDone(tokens: number): void {
+  subtractPendingPrefill(tokens: number): void {
     this.view.pendingPrefillTokens = Math.max(0, this.view.pendingPrefillTokens - tokens);
   }
 
@@ -110,33 +110,33 @@
   }
 
   /** Drops holds that have lapsed; returns their programs. */
-  dropLapsedHolds(now: number): ProgramId[] {
-    const lapsed = [...this.holds].filter(([, hold]) => hold.until <= now);
-    lapsed.forEach(([program]) => this.removeHold(program));
-    return lapsed.map(([program]) => program);
+  removeExpiredHolds(now: number): ProgramId[] {
+    const expired = [...this.holds].filter(([, hold]) => hold.expiresAt <= now);
+    expired.forEach(([program]) => this.removeHold(program));
+    return expired.map(([program]) => program);
   }
 
   /** Notes an answer. */
-  noteSuccess(): void {
-    this.failuresInRow = 0;
+  recordSuccess(): void {
+    this.consecutiveFailures = 0;
     this.ejections = 0;
   }
 
   /** Notes a failure; too many in a row eject the engine for a while. */
-  noteFailure(now: number): void {
-    this.failuresInRow += 1;
-    if (this.failuresInRow < EJECTION_FAILURES) {
+  recordFailure(now: number): void {
+    this.consecutiveFailures += 1;
+    if (this.consecutiveFailures < EJECTION_FAILURES) {
       return;
     }
-    const rest = FIRST_EJECTION_MILLISECONDS * 2 ** this.ejections;
-    this.ejectedUntil = now + Math.min(rest, LONGEST_EJECTION_MILLISECONDS);
+    const ejectionMilliseconds = INITIAL_EJECTION_MILLISECONDS * 2 ** this.ejections;
+    this.ejectedUntil = now + Math.min(ejectionMilliseconds, MAXIMUM_EJECTION_MILLISECONDS);
     this.ejections += 1;
-    this.failuresInRow = 0;
-    this.refresh(now);
+    this.consecutiveFailures = 0;
+    this.updateAvailability(now);
   }
 
   /** Brings the view up to date with time. */
-  refresh(now: number): void {
+  updateAvailability(now: number): void {
     this.view.available = !this.draining && now >= this.ejectedUntil;
   }
 
--- a/src/dispatch/hold-keeper.ts
+++ b/src/dispatch/hold-manager.ts
@@ -11,7 +11,7 @@
 const ADOPTED_HOLD_MILLISECONDS = 4_000;
 
 /** What a keeper is made with. */
-export interface HoldKeeperOptions {
+export interface HoldManagerOptions {
   readonly engines: EngineSet;
   readonly directory: CacheDirectory;
   readonly policy: SchedulingPolicy;
@@ -22,12 +22,12 @@
 }
 
 /** See the head of this file. */
-export class HoldKeeper {
-  constructor(private readonly options: HoldKeeperOptions) {}
+export class HoldManager {
+  constructor(private readonly options: HoldManagerOptions) {}
 
   /** Notes what a finished turn left in its engine's cache and orders how long to keep it. */
   finishTurn(pool: PoolView, engine: EngineState, turn: FinishedTurn, now: number): void {
-    this.noteCached(turn);
+    this.recordCachedPrefixes(turn);
     if (engine.view.cacheTokens === 0) {
       return;
     }
@@ -37,14 +37,14 @@
     }
     const { program } = turn.ticket;
     this.releaseElsewhere(program, engine);
-    this.order(engine, program, decision.milliseconds);
+    this.sendHold(engine, program, decision.milliseconds);
     engine.removeHold(program);
     if (decision.milliseconds === 0) {
       this.options.directory.remove(engine.view.engine, program);
       return;
     }
     const { tokens } = programPrefix(turn.ticket, turn.usage);
-    engine.addHold(program, { tokens, until: now + decision.milliseconds });
+    engine.addHold(program, { tokens, expiresAt: now + decision.milliseconds });
   }
 
   /** Gives back the memory of a program that is over. */
@@ -55,15 +55,15 @@
     for (const engine of engines.values()) {
       const held = engine.removeHold(program);
       if (policy.releasesMemory && (held || holders.has(engine.view.engine))) {
-        this.order(engine, program, 0);
+        this.sendHold(engine, program, 0);
       }
     }
   }
 
   /** Forgets holds that have lapsed by themselves. */
-  dropLapsed(now: number): void {
+  removeExpired(now: number): void {
     for (const engine of this.options.engines.values()) {
-      for (const program of engine.dropLapsedHolds(now)) {
+      for (const program of engine.removeExpiredHolds(now)) {
         this.options.directory.remove(engine.view.engine, program);
       }
     }
@@ -77,7 +77,7 @@
     const unknown = report.held.filter((held) => !engine.holds.has(held.program));
     for (const { program, tokens } of unknown) {
       // Held by an earlier scheduler's order: its owner says whether the program still lives.
-      engine.addHold(program, { tokens, until: now + ADOPTED_HOLD_MILLISECONDS });
+      engine.addHold(program, { tokens, expiresAt: now + ADOPTED_HOLD_MILLISECONDS });
       directory.add(name, { name: program, tokens });
     }
     if (unknown.length > 0) {
@@ -86,7 +86,7 @@
   }
 
   /** Asks the owners about every program for which memory is held. */
-  checkAll(): void {
+  checkAllHolds(): void {
     const programs = [...this.options.engines.values()].flatMap((engine) => [
       ...engine.holds.keys(),
     ]);
@@ -95,7 +95,7 @@
     }
   }
 
-  private noteCached(turn: FinishedTurn): void {
+  private recordCachedPrefixes(turn: FinishedTurn): void {
     const { engine } = turn.engine;
     this.options.directory.add(engine, programPrefix(turn.ticket, turn.usage));
     const shared = turn.ticket.prefixes.filter((prefix) => prefix.name !== turn.ticket.program);
@@ -103,19 +103,19 @@
   }
 
   /** Older copies of the same history, left on engines the program has moved away from. */
-  private releaseElsewhere(program: ProgramId, keep: EngineState): void {
+  private releaseElsewhere(program: ProgramId, keptEngine: EngineState): void {
     const { directory, engines } = this.options;
     for (const holder of directory.holders(program)) {
       const engine = engines.get(holder);
-      if (engine !== undefined && engine !== keep) {
+      if (engine !== undefined && engine !== keptEngine) {
         directory.remove(holder, program);
         engine.removeHold(program);
-        this.order(engine, program, 0);
+        this.sendHold(engine, program, 0);
       }
     }
   }
 
-  private order(engine: EngineState, program: ProgramId, milliseconds: number): void {
+  private sendHold(engine: EngineState, program: ProgramId, milliseconds: number): void {
     const { backEnds, fence } = this.options;
     backEnds.hold(engine.view.engine, program, milliseconds, fence());
   }
--- a/src/dispatch/pool-client.ts
+++ b/src/dispatch/pool-client.ts
@@ -13,15 +13,15 @@
 } from '../wire/messages.js';
 
 /** Everything an owner has in one pool. */
-export interface PoolContent {
+export interface PoolCalls {
   readonly waiting: CallTicket[];
   readonly running: RunningCall[];
 }
 
 /** Silence of a scheduler after which another node is asked, in milliseconds. */
-const SCHEDULER_SILENCE_MILLISECONDS = 2_500;
+const SCHEDULER_TIMEOUT_MILLISECONDS = 2_500;
 
-interface Unanswered {
+interface UnansweredReport {
   readonly target: NodeId;
   /** Monotonic milliseconds of the first report that was not answered. */
   readonly since: number;
@@ -37,14 +37,14 @@
 
 /** Sends to the pool schedulers. */
 export class PoolClient {
-  private readonly unanswered = new Map<ShardId, Unanswered>();
+  private readonly unansweredReports = new Map<ShardId, UnansweredReport>();
 
   constructor(private readonly options: PoolClientOptions) {}
 
   /** Takes the word of a pool's scheduler that it has heard. */
   receiveAcknowledgement(from: NodeId, shard: ShardId): void {
     this.options.leaders.confirm(shard, from);
-    this.unanswered.delete(shard);
+    this.unansweredReports.delete(shard);
   }
 
   /** Puts one call into a pool's queue. */
@@ -53,31 +53,31 @@
   }
 
   /** Tells a pool everything a shard has in it; what is not listed is no longer there. */
-  reportAll(service: ServiceName, from: ShardId, content: PoolContent): void {
-    this.leaveSilentScheduler(shardOfPool(this.options.map, service));
+  reportAll(service: ServiceName, from: ShardId, content: PoolCalls): void {
+    this.suspectSilentScheduler(shardOfPool(this.options.map, service));
     this.sendReport(service, from, true, content);
   }
 
-  private leaveSilentScheduler(shard: ShardId): void {
+  private suspectSilentScheduler(shard: ShardId): void {
     const { leaders, runtime } = this.options;
     const now = runtime.now();
     const target = leaders.targetOf(shard);
-    const known = this.unanswered.get(shard);
+    const known = this.unansweredReports.get(shard);
     if (known === undefined || known.target !== target) {
-      this.unanswered.set(shard, { target, since: now });
-    } else if (now - known.since > SCHEDULER_SILENCE_MILLISECONDS) {
+      this.unansweredReports.set(shard, { target, since: now });
+    } else if (now - known.since > SCHEDULER_TIMEOUT_MILLISECONDS) {
       leaders.suspect(shard, target);
-      this.unanswered.delete(shard);
+      this.unansweredReports.delete(shard);
     }
   }
 
   /** Tells that a call has left its engine. */
-  finish(finished: PoolFinished): void {
+  reportFinished(finished: PoolFinished): void {
     this.options.send(this.targetOf(finished.service), finished);
   }
 
   /** Tells the pools of these services that a program is over. */
-  announceGone(services: readonly ServiceName[], program: ProgramId): void {
+  announceProgramEnded(services: readonly ServiceName[], program: ProgramId): void {
     const targets = new Set(services.map((service) => this.targetOf(service)));
     for (const target of targets) {
       this.options.send(target, { type: 'programGone', program });
@@ -92,7 +92,7 @@
     service: ServiceName,
     from: ShardId,
     complete: boolean,
-    content: PoolContent,
+    content: PoolCalls,
   ): void {
     const shard = shardOfPool(this.options.map, service);
     const report: PoolReport = { type: 'poolReport', service, shard, from, complete, ...content };
--- a/src/dispatch/pool-scheduler.ts
+++ b/src/dispatch/pool-scheduler.ts
@@ -20,16 +20,16 @@
 import type { CallTicket, Message, PoolFinished, PoolReport } from '../wire/messages.js';
 import { EngineSet } from './engine-set.js';
 import type { EngineState } from './engine-state.js';
-import { HoldKeeper } from './hold-keeper.js';
+import { HoldManager } from './hold-manager.js';
 
 /** Time between requests for a back end's report, in milliseconds. */
-const REPORT_PERIOD_MILLISECONDS = 2_000;
+const BACK_END_REPORT_PERIOD_MILLISECONDS = 2_000;
 /** Time an assignment or an end may be on its way before a report is believed over it, in ms. */
-const SETTLING_MILLISECONDS = 2_500;
+const IN_FLIGHT_GRACE_MILLISECONDS = 2_500;
 /** Time without a report after which a shard's calls are forgotten, in milliseconds. */
-const OWNER_SILENCE_MILLISECONDS = 6_000;
+const OWNER_TIMEOUT_MILLISECONDS = 6_000;
 /** Time for which a new scheduler only listens, so that it hears of running calls, in ms. */
-const LISTENING_MILLISECONDS = 1_200;
+const STARTUP_OBSERVATION_MILLISECONDS = 1_200;
 
 /** What a pool scheduler is made with. */
 export interface PoolSchedulerOptions {
@@ -46,7 +46,7 @@
 }
 
 /** A call the scheduler knows of. */
-interface KnownCall {
+interface TrackedCall {
   ticket: CallTicket | undefined;
   readonly call: CallId;
   readonly group: GroupName;
@@ -56,13 +56,13 @@
   /** Empty while it waits. */
   engine: EngineId;
   /** When it was enqueued or assigned, monotonic milliseconds. */
-  since: number;
+  changedAt: number;
   readonly enqueuedAt: number;
-  uncached: number;
+  pendingPrefillTokens: number;
 }
 
 /** One row of the pool, for operators. */
-export interface PoolRow {
+export interface EngineRow {
   readonly engine: EngineId;
   readonly service: ServiceName;
   readonly zone: string;
@@ -86,14 +86,14 @@
 /** See the head of this file. */
 export class PoolScheduler {
   private readonly engines: EngineSet;
-  private readonly holds: HoldKeeper;
-  private readonly calls = new Map<CallId, KnownCall>();
+  private readonly holds: HoldManager;
+  private readonly calls = new Map<CallId, TrackedCall>();
   private readonly endedAt = new Map<CallId, number>();
-  private readonly shardHeardAt = new Map<ShardId, number>();
+  private readonly lastReportByShard = new Map<ShardId, number>();
   private readonly pool: PoolView;
   private readonly startedAt: number;
-  private lastReportAt = 0;
-  private choosing = false;
+  private backEndReportsRequestedAt = 0;
+  private assigning = false;
 
   constructor(private readonly options: PoolSchedulerOptions) {
     this.startedAt = options.runtime.now();
@@ -111,7 +111,7 @@
       costs: new CostModel(),
       shareOf: (group) => options.configuration().groups.get(group)?.share ?? 1,
     };
-    this.holds = new HoldKeeper({ ...options, engines, directory });
+    this.holds = new HoldManager({ ...options, engines, directory });
     this.configure();
   }
 
@@ -127,16 +127,16 @@
   /** Takes an owner's report: single calls, or everything it has here. */
   receiveReport(from: NodeId, message: PoolReport): void {
     const now = this.options.runtime.now();
-    this.shardHeardAt.set(message.from, now);
-    message.waiting.forEach((ticket) => this.noteWaiting(from, message.from, ticket, now));
+    this.lastReportByShard.set(message.from, now);
+    message.waiting.forEach((ticket) => this.recordWaiting(from, message.from, ticket, now));
     message.running.forEach((running) => {
       const { call, engine, group } = running;
-      this.noteRunning(from, message.from, call, engine, group, now);
+      this.recordRunning(from, message.from, call, engine, group, now);
     });
     if (message.complete) {
       this.dropUnlisted(message, now);
     }
-    this.startWhatCanStart();
+    this.assignStartableCalls();
   }
 
   /** Takes word that a call has left its engine. */
@@ -146,13 +146,13 @@
     const known = this.calls.get(message.call);
     if (known !== undefined && known.engine === message.engine) {
       this.forgetCall(known, now);
-      engine?.prefillDone(known.uncached);
+      engine?.subtractPendingPrefill(known.pendingPrefillTokens);
     }
     const ticket = engine?.removeRunning(message.call) ?? known?.ticket;
     if (engine !== undefined) {
-      this.learn(engine, message, ticket, now);
+      this.recordOutcome(engine, message, ticket, now);
     }
-    this.startWhatCanStart();
+    this.assignStartableCalls();
   }
 
   /** Gives back the memory of a program that is over. */
@@ -165,21 +165,21 @@
     const now = this.options.runtime.now();
     this.configure();
     for (const engine of this.engines.values()) {
-      engine.refresh(now);
+      engine.updateAvailability(now);
     }
-    this.holds.dropLapsed(now);
-    this.forgetSilentOwners(now);
-    this.forgetOldEnds(now);
-    this.refuseHopeless(now);
-    if (now - this.lastReportAt >= REPORT_PERIOD_MILLISECONDS) {
-      this.lastReportAt = now;
-      this.askForReports();
+    this.holds.removeExpired(now);
+    this.dropCallsOfSilentShards(now);
+    this.forgetOldEndedCalls(now);
+    this.refuseUnmeetableDeadlines(now);
+    if (now - this.backEndReportsRequestedAt >= BACK_END_REPORT_PERIOD_MILLISECONDS) {
+      this.backEndReportsRequestedAt = now;
+      this.requestBackEndReports();
     }
-    this.startWhatCanStart();
+    this.assignStartableCalls();
   }
 
   /** The pool's engines, for operators. */
-  listEngines(): PoolRow[] {
+  listEngines(): EngineRow[] {
     const now = this.options.runtime.now();
     return [...this.engines.values()].map((engine) => ({
       engine: engine.view.engine,
@@ -202,7 +202,7 @@
         engine: engine.view.engine,
         service: this.options.service,
         tokens: hold.tokens,
-        left: Math.round((hold.until - now) / 1_000),
+        left: Math.round((hold.expiresAt - now) / 1_000),
       })),
     );
   }
@@ -211,15 +211,15 @@
     this.engines.configure(this.options.configuration(), this.options.runtime.now());
   }
 
-  private noteWaiting(owner: NodeId, shard: ShardId, ticket: CallTicket, now: number): void {
+  private recordWaiting(owner: NodeId, shard: ShardId, ticket: CallTicket, now: number): void {
     const known = this.calls.get(ticket.call);
     if (known === undefined) {
       this.enqueue(owner, shard, ticket, now);
       return;
     }
     known.owner = owner;
-    const settled = now - known.since > SETTLING_MILLISECONDS;
-    if (known.engine !== '' && settled) {
+    const graceElapsed = now - known.changedAt > IN_FLIGHT_GRACE_MILLISECONDS;
+    if (known.engine !== '' && graceElapsed) {
       // The owner never got the assignment, or lost the engine's stream: it is sent again.
       this.engines.get(known.engine)?.removeRunning(ticket.call);
       this.forgetCall(known, now);
@@ -236,14 +236,14 @@
       owner,
       shard,
       engine: '',
-      since: now,
+      changedAt: now,
       enqueuedAt: now,
-      uncached: 0,
+      pendingPrefillTokens: 0,
     });
     this.options.policy.enqueue(ticket, now);
   }
 
-  private noteRunning(
+  private recordRunning(
     owner: NodeId,
     shard: ShardId,
     call: CallId,
@@ -252,7 +252,7 @@
     now: number,
   ): void {
     const ended = this.endedAt.get(call);
-    if (ended !== undefined && now - ended < SETTLING_MILLISECONDS) {
+    if (ended !== undefined && now - ended < IN_FLIGHT_GRACE_MILLISECONDS) {
       return;
     }
     const known = this.calls.get(call);
@@ -271,9 +271,9 @@
       owner,
       shard,
       engine,
-      since: now,
+      changedAt: now,
       enqueuedAt: now,
-      uncached: 0,
+      pendingPrefillTokens: 0,
     });
     this.engines.get(engine)?.addRunning(call, ticket, 0);
   }
@@ -283,61 +283,61 @@
     message.waiting.forEach((ticket) => listed.add(ticket.call));
     message.running.forEach((running) => listed.add(running.call));
     for (const known of [...this.calls.values()]) {
-      const settled = now - known.since > SETTLING_MILLISECONDS;
-      if (known.shard === message.from && !listed.has(known.call) && settled) {
+      const graceElapsed = now - known.changedAt > IN_FLIGHT_GRACE_MILLISECONDS;
+      if (known.shard === message.from && !listed.has(known.call) && graceElapsed) {
         this.dropCall(known, now);
       }
     }
   }
 
-  private dropCall(known: KnownCall, now: number): void {
+  private dropCall(known: TrackedCall, now: number): void {
     if (known.engine === '' && known.ticket !== undefined) {
       this.options.policy.remove(known.ticket);
     }
     const engine = this.engines.get(known.engine);
     engine?.removeRunning(known.call);
-    engine?.prefillDone(known.uncached);
+    engine?.subtractPendingPrefill(known.pendingPrefillTokens);
     this.forgetCall(known, now);
   }
 
-  private forgetCall(known: KnownCall, now: number): void {
+  private forgetCall(known: TrackedCall, now: number): void {
     this.calls.delete(known.call);
     this.endedAt.set(known.call, now);
   }
 
-  private forgetOldEnds(now: number): void {
+  private forgetOldEndedCalls(now: number): void {
     for (const [call, ended] of this.endedAt) {
-      if (now - ended < SETTLING_MILLISECONDS) {
+      if (now - ended < IN_FLIGHT_GRACE_MILLISECONDS) {
         return;
       }
       this.endedAt.delete(call);
     }
   }
 
-  private forgetSilentOwners(now: number): void {
-    for (const [shard, heardAt] of this.shardHeardAt) {
-      if (now - heardAt < OWNER_SILENCE_MILLISECONDS) {
+  private dropCallsOfSilentShards(now: number): void {
+    for (const [shard, reportedAt] of this.lastReportByShard) {
+      if (now - reportedAt < OWNER_TIMEOUT_MILLISECONDS) {
         continue;
       }
-      this.shardHeardAt.delete(shard);
+      this.lastReportByShard.delete(shard);
       const orphans = [...this.calls.values()].filter((known) => known.shard === shard);
       orphans.forEach((known) => this.dropCall(known, now));
     }
   }
 
-  private learn(
+  private recordOutcome(
     engine: EngineState,
     message: PoolFinished,
     ticket: CallTicket | undefined,
     now: number,
   ): void {
     if (message.outcome === 'failed') {
-      engine.noteFailure(now);
+      engine.recordFailure(now);
     }
     if (message.outcome !== 'answered') {
       return;
     }
-    engine.noteSuccess();
+    engine.recordSuccess();
     const { usage, serviceMilliseconds } = message;
     const uncached = usage.promptTokens - usage.cachedTokens;
     this.pool.costs.observe(
@@ -354,15 +354,15 @@
   }
 
   /** Refuses at once what the queue's speed shows cannot be started before its caller gives up. */
-  private refuseHopeless(now: number): void {
+  private refuseUnmeetableDeadlines(now: number): void {
     for (const known of [...this.calls.values()]) {
       const { ticket } = known;
       if (known.engine !== '' || ticket === undefined) {
         continue;
       }
-      const left = ticket.deadlineIn - (now - known.enqueuedAt);
+      const remaining = ticket.deadlineIn - (now - known.enqueuedAt);
       const needed = this.pool.costs.serviceMilliseconds(0, ticket.maximumTokens, 0);
-      if (left < needed) {
+      if (remaining < needed) {
         this.options.policy.remove(ticket);
         this.forgetCall(known, now);
         this.options.send(known.owner, {
@@ -376,13 +376,13 @@
     }
   }
 
-  private startWhatCanStart(): void {
+  private assignStartableCalls(): void {
     const { runtime, policy, canServe } = this.options;
     const now = runtime.now();
-    if (this.choosing || !canServe() || now - this.startedAt < LISTENING_MILLISECONDS) {
+    if (this.assigning || !canServe() || now - this.startedAt < STARTUP_OBSERVATION_MILLISECONDS) {
       return;
     }
-    this.choosing = true;
+    this.assigning = true;
     for (
       let placement = policy.choose(this.pool, now);
       placement !== undefined;
@@ -390,7 +390,7 @@
     ) {
       this.assign(placement, now);
     }
-    this.choosing = false;
+    this.assigning = false;
   }
 
   private assign(placement: Placement, now: number): void {
@@ -402,9 +402,9 @@
     }
     const cached = this.pool.directory.cachedTokens(engine.engine, ticket.prefixes);
     known.engine = engine.engine;
-    known.since = now;
-    known.uncached = ticket.promptTokens - cached;
-    state.addRunning(ticket.call, ticket, known.uncached);
+    known.changedAt = now;
+    known.pendingPrefillTokens = ticket.promptTokens - cached;
+    state.addRunning(ticket.call, ticket, known.pendingPrefillTokens);
     state.removeHold(ticket.program);
     this.schedulePrefillEnd(state, known);
     this.options.send(known.owner, {
@@ -416,21 +416,21 @@
     });
   }
 
-  private schedulePrefillEnd(state: EngineState, known: KnownCall): void {
-    const ahead = state.view.pendingPrefillTokens;
-    const delay = ahead * this.pool.costs.prefillMilliseconds;
+  private schedulePrefillEnd(state: EngineState, known: TrackedCall): void {
+    const prefillBacklog = state.view.pendingPrefillTokens;
+    const delay = prefillBacklog * this.pool.costs.prefillMillisecondsPerToken;
     this.options.runtime.setTimer(delay, () => {
-      state.prefillDone(known.uncached);
-      known.uncached = 0;
+      state.subtractPendingPrefill(known.pendingPrefillTokens);
+      known.pendingPrefillTokens = 0;
     });
   }
 
-  private askForReports(): void {
+  private requestBackEndReports(): void {
     for (const engine of this.engines.values()) {
       const { engine: name } = engine.view;
       this.options.backEnds.report(name, (report) => this.receiveBackEndReport(name, report));
     }
-    this.holds.checkAll();
+    this.holds.checkAllHolds();
   }
 
   private receiveBackEndReport(name: EngineId, report: BackEndReport): void {
@@ -440,7 +440,7 @@
       return;
     }
     if (report.unreachable) {
-      engine.noteFailure(now);
+      engine.recordFailure(now);
     } else {
       this.holds.receiveReport(engine, report, now);
     }
--- a/src/emulator/emulated-back-end.ts
+++ b/src/emulator/emulated-back-end.ts
@@ -2,7 +2,7 @@
 import type { CallId, ProgramId, ServiceName } from '../model/identifiers.js';
 import type {
   BackEndListener,
-  BackEndOrder,
+  BackEndRequest,
   BackEndReport,
   Fence,
 } from '../platform/back-end-port.js';
@@ -30,7 +30,7 @@
 /** An emulated back end. */
 export interface EmulatedBackEnd {
   readonly name: string;
-  start(order: BackEndOrder, listener: BackEndListener): void;
+  start(order: BackEndRequest, listener: BackEndListener): void;
   resume(call: CallId, fence: Fence, listener: BackEndListener): void;
   cancel(call: CallId): void;
   hold(program: ProgramId, milliseconds: number, fence: Fence): void;
--- a/src/emulator/engine-model.ts
+++ b/src/emulator/engine-model.ts
@@ -15,7 +15,7 @@
 import type { Usage } from '../model/call.js';
 import type {
   BackEndListener,
-  BackEndOrder,
+  BackEndRequest,
   BackEndReport,
   Fence,
 } from '../platform/back-end-port.js';
@@ -51,7 +51,7 @@
 }
 
 interface Sequence {
-  readonly order: BackEndOrder;
+  readonly order: BackEndRequest;
   readonly chain: readonly PrefixLink[];
   readonly digest: string;
   readonly answer: string;
@@ -115,7 +115,7 @@
     return this.options.cacheTokens ?? 120_000;
   }
 
-  start(order: BackEndOrder, listener: BackEndListener): void {
+  start(order: BackEndRequest, listener: BackEndListener): void {
     if (!this.up) {
       listener({ type: 'failed', verdict: 'NotRun', detail: 'connection refused' });
       return;
@@ -232,7 +232,7 @@
     };
   }
 
-  private createSequence(order: BackEndOrder, listener: BackEndListener): Sequence {
+  private createSequence(order: BackEndRequest, listener: BackEndListener): Sequence {
     const chain = chainOf(order.messages);
     const promptTokens = chain.reduce((sum, link) => sum + link.tokens, 0);
     const digest = digestConversation(order.messages);
--- a/src/emulator/tool-model.ts
+++ b/src/emulator/tool-model.ts
@@ -4,7 +4,7 @@
 import type { Usage } from '../model/call.js';
 import type {
   BackEndListener,
-  BackEndOrder,
+  BackEndRequest,
   BackEndReport,
   Fence,
 } from '../platform/back-end-port.js';
@@ -57,7 +57,7 @@
     return this.up;
   }
 
-  start(order: BackEndOrder, listener: BackEndListener): void {
+  start(order: BackEndRequest, listener: BackEndListener): void {
     if (!this.up || !this.fences.admit(order.fence)) {
       const detail = this.up ? 'stale order: a newer term is known' : 'connection refused';
       listener({ type: 'failed', verdict: 'NotRun', detail });
--- a/src/node/node-rows.ts
+++ b/src/node/node-rows.ts
@@ -20,7 +20,7 @@
 function listCalls(node: IvyloomNode): Row[] {
   const now = node.options.runtime.now();
   return ledRoles(node).flatMap((roles) =>
-    roles.owner.listLive().map((call) => ({
+    roles.owner.listLiveCalls().map((call) => ({
       call: call.request.call,
       program: call.request.program,
       group: call.request.group,
@@ -30,7 +30,7 @@
       state: call.phase,
       engine: call.engine,
       attempts: call.attempts,
-      age: Math.round((now - call.since) / 100) / 10,
+      age: Math.round((now - call.addedAt) / 100) / 10,
       node: node.options.self,
     })),
   );
@@ -80,7 +80,7 @@
       state: node.isLeaving ? 'leaving' : node.isReady ? 'ready' : 'starting',
       shards: roles.length,
       leads: roles.filter((shard) => shard.host.canServe()).length,
-      calls: roles.reduce((sum, shard) => sum + shard.owner.liveCount, 0),
+      calls: roles.reduce((sum, shard) => sum + shard.owner.liveCallCount, 0),
       revision: node.configuration.current.revision,
     },
   ];
@@ -99,7 +99,9 @@
       spent += slice?.spent ?? 0;
       reserved += slice?.reserved ?? 0;
       granted += roles.host.state.ledgers.get(group.name)?.outstanding ?? 0;
-      running += roles.owner.listLive().filter((call) => call.request.group === group.name).length;
+      running += roles.owner
+        .listLiveCalls()
+        .filter((call) => call.request.group === group.name).length;
     }
     const { name, share, budget } = group;
     rows.push({ group: name, share, budget, granted, reserved, spent, calls: running });
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -350,7 +350,7 @@
   private answerProbe(from: NodeId, message: CallProbe): void {
     const owners = this.listShards().filter((roles) => roles.host.canServe());
     const unknown = message.calls.filter(
-      (call) => !owners.some((roles) => roles.owner.knows(call)),
+      (call) => !owners.some((roles) => roles.owner.isTracking(call)),
     );
     this.send(from, { type: 'callProbeReply', probed: message.calls, unknown });
   }
@@ -376,7 +376,7 @@
   private receiveAssignment(from: NodeId, message: PoolAssignment): void {
     this.leaders.confirm(message.shard, from);
     const owners = this.listShards().filter((roles) => roles.host.canServe());
-    const owner = owners.find((roles) => roles.owner.knows(message.call)) ?? owners[0];
+    const owner = owners.find((roles) => roles.owner.isTracking(message.call)) ?? owners[0];
     owner?.owner.assign(message);
   }
 
--- a/src/node/shard-roles.ts
+++ b/src/node/shard-roles.ts
@@ -4,7 +4,7 @@
 import { SliceClient } from '../budget/slice-client.js';
 import type { ClusterConfiguration } from '../configuration/documents.js';
 import { PoolScheduler } from '../dispatch/pool-scheduler.js';
-import type { PoolClient, PoolContent } from '../dispatch/pool-client.js';
+import type { PoolClient, PoolCalls } from '../dispatch/pool-client.js';
 import { ShardOwner } from '../program/shard-owner.js';
 import { emptyReplica } from '../replication/log-entry.js';
 import type { LeaderDirectory } from '../replication/leader-directory.js';
@@ -60,7 +60,7 @@
       pools,
       slices: this.slices,
       send,
-      onProgramEnded: (program) => pools.announceGone(this.allServices(), program),
+      onProgramEnded: (program) => pools.announceProgramEnded(this.allServices(), program),
     });
   }
 
@@ -102,7 +102,7 @@
     if (!this.host.canServe()) {
       return;
     }
-    const content: PoolContent = { waiting: [], running: [] };
+    const content: PoolCalls = { waiting: [], running: [] };
     this.owner.addToReport(service, content);
     const empty = content.waiting.length === 0 && content.running.length === 0;
     const silent = empty && this.quietReports.get(service) === QUIET_REPORTS;
@@ -154,9 +154,9 @@
     });
     if (leading) {
       this.context.leaders.confirm(shard, self);
-      this.owner.takeOver();
+      this.owner.startLeading();
     } else {
-      this.owner.handOver();
+      this.owner.stopLeading();
       this.slices.reset();
       this.schedulers.clear();
       this.quietReports.clear();
--- a/src/platform/back-end-port.ts
+++ b/src/platform/back-end-port.ts
@@ -11,7 +11,7 @@
 }
 
 /** Work for a back end. */
-export interface BackEndOrder {
+export interface BackEndRequest {
   readonly call: CallId;
   readonly program: ProgramId;
   readonly service: ServiceName;
@@ -39,7 +39,7 @@
 export type BackEndListener = (event: BackEndEvent) => void;
 
 /** Stops an order; its listener hears nothing more. */
-export type CancelOrder = () => void;
+export type CancelRequest = () => void;
 
 /** What a back end reports of itself; lags behind by a second or more. */
 export interface BackEndReport {
@@ -75,13 +75,13 @@
 /** Everything the system asks of back ends. */
 export interface BackEndPort {
   /** Runs an order. */
-  start(engine: EngineId, order: BackEndOrder, listener: BackEndListener): CancelOrder;
+  start(engine: EngineId, order: BackEndRequest, listener: BackEndListener): CancelRequest;
   /**
    * Takes up the stream of an order given earlier, from its start, and raises the fence, so that
    * an order of an earlier term that is still on its way will be refused. Fails with `MayHaveRun`
    * when the back end does not know the order: it may have forgotten it.
    */
-  resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelOrder;
+  resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelRequest;
   /** Stops an order given earlier by anyone. */
   cancel(engine: EngineId, call: CallId): void;
   /** Keeps a program's prompt memory for at most the given time; 0 gives it back at once. */
--- a/src/platform/http-back-ends.ts
+++ b/src/platform/http-back-ends.ts
@@ -12,10 +12,10 @@
 import { UNREACHABLE_REPORT } from './back-end-port.js';
 import type {
   BackEndListener,
-  BackEndOrder,
+  BackEndRequest,
   BackEndPort,
   BackEndReport,
-  CancelOrder,
+  CancelRequest,
   Fence,
 } from './back-end-port.js';
 import { EventStreamReader } from './event-stream.js';
@@ -82,7 +82,7 @@
 
   constructor(private readonly options: HttpBackEndsOptions) {}
 
-  start(engine: EngineId, order: BackEndOrder, listener: BackEndListener): CancelOrder {
+  start(engine: EngineId, order: BackEndRequest, listener: BackEndListener): CancelRequest {
     const isChat = order.messages.length > 0;
     const extension = {
       call: order.call,
@@ -109,7 +109,7 @@
     });
   }
 
-  resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelOrder {
+  resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelRequest {
     const path = `/ivyloom/streams/${encodeURIComponent(call)}?shard=${fence.shard}&term=${fence.term}`;
     const mayHaveRun: BackEndListener = (event) =>
       listener(event.type === 'failed' ? { ...event, verdict: 'MayHaveRun' } : event);
@@ -177,7 +177,7 @@
     known: string,
     listener: BackEndListener,
     cancel: (abort: () => void) => void,
-  ): CancelOrder {
+  ): CancelRequest {
     const url = this.options.urlOf(engine);
     if (url === undefined) {
       setImmediate(() =>
--- a/src/program/apply-command.ts
+++ b/src/program/apply-command.ts
@@ -173,7 +173,7 @@
 function openProgram(state: ShardState, command: OpenProgramCommand): CommandOutcome {
   const known = state.programs.get(command.program);
   if (known !== undefined) {
-    return known.group === command.group ? DONE : refuseForeign();
+    return known.group === command.group ? DONE : refuseOtherGroup();
   }
   const refusal = checkParent(state, command.program, command.group);
   if (refusal !== undefined) {
@@ -200,7 +200,7 @@
   return { type: 'refused', error };
 }
 
-function refuseForeign(): CommandOutcome {
+function refuseOtherGroup(): CommandOutcome {
   return refuse(notRun('Forbidden', 'This program belongs to another group.'));
 }
 
@@ -210,11 +210,11 @@
   // A refused first call leaves no program behind.
   const program = known ?? newProgram(request.program, request.group, command.at);
   if (program.group !== request.group) {
-    return refuseForeign();
+    return refuseOtherGroup();
   }
-  const earlier = findRepeated(program, request);
-  if (earlier !== undefined && !mayTakeAgain(program, earlier, request)) {
-    return answerRepeat(earlier, request);
+  const earlier = findDuplicate(program, request);
+  if (earlier !== undefined && !mayReplaceFailedCall(program, earlier, request)) {
+    return resolveDuplicate(earlier, request);
   }
   const refusal =
     checkProgram(program, command) ?? checkParent(state, request.program, request.group);
@@ -228,7 +228,7 @@
   return { type: 'accepted', record: recordCall(state, program, command) };
 }
 
-function findRepeated(program: ProgramRecord, request: CallRequest): CallRecord | undefined {
+function findDuplicate(program: ProgramRecord, request: CallRequest): CallRecord | undefined {
   if (request.sequence > 0) {
     return program.calls.get(request.sequence);
   }
@@ -247,13 +247,17 @@
  * come. The same call, arriving once more over the network, is never taken again: its caller may
  * have been told already that it did not run.
  */
-function mayTakeAgain(program: ProgramRecord, earlier: CallRecord, request: CallRequest): boolean {
+function mayReplaceFailedCall(
+  program: ProgramRecord,
+  earlier: CallRecord,
+  request: CallRequest,
+): boolean {
   const isLast = earlier.sequence === program.nextSequence - 1;
   const neverRan = earlier.status === 'failed' && earlier.error?.verdict === 'NotRun';
   return isLast && neverRan && earlier.call !== request.call && program.end === undefined;
 }
 
-function answerRepeat(earlier: CallRecord, request: CallRequest): CommandOutcome {
+function resolveDuplicate(earlier: CallRecord, request: CallRequest): CommandOutcome {
   if (earlier.requestDigest === digestRequest(request)) {
     return { type: 'repeated', record: earlier };
   }
@@ -289,7 +293,7 @@
   program: ProgramRecord,
   command: AcceptCallCommand,
 ): CallRecord {
-  const earlier = findRepeated(program, command.request);
+  const earlier = findDuplicate(program, command.request);
   const sequence = earlier?.sequence ?? program.nextSequence;
   const request: CallRequest = { ...command.request, sequence, receivedText: '' };
   const record: CallRecord = {
@@ -309,7 +313,7 @@
   return record;
 }
 
-function unfinished(
+function findUnfinished(
   state: ShardState,
   command: IntendCallCommand | WithdrawIntentCommand | AnswerCallCommand | FailCallCommand,
 ): { program: ProgramRecord; record: CallRecord } | undefined {
@@ -322,7 +326,7 @@
 }
 
 function intendCall(state: ShardState, command: IntendCallCommand): CommandOutcome {
-  const found = unfinished(state, command);
+  const found = findUnfinished(state, command);
   if (found === undefined) {
     return IGNORED;
   }
@@ -337,7 +341,7 @@
 }
 
 function withdrawIntent(state: ShardState, command: WithdrawIntentCommand): CommandOutcome {
-  const found = unfinished(state, command);
+  const found = findUnfinished(state, command);
   if (found === undefined || found.record.engine !== command.engine) {
     return IGNORED;
   }
@@ -367,7 +371,7 @@
 }
 
 function answerCall(state: ShardState, command: AnswerCallCommand): CommandOutcome {
-  const found = unfinished(state, command);
+  const found = findUnfinished(state, command);
   if (found === undefined) {
     return IGNORED;
   }
@@ -388,7 +392,7 @@
 }
 
 function failCall(state: ShardState, command: FailCallCommand): CommandOutcome {
-  const found = unfinished(state, command);
+  const found = findUnfinished(state, command);
   if (found === undefined) {
     return IGNORED;
   }
--- a/src/program/call-admission.ts
+++ b/src/program/call-admission.ts
@@ -14,8 +14,8 @@
 import type { CommandOutcome } from './apply-command.js';
 import { sliceOf } from './apply-command.js';
 import { resultEvent } from './call-result.js';
-import { worstCost } from './call-ticket.js';
-import { EarlyCalls } from './early-calls.js';
+import { worstCaseTokens } from './call-ticket.js';
+import { OutOfOrderCalls } from './out-of-order-calls.js';
 import type { LiveCall } from './live-call.js';
 import type { OwnerLimits } from './program-limits.js';
 import type { CallRecord, ProgramRecord } from './program-record.js';
@@ -28,11 +28,11 @@
   readonly slices: SliceClient;
   readonly send: (to: NodeId, message: Message) => void;
   /** A call under way. */
-  readonly find: (call: CallId) => LiveCall | undefined;
+  readonly findLiveCall: (call: CallId) => LiveCall | undefined;
   /** Lets a gateway hear of a call under way, from the text it has already. */
   readonly attach: (call: LiveCall, from: NodeId, receivedText: string) => void;
   /** Puts an accepted call under way. */
-  readonly adopt: (request: CallRequest, gateways: Iterable<NodeId>) => LiveCall;
+  readonly addLiveCall: (request: CallRequest, gateways: Iterable<NodeId>) => LiveCall;
   /** Starts the next call of a program, if it can start. */
   readonly startNext: (program: ProgramId) => void;
 }
@@ -40,21 +40,21 @@
 /** See the head of this file. */
 export class CallAdmission {
   private readonly accepting = new Map<CallId, Set<NodeId>>();
-  private readonly early: EarlyCalls;
+  private readonly outOfOrderCalls: OutOfOrderCalls;
 
   constructor(private readonly options: CallAdmissionOptions) {
-    this.early = new EarlyCalls(options.limits.maximumEarlyCalls);
+    this.outOfOrderCalls = new OutOfOrderCalls(options.limits.maximumOutOfOrderCalls);
   }
 
   /** True while a call is being taken in, or waits for an earlier one. */
-  knows(call: CallId): boolean {
-    return this.accepting.has(call) || this.early.has(call);
+  isPending(call: CallId): boolean {
+    return this.accepting.has(call) || this.outOfOrderCalls.has(call);
   }
 
   /** Forgets everything of a leadership that is over. */
   reset(): void {
     this.accepting.clear();
-    this.early.clear();
+    this.outOfOrderCalls.clear();
   }
 
   /** Takes a call in, or attaches to it when it is known. */
@@ -63,7 +63,7 @@
       return;
     }
     const program = this.options.host.state.programs.get(request.program);
-    if (this.holdIfEarly(from, request, program)) {
+    if (this.bufferIfOutOfOrder(from, request, program)) {
       return;
     }
     this.accepting.set(request.call, new Set([from]));
@@ -76,7 +76,7 @@
       accepting.add(from);
       return true;
     }
-    const live = this.options.find(request.call);
+    const live = this.options.findLiveCall(request.call);
     if (live !== undefined) {
       this.options.attach(live, from, request.receivedText);
       return true;
@@ -84,7 +84,7 @@
     return false;
   }
 
-  private holdIfEarly(
+  private bufferIfOutOfOrder(
     from: NodeId,
     request: CallRequest,
     program: ProgramRecord | undefined,
@@ -93,8 +93,8 @@
     if (request.sequence <= next || program?.end !== undefined) {
       return false;
     }
-    const until = this.options.runtime.now() + request.timeoutMilliseconds;
-    if (!this.early.add({ from, request, until })) {
+    const deadline = this.options.runtime.now() + request.timeoutMilliseconds;
+    if (!this.outOfOrderCalls.add({ from, request, expiresAt: deadline })) {
       const error = notRun('Conflict', `Sequence ${next} comes first; too many wait for it.`, 1);
       this.sendEvent(from, request.call, { type: 'failed', error });
     }
@@ -107,8 +107,8 @@
     mayAcquire: boolean,
   ): void {
     const { host, slices } = this.options;
-    const reserve = worstCost(program, request);
-    slices.touch(request.group);
+    const reserve = worstCaseTokens(program, request);
+    slices.recordUse(request.group);
     if (mayAcquire && sliceOf(host.state, request.group).available < reserve) {
       slices.acquire(request.group, reserve, (granted) => {
         if (this.accepting.has(request.call)) {
@@ -137,20 +137,20 @@
     }
     const { outcome } = result;
     if (outcome.type === 'accepted') {
-      const call = this.options.adopt(outcome.record.request!, gateways);
+      const call = this.options.addLiveCall(outcome.record.request!, gateways);
       call.text = request.receivedText;
       this.options.startNext(request.program);
-      this.releaseEarly(request.program);
+      this.submitReadyCall(request.program);
     } else if (outcome.type === 'repeated') {
-      gateways.forEach((gateway) => this.answerRepeat(gateway, request, outcome.record));
+      gateways.forEach((gateway) => this.replyToDuplicate(gateway, request, outcome.record));
     } else if (outcome.type === 'refused') {
       const event: CallEvent = { type: 'failed', error: outcome.error };
       gateways.forEach((gateway) => this.sendEvent(gateway, request.call, event));
     }
   }
 
-  private answerRepeat(gateway: NodeId, request: CallRequest, record: CallRecord): void {
-    const live = this.options.find(record.call);
+  private replyToDuplicate(gateway: NodeId, request: CallRequest, record: CallRecord): void {
+    const live = this.options.findLiveCall(record.call);
     if (live !== undefined && record.call === request.call) {
       this.options.attach(live, gateway, request.receivedText);
       return;
@@ -164,9 +164,9 @@
     this.sendEvent(gateway, request.call, resultEvent(record));
   }
 
-  private releaseEarly(program: ProgramId): void {
+  private submitReadyCall(program: ProgramId): void {
     const next = this.options.host.state.programs.get(program)?.nextSequence ?? 1;
-    const ready = this.early.takeReady(program, next);
+    const ready = this.outOfOrderCalls.takeReady(program, next);
     if (ready !== undefined) {
       this.submit(ready.from, ready.request);
     }
@@ -174,9 +174,9 @@
 
   /** Refuses early calls that waited too long; called once a second. */
   sweep(): void {
-    for (const early of this.early.takeStale(this.options.runtime.now())) {
+    for (const expired of this.outOfOrderCalls.takeExpired(this.options.runtime.now())) {
       const error = notRun('Conflict', 'An earlier sequence never came.', 1);
-      this.sendEvent(early.from, early.request.call, { type: 'failed', error });
+      this.sendEvent(expired.from, expired.request.call, { type: 'failed', error });
     }
   }
 
--- a/src/program/call-ticket.ts
+++ b/src/program/call-ticket.ts
@@ -14,7 +14,7 @@
 }
 
 /** Worst cost of a call in tokens, reserved before it is taken. */
-export function worstCost(program: ProgramRecord | undefined, request: CallRequest): number {
+export function worstCaseTokens(program: ProgramRecord | undefined, request: CallRequest): number {
   return Math.ceil(promptTokensOf(program, request)) + request.maximumTokens;
 }
 
@@ -38,7 +38,7 @@
 }
 
 /** Service attained by the whole program, sub-agents included, in tokens. */
-function attainedByFamily(state: ShardState, program: ProgramRecord): number {
+function attainedServiceWithRoot(state: ShardState, program: ProgramRecord): number {
   const root = state.programs.get(rootOf(program.program));
   return program.attainedService + (root === program ? 0 : (root?.attainedService ?? 0));
 }
@@ -62,10 +62,10 @@
     promptTokens: Math.ceil(promptTokensOf(program, request)),
     maximumTokens: request.maximumTokens,
     turn: call.sequence,
-    attainedService: attainedByFamily(state, program),
+    attainedService: attainedServiceWithRoot(state, program),
     programAge: Math.max(0, wallTime - root.openedAt),
-    waited: now - call.since,
-    deadlineIn: Math.max(0, call.since + request.timeoutMilliseconds - now),
+    waited: now - call.addedAt,
+    deadlineIn: Math.max(0, call.addedAt + request.timeoutMilliseconds - now),
     prefixes: prefixesOf(program, request),
     endsProgram: request.endsProgram,
     avoidEngine: call.avoidEngine,
--- a/src/program/engine-order.ts
+++ b/src/program/engine-request.ts
@@ -1,6 +1,6 @@
 /** The order that an owner gives a back end for a call. */
 import type { CallClass } from '../model/call.js';
-import type { BackEndOrder, Fence } from '../platform/back-end-port.js';
+import type { BackEndRequest, Fence } from '../platform/back-end-port.js';
 import { conversationOf } from './call-ticket.js';
 import type { LiveCall } from './live-call.js';
 import type { ProgramRecord } from './program-record.js';
@@ -9,7 +9,11 @@
 const PRIORITIES: Readonly<Record<CallClass, number>> = { urgent: 0, interactive: 1, batch: 2 };
 
 /** Builds the order of a call that is next in its program. */
-export function createOrder(program: ProgramRecord, call: LiveCall, fence: Fence): BackEndOrder {
+export function createEngineRequest(
+  program: ProgramRecord,
+  call: LiveCall,
+  fence: Fence,
+): BackEndRequest {
   const { request } = call;
   return {
     call: request.call,
--- a/src/program/live-call.ts
+++ b/src/program/live-call.ts
@@ -1,11 +1,11 @@
 /** A call under way, as its owner holds it in memory; rebuilt from the log by the next owner. */
 import type { EngineId, NodeId } from '../model/identifiers.js';
 import type { CallRequest } from '../model/call.js';
-import type { CancelOrder } from '../platform/back-end-port.js';
+import type { CancelRequest } from '../platform/back-end-port.js';
 import type { CancelTimer } from '../runtime/runtime.js';
 
 /** Where a live call stands. */
-export type LivePhase =
+export type LiveCallPhase =
   /** Accepted; an earlier call of the program is under way. */
   | 'behind'
   /** In the pool scheduler's queue. */
@@ -23,9 +23,9 @@
 export interface LiveCall {
   readonly request: CallRequest;
   readonly sequence: number;
-  phase: LivePhase;
+  phase: LiveCallPhase;
   /** Monotonic milliseconds at which this owner took it. */
-  readonly since: number;
+  readonly addedAt: number;
   /** Gateways that want to hear of it. */
   readonly gateways: Set<NodeId>;
   engine: EngineId;
@@ -36,10 +36,10 @@
   /** Text generated so far, including what an earlier owner sent. */
   text: string;
   startedAt: number;
-  cancelOrder: CancelOrder | undefined;
+  cancelRequest: CancelRequest | undefined;
   cancelDeadline: CancelTimer;
   /** Stops the wait for a gateway to attach, if one goes on. */
-  cancelWait: CancelTimer;
+  endAttachWait: CancelTimer;
 }
 
 /** Makes a live call in its first phase. */
@@ -48,7 +48,7 @@
     request,
     sequence: request.sequence,
     phase: 'behind',
-    since: now,
+    addedAt: now,
     gateways: new Set(),
     engine: '',
     avoidEngine: '',
@@ -56,8 +56,8 @@
     mayHaveRun: false,
     text: '',
     startedAt: 0,
-    cancelOrder: undefined,
+    cancelRequest: undefined,
     cancelDeadline: () => undefined,
-    cancelWait: () => undefined,
+    endAttachWait: () => undefined,
   };
 }
--- a/src/program/early-calls.ts
+++ b/src/program/out-of-order-calls.ts
@@ -3,23 +3,23 @@
 import type { CallRequest } from '../model/call.js';
 
 /** A call that waits for an earlier sequence. */
-export interface EarlyCall {
+export interface OutOfOrderCall {
   readonly from: NodeId;
   readonly request: CallRequest;
   /** Monotonic milliseconds until which it waits. */
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 /** Early calls of one shard's programs. */
-export class EarlyCalls {
-  private readonly byProgram = new Map<ProgramId, EarlyCall[]>();
+export class OutOfOrderCalls {
+  private readonly byProgram = new Map<ProgramId, OutOfOrderCall[]>();
 
-  constructor(private readonly mostPerProgram: number) {}
+  constructor(private readonly maximumPerProgram: number) {}
 
   /** True when a call waits here. */
   has(call: CallId): boolean {
     for (const waiting of this.byProgram.values()) {
-      if (waiting.some((early) => early.request.call === call)) {
+      if (waiting.some((entry) => entry.request.call === call)) {
         return true;
       }
     }
@@ -27,43 +27,43 @@
   }
 
   /** Keeps a call; false when too many of its program wait already. */
-  add(early: EarlyCall): boolean {
-    const { program, call } = early.request;
+  add(entry: OutOfOrderCall): boolean {
+    const { program, call } = entry.request;
     const waiting = this.byProgram.get(program) ?? [];
     if (waiting.some((other) => other.request.call === call)) {
       return true;
     }
-    if (waiting.length >= this.mostPerProgram) {
+    if (waiting.length >= this.maximumPerProgram) {
       return false;
     }
-    this.byProgram.set(program, [...waiting, early]);
+    this.byProgram.set(program, [...waiting, entry]);
     return true;
   }
 
   /** Takes out a call whose turn has come. */
-  takeReady(program: ProgramId, nextSequence: number): EarlyCall | undefined {
+  takeReady(program: ProgramId, nextSequence: number): OutOfOrderCall | undefined {
     const waiting = this.byProgram.get(program) ?? [];
-    const ready = waiting.find((early) => early.request.sequence <= nextSequence);
+    const ready = waiting.find((entry) => entry.request.sequence <= nextSequence);
     if (ready !== undefined) {
-      this.keep(
+      this.replaceEntries(
         program,
-        waiting.filter((early) => early !== ready),
+        waiting.filter((entry) => entry !== ready),
       );
     }
     return ready;
   }
 
   /** Takes out the calls that have waited too long. */
-  takeStale(now: number): EarlyCall[] {
-    const stale: EarlyCall[] = [];
+  takeExpired(now: number): OutOfOrderCall[] {
+    const expired: OutOfOrderCall[] = [];
     for (const [program, waiting] of [...this.byProgram]) {
-      stale.push(...waiting.filter((early) => early.until <= now));
-      this.keep(
+      expired.push(...waiting.filter((entry) => entry.expiresAt <= now));
+      this.replaceEntries(
         program,
-        waiting.filter((early) => early.until > now),
+        waiting.filter((entry) => entry.expiresAt > now),
       );
     }
-    return stale;
+    return expired;
   }
 
   /** Forgets everything. */
@@ -71,7 +71,7 @@
     this.byProgram.clear();
   }
 
-  private keep(program: ProgramId, waiting: EarlyCall[]): void {
+  private replaceEntries(program: ProgramId, waiting: OutOfOrderCall[]): void {
     if (waiting.length === 0) {
       this.byProgram.delete(program);
     } else {
--- a/src/program/program-expiry.ts
+++ b/src/program/program-expiry.ts
@@ -7,7 +7,7 @@
 import type { ShardHost } from '../replication/shard-host.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { OwnerLimits } from './program-limits.js';
-import { currentCall } from './program-record.js';
+import { firstUnfinishedCall } from './program-record.js';
 import type { ProgramRecord } from './program-record.js';
 
 /** What the expiry is made with. */
@@ -18,16 +18,16 @@
   readonly onProgramEnded: (program: ProgramId) => void;
 }
 
-interface Sighting {
+interface ActivityObservation {
   /** The program's own mark of its last change; any change of it is an activity. */
-  readonly mark: number;
+  readonly activityStamp: number;
   /** Monotonic milliseconds at which that mark was first seen. */
-  readonly seenAt: number;
+  readonly observedAt: number;
 }
 
 /** See the head of this file. */
 export class ProgramExpiry {
-  private readonly sightings = new Map<ProgramId, Sighting>();
+  private readonly observations = new Map<ProgramId, ActivityObservation>();
 
   constructor(private readonly options: ProgramExpiryOptions) {}
 
@@ -35,10 +35,10 @@
   sweep(): void {
     const { host, limits } = this.options;
     for (const program of host.state.programs.values()) {
-      const quiet = this.quietTime(program);
-      if (program.end !== undefined && quiet > limits.retentionMilliseconds) {
+      const idle = this.idleTime(program);
+      if (program.end !== undefined && idle > limits.retentionMilliseconds) {
         this.forget(program);
-      } else if (program.end === undefined && quiet > limits.idleMilliseconds) {
+      } else if (program.end === undefined && idle > limits.idleMilliseconds) {
         this.expire(program);
       }
     }
@@ -46,28 +46,28 @@
 
   /** Forgets what was seen; called when leadership ends. */
   reset(): void {
-    this.sightings.clear();
+    this.observations.clear();
   }
 
-  private quietTime(program: ProgramRecord): number {
+  private idleTime(program: ProgramRecord): number {
     const now = this.options.runtime.now();
-    const mark = program.lastActivityAt + program.nextSequence;
-    const known = this.sightings.get(program.program);
-    if (known === undefined || known.mark !== mark) {
-      this.sightings.set(program.program, { mark, seenAt: now });
+    const stamp = program.lastActivityAt + program.nextSequence;
+    const known = this.observations.get(program.program);
+    if (known === undefined || known.activityStamp !== stamp) {
+      this.observations.set(program.program, { activityStamp: stamp, observedAt: now });
       return 0;
     }
-    return now - known.seenAt;
+    return now - known.observedAt;
   }
 
   private forget(program: ProgramRecord): void {
-    this.sightings.delete(program.program);
+    this.observations.delete(program.program);
     const command = { type: 'forgetProgram', program: program.program } as const;
     this.options.host.propose(command, () => undefined);
   }
 
   private expire(program: ProgramRecord): void {
-    if (currentCall(program) !== undefined) {
+    if (firstUnfinishedCall(program) !== undefined) {
       return;
     }
     const { host, runtime, onProgramEnded } = this.options;
--- a/src/program/program-limits.ts
+++ b/src/program/program-limits.ts
@@ -13,7 +13,7 @@
   /** Times a repeatable call may be sent again. @default 3 */
   readonly maximumAttempts: number;
   /** Calls of one program that may wait for an earlier sequence. @default 64 */
-  readonly maximumEarlyCalls: number;
+  readonly maximumOutOfOrderCalls: number;
 }
 
 /** Limits used when the settings name none. */
@@ -27,5 +27,5 @@
   idleMilliseconds: HOUR_MILLISECONDS,
   retentionMilliseconds: 24 * HOUR_MILLISECONDS,
   maximumAttempts: 3,
-  maximumEarlyCalls: 64,
+  maximumOutOfOrderCalls: 64,
 };
--- a/src/program/program-record.ts
+++ b/src/program/program-record.ts
@@ -51,7 +51,7 @@
 }
 
 /** The first call in the program's order that has not ended, if any. */
-export function currentCall(program: ProgramRecord): CallRecord | undefined {
+export function firstUnfinishedCall(program: ProgramRecord): CallRecord | undefined {
   for (let sequence = program.nextSequence - 1; sequence >= 1; sequence -= 1) {
     const record = program.calls.get(sequence);
     if (record === undefined || hasEnded(record)) {
--- a/src/program/program-requests.ts
+++ b/src/program/program-requests.ts
@@ -71,7 +71,7 @@
   };
 }
 
-function refusal(error: CallError): ProgramAnswer {
+function errorAnswer(error: CallError): ProgramAnswer {
   return { status: httpStatusOf(error), body: JSON.stringify({ error }) };
 }
 
@@ -94,7 +94,7 @@
   }
   const program = host.state.programs.get(name);
   if (program === undefined || (group !== '' && program.group !== group)) {
-    answer(refusal(notRun('NotFound', `There is no program ${name} in this group.`)));
+    answer(errorAnswer(notRun('NotFound', `There is no program ${name} in this group.`)));
     return;
   }
   switch (action) {
@@ -118,13 +118,13 @@
 }
 
 function findCall(host: ShardHost, call: string, group: GroupName): ProgramAnswer {
-  const place = host.state.callIndex.get(call);
-  const program = place === undefined ? undefined : host.state.programs.get(place.program);
-  const record = place === undefined ? undefined : program?.calls.get(place.sequence);
+  const location = host.state.callIndex.get(call);
+  const program = location === undefined ? undefined : host.state.programs.get(location.program);
+  const record = location === undefined ? undefined : program?.calls.get(location.sequence);
   if (record === undefined || (group !== '' && program?.group !== group)) {
-    return refusal(notRun('NotFound', `There is no call ${call} in this group.`));
+    return errorAnswer(notRun('NotFound', `There is no call ${call} in this group.`));
   }
-  return { status: 200, body: JSON.stringify({ ...viewCall(record), program: place?.program }) };
+  return { status: 200, body: JSON.stringify({ ...viewCall(record), program: location?.program }) };
 }
 
 function openProgram(
@@ -140,7 +140,7 @@
     }
     const record = host.state.programs.get(program);
     if (result.outcome.type === 'refused') {
-      answer(refusal(result.outcome.error));
+      answer(errorAnswer(result.outcome.error));
     } else if (record !== undefined) {
       answer({ status: 201, body: JSON.stringify(viewProgram(record)) });
     }
--- a/src/program/shard-owner.ts
+++ b/src/program/shard-owner.ts
@@ -8,7 +8,7 @@
 import type { CallError, CallErrorTag } from '../model/verdict.js';
 import { mayHaveRun, notRun } from '../model/verdict.js';
 import type { BackEndEvent, BackEndPort, Fence } from '../platform/back-end-port.js';
-import type { PoolClient, PoolContent } from '../dispatch/pool-client.js';
+import type { PoolClient, PoolCalls } from '../dispatch/pool-client.js';
 import type { SliceClient } from '../budget/slice-client.js';
 import type { ShardHost } from '../replication/shard-host.js';
 import type { ProposalResult } from '../replication/proposals.js';
@@ -18,12 +18,12 @@
 import { CallAdmission } from './call-admission.js';
 import { createTicket } from './call-ticket.js';
 import { resultEvent } from './call-result.js';
-import { createOrder } from './engine-order.js';
+import { createEngineRequest } from './engine-request.js';
 import { createLiveCall } from './live-call.js';
 import type { LiveCall } from './live-call.js';
 import type { OwnerLimits } from './program-limits.js';
 import { ProgramExpiry } from './program-expiry.js';
-import { currentCall, hasEnded } from './program-record.js';
+import { firstUnfinishedCall, hasEnded } from './program-record.js';
 import type { CallRecord, ProgramRecord } from './program-record.js';
 
 /** Time a new owner waits for the caller's gateway before it runs a lost call again, in ms. */
@@ -44,34 +44,34 @@
 
 /** See the head of this file. */
 export class ShardOwner {
-  private readonly live = new Map<CallId, LiveCall>();
+  private readonly liveCalls = new Map<CallId, LiveCall>();
   private readonly admission: CallAdmission;
   private readonly expiry: ProgramExpiry;
 
   constructor(private readonly options: ShardOwnerOptions) {
     this.admission = new CallAdmission({
       ...options,
-      find: (call) => this.live.get(call),
+      findLiveCall: (call) => this.liveCalls.get(call),
       attach: (call, from, receivedText) => this.attach(call, from, receivedText),
-      adopt: (request, gateways) => this.adopt(request, gateways),
+      addLiveCall: (request, gateways) => this.addLiveCall(request, gateways),
       startNext: (program) => this.startNext(program),
     });
     this.expiry = new ProgramExpiry(options);
   }
 
   /** Number of calls under way here. */
-  get liveCount(): number {
-    return this.live.size;
+  get liveCallCount(): number {
+    return this.liveCalls.size;
   }
 
   /** Calls under way here. */
-  listLive(): LiveCall[] {
-    return [...this.live.values()];
+  listLiveCalls(): LiveCall[] {
+    return [...this.liveCalls.values()];
   }
 
   /** True when this owner can tell what became of a call. */
-  knows(call: CallId): boolean {
-    return this.live.has(call) || this.admission.knows(call);
+  isTracking(call: CallId): boolean {
+    return this.liveCalls.has(call) || this.admission.isPending(call);
   }
 
   /** Takes a call in, or attaches to it when it is known. */
@@ -81,7 +81,7 @@
 
   /** Takes the pool scheduler's decision to start a call. */
   assign(message: PoolAssignment): void {
-    const call = this.live.get(message.call);
+    const call = this.liveCalls.get(message.call);
     if (call === undefined || call.phase !== 'waiting') {
       if (call === undefined || call.engine !== message.engine) {
         this.refuseAssignment(message);
@@ -91,14 +91,14 @@
     if (!this.options.host.canServe()) {
       return;
     }
-    this.intend(call, message.engine);
+    this.commitIntent(call, message.engine);
   }
 
   /** Takes the pool scheduler's refusal of a call; final. */
   refuse(call: CallId, detail: string, retryAfterSeconds: number): void {
-    const live = this.live.get(call);
+    const live = this.liveCalls.get(call);
     if (live?.phase === 'waiting') {
-      this.giveUp(live, 'Overloaded', detail, retryAfterSeconds);
+      this.failUnanswered(live, 'Overloaded', detail, retryAfterSeconds);
     }
   }
 
@@ -108,7 +108,7 @@
     const at = runtime.wallTime();
     host.propose({ type: 'endProgram', at, program, reason }, (result) => {
       if (result.type === 'committed') {
-        this.dropEnded();
+        this.removeEndedCalls();
         this.options.onProgramEnded(program);
       }
       done();
@@ -116,7 +116,7 @@
   }
 
   /** Takes up every call under way; called when this node becomes the leader. */
-  takeOver(): void {
+  startLeading(): void {
     for (const program of this.options.host.state.programs.values()) {
       for (const record of program.calls.values()) {
         if (!hasEnded(record) && record.request !== undefined) {
@@ -128,19 +128,19 @@
   }
 
   /** Drops everything held in memory; called when this node stops leading. */
-  handOver(): void {
-    for (const call of this.live.values()) {
-      this.release(call);
+  stopLeading(): void {
+    for (const call of this.liveCalls.values()) {
+      this.cancelTimers(call);
     }
-    this.live.clear();
+    this.liveCalls.clear();
     this.admission.reset();
     this.expiry.reset();
   }
 
   /** Adds this owner's calls to a report to a pool. */
-  addToReport(service: ServiceName, content: PoolContent): void {
+  addToReport(service: ServiceName, content: PoolCalls): void {
     const { host, runtime } = this.options;
-    for (const call of this.live.values()) {
+    for (const call of this.liveCalls.values()) {
       const program = host.state.programs.get(call.request.program);
       if (call.request.service !== service || program === undefined) {
         continue;
@@ -175,21 +175,21 @@
       const offset = receivedText.length;
       this.sendEvent(from, call.request.call, { type: 'piece', offset, text: missing });
     }
-    call.cancelWait();
+    call.endAttachWait();
     if (call.phase === 'behind') {
       this.startNext(call.request.program);
     }
   }
 
-  private adopt(request: CallRequest, gateways: Iterable<NodeId>): LiveCall {
+  private addLiveCall(request: CallRequest, gateways: Iterable<NodeId>): LiveCall {
     const { runtime } = this.options;
     const call = createLiveCall(request, runtime.now());
     for (const gateway of gateways) {
       call.gateways.add(gateway);
     }
-    this.live.set(request.call, call);
+    this.liveCalls.set(request.call, call);
     call.cancelDeadline = runtime.setTimer(request.timeoutMilliseconds, () =>
-      this.passDeadline(call),
+      this.handleDeadline(call),
     );
     return call;
   }
@@ -197,8 +197,8 @@
   private startNext(programName: ProgramId): void {
     const { host } = this.options;
     const program = host.state.programs.get(programName);
-    const record = program === undefined ? undefined : currentCall(program);
-    const call = record === undefined ? undefined : this.live.get(record.call);
+    const record = program === undefined ? undefined : firstUnfinishedCall(program);
+    const call = record === undefined ? undefined : this.liveCalls.get(record.call);
     if (program !== undefined && call !== undefined && call.phase === 'behind') {
       this.enqueue(program, call);
     }
@@ -212,7 +212,7 @@
     pools.enqueue(call.request.service, host.shard, ticket);
   }
 
-  private intend(call: LiveCall, engine: string): void {
+  private commitIntent(call: LiveCall, engine: string): void {
     const { host } = this.options;
     const { program, call: name, repeatable } = call.request;
     call.phase = 'intending';
@@ -223,23 +223,23 @@
       const intended = result.type === 'committed' && result.outcome.type === 'done';
       // Only a committed intent, held by a proven leader, lets a non-repeatable call go out.
       if (intended && !repeatable && this.isCurrent(call, 'intending') && host.canServe()) {
-        this.start(call);
+        this.sendToEngine(call);
       }
     });
     if (repeatable) {
-      this.start(call);
+      this.sendToEngine(call);
     }
   }
 
   private isCurrent(call: LiveCall, phase: LiveCall['phase']): boolean {
-    return this.live.get(call.request.call) === call && call.phase === phase;
+    return this.liveCalls.get(call.request.call) === call && call.phase === phase;
   }
 
   private fence(): Fence {
     return { shard: this.options.host.shard, term: this.options.host.term };
   }
 
-  private start(call: LiveCall): void {
+  private sendToEngine(call: LiveCall): void {
     const { host, runtime, backEnds } = this.options;
     const program = host.state.programs.get(call.request.program);
     if (program === undefined) {
@@ -248,8 +248,8 @@
     call.phase = 'running';
     call.startedAt = runtime.now();
     const { engine, attempts } = call;
-    const order = createOrder(program, call, this.fence());
-    call.cancelOrder = backEnds.start(engine, order, (event) => {
+    const request = createEngineRequest(program, call, this.fence());
+    call.cancelRequest = backEnds.start(engine, request, (event) => {
       if (this.isCurrent(call, 'running') && call.attempts === attempts) {
         this.receiveFromEngine(call, event);
       }
@@ -283,12 +283,12 @@
   private commitAnswer(call: LiveCall, text: string, usage: Usage): void {
     const { host, runtime } = this.options;
     call.phase = 'ending';
-    this.finishInPool(call, 'answered', usage);
+    this.reportFinishedToPool(call, 'answered', usage);
     const { program, call: name } = call.request;
     const { sequence } = call;
     const at = runtime.wallTime();
     host.propose({ type: 'answerCall', at, program, sequence, call: name, text, usage }, (result) =>
-      this.finishCommitted(call, result),
+      this.publishResult(call, result),
     );
   }
 
@@ -299,18 +299,18 @@
     const { sequence } = call;
     const at = runtime.wallTime();
     host.propose({ type: 'failCall', at, program, sequence, call: name, error, usage }, (result) =>
-      this.finishCommitted(call, result),
+      this.publishResult(call, result),
     );
   }
 
-  private finishCommitted(call: LiveCall, result: ProposalResult<CommandOutcome>): void {
-    if (result.type !== 'committed' || this.live.get(call.request.call) !== call) {
+  private publishResult(call: LiveCall, result: ProposalResult<CommandOutcome>): void {
+    if (result.type !== 'committed' || this.liveCalls.get(call.request.call) !== call) {
       return;
     }
     const program = this.options.host.state.programs.get(call.request.program);
     const record = program?.calls.get(call.sequence);
-    this.live.delete(call.request.call);
-    this.release(call);
+    this.liveCalls.delete(call.request.call);
+    this.cancelTimers(call);
     if (program === undefined || record === undefined) {
       return;
     }
@@ -324,9 +324,14 @@
   }
 
   /** Ends a call that no back end answers; what its tries may have done decides the verdict. */
-  private giveUp(call: LiveCall, tag: CallErrorTag, detail: string, retryAfterSeconds = 0): void {
+  private failUnanswered(
+    call: LiveCall,
+    tag: CallErrorTag,
+    detail: string,
+    retryAfterSeconds = 0,
+  ): void {
     if (call.mayHaveRun) {
-      this.fail(call, { ...mayHaveRun(tag, detail), retryAfterSeconds }, this.worstUsage(call));
+      this.fail(call, { ...mayHaveRun(tag, detail), retryAfterSeconds }, this.worstCaseUsage(call));
     } else {
       this.fail(call, notRun(tag, detail, retryAfterSeconds), NO_USAGE);
     }
@@ -335,19 +340,19 @@
   private handleFailure(call: LiveCall, provablyNotRun: boolean, detail: string): void {
     const { repeatable } = call.request;
     call.mayHaveRun ||= !provablyNotRun;
-    this.finishInPool(call, 'failed', NO_USAGE);
+    this.reportFinishedToPool(call, 'failed', NO_USAGE);
     const mayTryAgain = call.attempts < this.options.limits.maximumAttempts;
     if (provablyNotRun && !repeatable && mayTryAgain) {
       this.withdrawAndRetry(call);
     } else if ((repeatable || provablyNotRun) && mayTryAgain) {
       this.retry(call);
     } else {
-      this.giveUp(call, 'BackEndFailed', detail, 1);
+      this.failUnanswered(call, 'BackEndFailed', detail, 1);
     }
   }
 
   /** What a call that may have run is charged: all that was reserved for it. */
-  private worstUsage(call: LiveCall): Usage {
+  private worstCaseUsage(call: LiveCall): Usage {
     const record = this.recordOf(call);
     return { ...NO_USAGE, promptTokens: record?.reserved ?? 0 };
   }
@@ -374,42 +379,42 @@
   private retry(call: LiveCall): void {
     call.avoidEngine = call.engine;
     call.phase = 'behind';
-    call.cancelOrder = undefined;
+    call.cancelRequest = undefined;
     this.startNext(call.request.program);
   }
 
-  private passDeadline(call: LiveCall): void {
-    if (this.live.get(call.request.call) !== call || call.phase === 'ending') {
+  private handleDeadline(call: LiveCall): void {
+    if (this.liveCalls.get(call.request.call) !== call || call.phase === 'ending') {
       return;
     }
     const queued = call.phase === 'waiting' || call.phase === 'behind';
     if (!queued) {
       call.mayHaveRun = true;
-      call.cancelOrder?.();
-      this.finishInPool(call, 'cancelled', NO_USAGE);
+      call.cancelRequest?.();
+      this.reportFinishedToPool(call, 'cancelled', NO_USAGE);
     }
-    this.giveUp(call, 'DeadlinePassed', 'The call was not answered in time.', 5);
+    this.failUnanswered(call, 'DeadlinePassed', 'The call was not answered in time.', 5);
   }
 
   private recover(request: CallRequest, record: CallRecord): void {
-    const call = this.adopt(request, []);
+    const call = this.addLiveCall(request, []);
     if (record.status === 'intended' && record.engine !== undefined) {
       call.mayHaveRun = true;
-      this.askEngine(call, record.engine);
+      this.resumeOnEngine(call, record.engine);
     }
   }
 
-  private askEngine(call: LiveCall, engine: string): void {
+  private resumeOnEngine(call: LiveCall, engine: string): void {
     const { backEnds, runtime } = this.options;
     call.phase = 'recovering';
     call.engine = engine;
     call.startedAt = runtime.now();
-    call.cancelOrder = backEnds.resume(engine, call.request.call, this.fence(), (event) => {
+    call.cancelRequest = backEnds.resume(engine, call.request.call, this.fence(), (event) => {
       if (!this.isCurrent(call, 'recovering')) {
         return;
       }
       if (event.type === 'failed') {
-        this.giveUpRecovery(call, event.detail);
+        this.handleFailedRecovery(call, event.detail);
       } else {
         this.receiveFromEngine(call, event);
       }
@@ -417,9 +422,9 @@
   }
 
   /** A call whose caller may hold part of an answer waits for its gateway before it runs again. */
-  private giveUpRecovery(call: LiveCall, detail: string): void {
+  private handleFailedRecovery(call: LiveCall, detail: string): void {
     if (!call.request.repeatable) {
-      this.fail(call, mayHaveRun('BackEndFailed', detail), this.worstUsage(call));
+      this.fail(call, mayHaveRun('BackEndFailed', detail), this.worstCaseUsage(call));
       return;
     }
     const resume = (): void => {
@@ -432,39 +437,39 @@
       return;
     }
     const cancel = this.options.runtime.setTimer(ATTACH_WAIT_MILLISECONDS, resume);
-    call.cancelWait = () => {
+    call.endAttachWait = () => {
       cancel();
       resume();
     };
   }
 
-  private dropEnded(): void {
-    for (const call of [...this.live.values()]) {
+  private removeEndedCalls(): void {
+    for (const call of [...this.liveCalls.values()]) {
       const record = this.recordOf(call);
       if (record === undefined || !hasEnded(record)) {
         continue;
       }
       if (call.phase === 'running' || call.phase === 'recovering' || call.phase === 'intending') {
-        call.cancelOrder?.();
-        this.finishInPool(call, 'cancelled', NO_USAGE);
+        call.cancelRequest?.();
+        this.reportFinishedToPool(call, 'cancelled', NO_USAGE);
       }
-      this.live.delete(call.request.call);
-      this.release(call);
+      this.liveCalls.delete(call.request.call);
+      this.cancelTimers(call);
       const event = resultEvent(record);
       call.gateways.forEach((gateway) => this.sendEvent(gateway, call.request.call, event));
     }
   }
 
-  private release(call: LiveCall): void {
+  private cancelTimers(call: LiveCall): void {
     call.cancelDeadline();
     // The wait's end is not to be acted on any more.
     call.phase = 'ending';
-    call.cancelWait();
+    call.endAttachWait();
   }
 
-  private finishInPool(call: LiveCall, outcome: FinishOutcome, usage: Usage): void {
+  private reportFinishedToPool(call: LiveCall, outcome: FinishOutcome, usage: Usage): void {
     const { call: name, program, service } = call.request;
-    this.options.pools.finish({
+    this.options.pools.reportFinished({
       type: 'poolFinished',
       service,
       call: name,
@@ -478,7 +483,7 @@
 
   /** Gives back the place of an assignment that came too late. */
   private refuseAssignment({ service, call, engine }: PoolAssignment): void {
-    this.options.pools.finish({
+    this.options.pools.reportFinished({
       type: 'poolFinished',
       service,
       call,
--- a/src/program/shard-state.ts
+++ b/src/program/shard-state.ts
@@ -7,13 +7,13 @@
 export interface ShardState {
   readonly programs: Map<ProgramId, ProgramRecord>;
   /** Place of each remembered call. */
-  readonly callIndex: Map<CallId, CallPlace>;
+  readonly callIndex: Map<CallId, CallLocation>;
   readonly slices: SliceTable;
   readonly ledgers: LedgerTable;
 }
 
 /** Where a call is recorded. */
-export interface CallPlace {
+export interface CallLocation {
   readonly program: ProgramId;
   readonly sequence: number;
 }
--- a/src/scheduling/cost-model.ts
+++ b/src/scheduling/cost-model.ts
@@ -5,65 +5,78 @@
 import { RecursiveLeastSquares } from './recursive-least-squares.js';
 
 /** First guesses, used until calls have finished, in milliseconds. */
-const FIRST_GUESSES = [0.08, 9, 0.4];
+const INITIAL_COEFFICIENTS = [0.08, 9, 0.4];
 /** How little the guesses are trusted, each at the scale of its feature. */
-const TRUST = [1e-4, 1e-1, 1e-2];
+const INITIAL_VARIANCES = [1e-4, 1e-1, 1e-2];
 /** Weight of the past after one more observation. */
-const FORGETTING = 0.999;
+const FORGETTING_FACTOR = 0.999;
 /** Bounds that keep a wild estimate from steering the scheduler, in milliseconds. */
-const SMALLEST_PREFILL = 0.001;
-const SMALLEST_DECODE = 0.1;
+const MINIMUM_PREFILL_MILLISECONDS = 0.001;
+const MINIMUM_DECODE_MILLISECONDS = 0.1;
 /** Weight of one more answer in the mean length. */
-const LENGTH_WEIGHT = 0.02;
+const OUTPUT_LENGTH_SMOOTHING = 0.02;
 
 /** Learned costs of one service. */
 export class CostModel {
-  private readonly fit = new RecursiveLeastSquares([...FIRST_GUESSES], TRUST, FORGETTING);
+  private readonly regression = new RecursiveLeastSquares(
+    [...INITIAL_COEFFICIENTS],
+    INITIAL_VARIANCES,
+    FORGETTING_FACTOR,
+  );
   private meanOutputTokens = 128;
 
   /** Milliseconds per uncached prompt token. */
-  get prefillMilliseconds(): number {
-    return Math.max(SMALLEST_PREFILL, this.fit.coefficients[0]!);
+  get prefillMillisecondsPerToken(): number {
+    return Math.max(MINIMUM_PREFILL_MILLISECONDS, this.regression.coefficients[0]!);
   }
 
   /** Milliseconds per generated token in an otherwise empty batch. */
-  get decodeMilliseconds(): number {
-    return Math.max(SMALLEST_DECODE, this.fit.coefficients[1]!);
+  get decodeMillisecondsPerToken(): number {
+    return Math.max(MINIMUM_DECODE_MILLISECONDS, this.regression.coefficients[1]!);
   }
 
   /** Milliseconds that each other call in the batch adds to a generated token. */
-  get neighbourMilliseconds(): number {
-    return Math.max(0, this.fit.coefficients[2]!);
+  get interferenceMillisecondsPerToken(): number {
+    return Math.max(0, this.regression.coefficients[2]!);
   }
 
   /** Learns from one finished call that shared its engine with others. */
   observe(
     uncachedTokens: number,
     generatedTokens: number,
-    neighbours: number,
+    concurrentCalls: number,
     milliseconds: number,
   ): void {
-    this.meanOutputTokens += LENGTH_WEIGHT * (generatedTokens - this.meanOutputTokens);
-    const features = [uncachedTokens, generatedTokens, generatedTokens * neighbours];
-    this.fit.observe(features, milliseconds);
+    this.meanOutputTokens += OUTPUT_LENGTH_SMOOTHING * (generatedTokens - this.meanOutputTokens);
+    const features = [uncachedTokens, generatedTokens, generatedTokens * concurrentCalls];
+    this.regression.observe(features, milliseconds);
   }
 
   /** Tokens an answer is expected to have, given its upper bound. */
-  expectedOutput(maximumTokens: number): number {
+  expectedOutputTokens(maximumTokens: number): number {
     return Math.min(maximumTokens, this.meanOutputTokens);
   }
 
   /** Expected milliseconds of a call beside others, without waiting. */
-  serviceMilliseconds(uncachedTokens: number, maximumTokens: number, neighbours: number): number {
-    const perToken = this.decodeMilliseconds + neighbours * this.neighbourMilliseconds;
-    const decode = this.expectedOutput(maximumTokens) * perToken;
-    return uncachedTokens * this.prefillMilliseconds + decode;
+  serviceMilliseconds(
+    uncachedTokens: number,
+    maximumTokens: number,
+    concurrentCalls: number,
+  ): number {
+    const perToken =
+      this.decodeMillisecondsPerToken + concurrentCalls * this.interferenceMillisecondsPerToken;
+    const decode = this.expectedOutputTokens(maximumTokens) * perToken;
+    return uncachedTokens * this.prefillMillisecondsPerToken + decode;
   }
 
   /** Milliseconds by which a call delays all its neighbours together. */
-  delayOfNeighbours(uncachedTokens: number, maximumTokens: number, neighbours: number): number {
-    const decode = this.expectedOutput(maximumTokens) * this.neighbourMilliseconds;
+  delayToConcurrentCalls(
+    uncachedTokens: number,
+    maximumTokens: number,
+    concurrentCalls: number,
+  ): number {
+    const decode = this.expectedOutputTokens(maximumTokens) * this.interferenceMillisecondsPerToken;
     // While a prompt is computed, no neighbour generates.
-    return neighbours * (uncachedTokens * this.prefillMilliseconds + decode);
+    return concurrentCalls * (uncachedTokens * this.prefillMillisecondsPerToken + decode);
   }
 }
--- a/src/scheduling/first-come-queue.ts
+++ b/src/scheduling/fifo-queue.ts
@@ -3,7 +3,7 @@
 import type { CallTicket } from '../wire/messages.js';
 
 /** A first-come-first-served queue with removal. */
-export class FirstComeQueue {
+export class FifoQueue {
   private readonly tickets = new Map<CallId, CallTicket>();
 
   /** Appends a call. */
@@ -17,7 +17,7 @@
   }
 
   /** The call that came first. */
-  first(): CallTicket | undefined {
+  peek(): CallTicket | undefined {
     for (const ticket of this.tickets.values()) {
       return ticket;
     }
--- a/src/scheduling/pause-model.ts
+++ b/src/scheduling/pause-model.ts
@@ -6,7 +6,7 @@
 /** Upper ends of the bins, in milliseconds. */
 const BIN_ENDS: readonly number[] = Array.from({ length: 24 }, (_, bin) => 100 * 1.5 ** bin);
 /** Weight of the past after one more observation. */
-const FORGETTING = 0.997;
+const DECAY_FACTOR = 0.997;
 /** Observations' worth of belief in the prior, spread evenly over the bins up to a minute. */
 const PRIOR_WEIGHT = 0.3;
 
@@ -17,7 +17,7 @@
 
   /** Learns that a program came back after a pause. */
   observePause(milliseconds: number): void {
-    this.forget();
+    this.decayCounts();
     const bin = BIN_ENDS.findIndex((end) => milliseconds <= end);
     const index = bin < 0 ? BIN_ENDS.length - 1 : bin;
     this.counts[index] = this.counts[index]! + 1;
@@ -25,7 +25,7 @@
 
   /** Learns that a program ended without coming back. */
   observeEnd(): void {
-    this.forget();
+    this.decayCounts();
     this.neverReturned += 1;
   }
 
@@ -34,7 +34,7 @@
    * where a return saves `savedMilliseconds` of an engine's time and each held millisecond costs
    * `pricePerMillisecond`, in the same unit.
    */
-  bestHold(savedMilliseconds: number, pricePerMillisecond: number): number {
+  optimalHoldMilliseconds(savedMilliseconds: number, pricePerMillisecond: number): number {
     const total = this.counts.reduce((sum, count) => sum + count, this.neverReturned);
     let remaining = 1;
     let gain = 0;
@@ -56,10 +56,10 @@
     return bestHorizon;
   }
 
-  private forget(): void {
+  private decayCounts(): void {
     for (let index = 0; index < this.counts.length; index += 1) {
-      this.counts[index] = this.counts[index]! * FORGETTING;
+      this.counts[index] = this.counts[index]! * DECAY_FACTOR;
     }
-    this.neverReturned *= FORGETTING;
+    this.neverReturned *= DECAY_FACTOR;
   }
 }
--- a/src/scheduling/policies/ivyloom.ts
+++ b/src/scheduling/policies/ivyloom.ts
@@ -17,7 +17,7 @@
   PoolView,
   SchedulingPolicy,
 } from '../pool-view.js';
-import { chooseEngine, hasPlace, isStartable, uncachedTokens } from '../placement-cost.js';
+import { chooseEngine, hasFreeSlot, canStart, minimumUncachedTokens } from '../placement-cost.js';
 
 /** What a policy that knows the future may ask; only the bench has one. */
 export interface Oracle {
@@ -40,12 +40,12 @@
 /** Waiting calls looked at in one decision. */
 const SCAN_LIMIT = 12;
 /** Longest time a call waits for one particular engine, in milliseconds. */
-const LONGEST_PARKING_MILLISECONDS = 4_000;
+const MAXIMUM_AFFINITY_WAIT_MILLISECONDS = 4_000;
 
-interface ParkedTicket {
+interface AffinityWait {
   readonly ranked: RankedTicket;
   readonly charged: number;
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 interface LastTurn {
@@ -58,15 +58,15 @@
   readonly name: string;
   readonly releasesMemory = true;
   private readonly queue = new WaitingQueue();
-  private readonly parked = new Map<EngineId, TinyQueue<ParkedTicket>>();
-  private readonly parkedCalls = new Map<CallId, ParkedTicket>();
-  private readonly blocked = new TinyQueue<RankedTicket>(
+  private readonly affinityQueues = new Map<EngineId, TinyQueue<AffinityWait>>();
+  private readonly affinityWaits = new Map<CallId, AffinityWait>();
+  private readonly memoryBlocked = new TinyQueue<RankedTicket>(
     [],
     (left, right) => left.rank - right.rank,
   );
-  private readonly blockedCalls = new Map<CallId, RankedTicket>();
+  private readonly memoryBlockedCalls = new Map<CallId, RankedTicket>();
   private readonly charges = new Map<CallId, number>();
-  private readonly pauses = new Map<string, PauseModel>();
+  private readonly pauseModels = new Map<string, PauseModel>();
   private readonly lastTurns = new Map<ProgramId, LastTurn>();
   private readonly attainedWeight: number;
   private readonly holdHorizon: number;
@@ -82,7 +82,7 @@
   enqueue(ticket: CallTicket, now: number): void {
     const last = this.lastTurns.get(ticket.program);
     if (last !== undefined) {
-      this.pausesOf(last.pauseKey).observePause(now - last.finishedAt);
+      this.pauseModelOf(last.pauseKey).observePause(now - last.finishedAt);
       this.lastTurns.delete(ticket.program);
     }
     this.queue.add({ ticket, rank: this.rankOf(ticket, now), enqueuedAt: now });
@@ -90,18 +90,18 @@
 
   remove(ticket: CallTicket): void {
     this.queue.remove(ticket.call);
-    this.parkedCalls.delete(ticket.call);
-    this.blockedCalls.delete(ticket.call);
+    this.affinityWaits.delete(ticket.call);
+    this.memoryBlockedCalls.delete(ticket.call);
     this.charges.delete(ticket.call);
   }
 
   choose(pool: PoolView, now: number): Placement | undefined {
-    const anyFree = pool.engines.some((engine) => hasPlace(engine, true));
+    const anyFree = pool.engines.some((engine) => hasFreeSlot(engine, true));
     if (!anyFree) {
       return undefined;
     }
-    this.returnExpired(pool, now);
-    return this.chooseParked(pool) ?? this.chooseWaiting(pool, now) ?? this.chooseBlocked(pool);
+    this.requeueExpiredWaits(pool, now);
+    return this.chooseAffinity(pool) ?? this.chooseWaiting(pool, now) ?? this.chooseBlocked(pool);
   }
 
   finished(pool: PoolView, turn: FinishedTurn, now: number): HoldDecision {
@@ -114,13 +114,13 @@
     }
     const pauseKey = `${ticket.group}:${ticket.callClass}`;
     this.lastTurns.set(ticket.program, { finishedAt: now, pauseKey });
-    return { type: 'hold', milliseconds: this.holdTime(turn, pauseKey) };
+    return { type: 'hold', milliseconds: this.holdMilliseconds(turn, pauseKey) };
   }
 
   programEnded(program: ProgramId): void {
     const last = this.lastTurns.get(program);
     if (last !== undefined) {
-      this.pausesOf(last.pauseKey).observeEnd();
+      this.pauseModelOf(last.pauseKey).observeEnd();
       this.lastTurns.delete(program);
     }
   }
@@ -133,39 +133,39 @@
     return startedAt + this.attainedWeight * ticket.attainedService;
   }
 
-  private pausesOf(key: string): PauseModel {
-    let model = this.pauses.get(key);
+  private pauseModelOf(key: string): PauseModel {
+    let model = this.pauseModels.get(key);
     if (model === undefined) {
       model = new PauseModel();
-      this.pauses.set(key, model);
+      this.pauseModels.set(key, model);
     }
     return model;
   }
 
-  private holdTime(turn: FinishedTurn, pauseKey: string): number {
+  private holdMilliseconds(turn: FinishedTurn, pauseKey: string): number {
     const { ticket } = turn;
     const horizon = this.holdHorizon;
     if (this.oracle !== undefined) {
       const pause = this.oracle.nextPauseMilliseconds(ticket.program);
       return pause !== undefined && pause < horizon ? pause + 1_000 : 0;
     }
-    return this.pausesOf(pauseKey).bestHold(1, 1 / horizon);
+    return this.pauseModelOf(pauseKey).optimalHoldMilliseconds(1, 1 / horizon);
   }
 
-  private returnExpired(pool: PoolView, now: number): void {
-    for (const parked of [...this.parkedCalls.values()]) {
-      if (parked.until > now) {
+  private requeueExpiredWaits(pool: PoolView, now: number): void {
+    for (const wait of [...this.affinityWaits.values()]) {
+      if (wait.expiresAt > now) {
         continue;
       }
-      this.unpark(pool, parked);
-      this.queue.add(parked.ranked);
+      this.cancelAffinityWait(pool, wait);
+      this.queue.add(wait.ranked);
     }
   }
 
-  private unpark(pool: PoolView, parked: ParkedTicket): void {
-    const { ticket } = parked.ranked;
-    this.parkedCalls.delete(ticket.call);
-    this.refund(pool, ticket, parked.charged);
+  private cancelAffinityWait(pool: PoolView, wait: AffinityWait): void {
+    const { ticket } = wait.ranked;
+    this.affinityWaits.delete(ticket.call);
+    this.refund(pool, ticket, wait.charged);
   }
 
   private refund(pool: PoolView, ticket: CallTicket, charged: number): void {
@@ -174,44 +174,48 @@
   }
 
   /** Keeps a call that no engine's memory takes, in the order of rank. */
-  private block(ranked: RankedTicket): void {
-    this.blocked.push(ranked);
-    this.blockedCalls.set(ranked.ticket.call, ranked);
+  private blockOnMemory(ranked: RankedTicket): void {
+    this.memoryBlocked.push(ranked);
+    this.memoryBlockedCalls.set(ranked.ticket.call, ranked);
   }
 
   private chooseBlocked(pool: PoolView): Placement | undefined {
-    for (let head = this.blocked.peek(); head !== undefined; head = this.blocked.peek()) {
+    for (
+      let head = this.memoryBlocked.peek();
+      head !== undefined;
+      head = this.memoryBlocked.peek()
+    ) {
       const { ticket } = head;
-      if (this.blockedCalls.get(ticket.call) !== head) {
-        this.blocked.pop();
+      if (this.memoryBlockedCalls.get(ticket.call) !== head) {
+        this.memoryBlocked.pop();
         continue;
       }
-      const choice = chooseEngine(pool, ticket, (engine) => this.parkedOn(engine));
+      const choice = chooseEngine(pool, ticket, (engine) => this.affinityQueueLength(engine));
       if (choice === undefined || choice.waitMilliseconds > 0) {
         return undefined;
       }
-      this.blocked.pop();
-      this.blockedCalls.delete(ticket.call);
+      this.memoryBlocked.pop();
+      this.memoryBlockedCalls.delete(ticket.call);
       this.chargeEstimate(pool, ticket);
       return { ticket, engine: choice.engine };
     }
     return undefined;
   }
 
-  private chooseParked(pool: PoolView): Placement | undefined {
-    for (const [name, parked] of this.parked) {
+  private chooseAffinity(pool: PoolView): Placement | undefined {
+    for (const [name, queue] of this.affinityQueues) {
       const engine = pool.engineByName.get(name);
-      for (let head = parked.peek(); head !== undefined; head = parked.peek()) {
+      for (let head = queue.peek(); head !== undefined; head = queue.peek()) {
         const { ticket } = head.ranked;
-        if (this.parkedCalls.get(ticket.call) !== head) {
-          parked.pop();
+        if (this.affinityWaits.get(ticket.call) !== head) {
+          queue.pop();
           continue;
         }
-        if (engine === undefined || !isStartable(pool, engine, ticket)) {
+        if (engine === undefined || !canStart(pool, engine, ticket)) {
           break;
         }
-        parked.pop();
-        this.parkedCalls.delete(ticket.call);
+        queue.pop();
+        this.affinityWaits.delete(ticket.call);
         return { ticket, engine };
       }
     }
@@ -225,43 +229,45 @@
         return undefined;
       }
       const charged = this.chargeEstimate(pool, ranked.ticket);
-      const choice = chooseEngine(pool, ranked.ticket, (engine) => this.parkedOn(engine));
+      const choice = chooseEngine(pool, ranked.ticket, (engine) =>
+        this.affinityQueueLength(engine),
+      );
       if (choice === undefined) {
         this.refund(pool, ranked.ticket, charged);
-        this.block(ranked);
+        this.blockOnMemory(ranked);
         continue;
       }
       if (choice.waitMilliseconds === 0) {
         return { ticket: ranked.ticket, engine: choice.engine };
       }
-      const patience = Math.min(choice.waitMilliseconds * 2, LONGEST_PARKING_MILLISECONDS);
-      this.park(choice.engine, { ranked, charged, until: now + patience });
+      const maximumWait = Math.min(choice.waitMilliseconds * 2, MAXIMUM_AFFINITY_WAIT_MILLISECONDS);
+      this.waitForEngine(choice.engine, { ranked, charged, expiresAt: now + maximumWait });
     }
     return undefined;
   }
 
   private chargeEstimate(pool: PoolView, ticket: CallTicket): number {
-    const uncached = uncachedTokens(pool, ticket);
+    const uncached = minimumUncachedTokens(pool, ticket);
     const cost = pool.costs.serviceMilliseconds(uncached, ticket.maximumTokens, 0);
     this.charges.set(ticket.call, cost);
     this.queue.charge(ticket.group, cost, pool.shareOf(ticket.group));
     return cost;
   }
 
-  private park(engine: EngineView, parked: ParkedTicket): void {
-    let queue = this.parked.get(engine.engine);
+  private waitForEngine(engine: EngineView, wait: AffinityWait): void {
+    let queue = this.affinityQueues.get(engine.engine);
     if (queue === undefined) {
-      queue = new TinyQueue<ParkedTicket>(
+      queue = new TinyQueue<AffinityWait>(
         [],
         (left, right) => left.ranked.rank - right.ranked.rank,
       );
-      this.parked.set(engine.engine, queue);
+      this.affinityQueues.set(engine.engine, queue);
     }
-    queue.push(parked);
-    this.parkedCalls.set(parked.ranked.ticket.call, parked);
+    queue.push(wait);
+    this.affinityWaits.set(wait.ranked.ticket.call, wait);
   }
 
-  private parkedOn(engine: EngineView): number {
-    return this.parked.get(engine.engine)?.length ?? 0;
+  private affinityQueueLength(engine: EngineView): number {
+    return this.affinityQueues.get(engine.engine)?.length ?? 0;
   }
 }
--- a/src/scheduling/policies/least-loaded-fifo.ts
+++ b/src/scheduling/policies/least-loaded-fifo.ts
@@ -1,6 +1,6 @@
 /** Baseline: calls in order of arrival, each to the back end with the fewest running calls. */
 import type { CallTicket } from '../../wire/messages.js';
-import { FirstComeQueue } from '../first-come-queue.js';
+import { FifoQueue } from '../fifo-queue.js';
 import type {
   EngineView,
   HoldDecision,
@@ -13,7 +13,7 @@
 export class LeastLoadedPolicy implements SchedulingPolicy {
   readonly name = 'least-loaded-fifo';
   readonly releasesMemory = false;
-  private readonly queue = new FirstComeQueue();
+  private readonly queue = new FifoQueue();
 
   enqueue(ticket: CallTicket): void {
     this.queue.add(ticket);
@@ -24,7 +24,7 @@
   }
 
   choose(pool: PoolView): Placement | undefined {
-    const ticket = this.queue.first();
+    const ticket = this.queue.peek();
     if (ticket === undefined) {
       return undefined;
     }
--- a/src/scheduling/policies/round-robin-fifo.ts
+++ b/src/scheduling/policies/round-robin-fifo.ts
@@ -1,13 +1,13 @@
 /** Baseline: calls in order of arrival, back ends in turn. */
 import type { CallTicket } from '../../wire/messages.js';
-import { FirstComeQueue } from '../first-come-queue.js';
+import { FifoQueue } from '../fifo-queue.js';
 import type { HoldDecision, Placement, PoolView, SchedulingPolicy } from '../pool-view.js';
 
 /** Round robin over back ends with a free place. */
 export class RoundRobinPolicy implements SchedulingPolicy {
   readonly name = 'round-robin-fifo';
   readonly releasesMemory = false;
-  private readonly queue = new FirstComeQueue();
+  private readonly queue = new FifoQueue();
   private next = 0;
 
   enqueue(ticket: CallTicket): void {
@@ -19,7 +19,7 @@
   }
 
   choose(pool: PoolView): Placement | undefined {
-    const ticket = this.queue.first();
+    const ticket = this.queue.peek();
     if (ticket === undefined) {
       return undefined;
     }
--- a/src/scheduling/recursive-least-squares.ts
+++ b/src/scheduling/recursive-least-squares.ts
@@ -6,23 +6,23 @@
 
   /**
    * @param coefficients first guesses, changed in place as the fit goes on
-   * @param trust variance of each first guess: smaller is trusted longer
-   * @param forgetting weight of the past after one more observation, below 1
+   * @param initialVariances variance of each first guess: smaller is trusted longer
+   * @param forgettingFactor weight of the past after one more observation, below 1
    */
   constructor(
     readonly coefficients: number[],
-    trust: readonly number[],
-    private readonly forgetting: number,
+    initialVariances: readonly number[],
+    private readonly forgettingFactor: number,
   ) {
-    this.covariance = trust.map((variance, row) =>
-      trust.map((_unused, column) => (row === column ? variance : 0)),
+    this.covariance = initialVariances.map((variance, row) =>
+      initialVariances.map((_unused, column) => (row === column ? variance : 0)),
     );
   }
 
   /** Learns from one observation; one from which no finite fit follows is passed over. */
   observe(features: readonly number[], value: number): void {
     const gain = this.covariance.map((row) => dot(row, features));
-    const scale = this.forgetting + dot(features, gain);
+    const scale = this.forgettingFactor + dot(features, gain);
     const error = value - dot(this.coefficients, features);
     const coefficients = this.coefficients.map(
       (coefficient, row) => coefficient + (gain[row]! / scale) * error,
@@ -31,7 +31,7 @@
       variances.map((variance, column) => {
         const reduced = variance - (gain[row]! * gain[column]!) / scale;
         // The bound keeps a direction that is never observed from growing without end.
-        return Math.min(1, reduced / this.forgetting);
+        return Math.min(1, reduced / this.forgettingFactor);
       }),
     );
     if (![...coefficients, ...covariance.flat()].every(Number.isFinite)) {
--- a/src/scheduling/waiting-queue.ts
+++ b/src/scheduling/waiting-queue.ts
@@ -21,7 +21,7 @@
   readonly tickets: TinyQueue<RankedTicket>;
 }
 
-interface GroupTurn {
+interface GroupHeapEntry {
   readonly queue: GroupQueue;
   readonly virtualTime: number;
 }
@@ -33,26 +33,26 @@
   batch: 120_000,
 };
 /** At most one call in this many is served ahead of its class for having waited too long. */
-const STARVATION_RESERVE = 8;
+const CALLS_PER_STARVED_CALL = 8;
 /** Most service, in cost units, that a group which was idle may catch up on. */
-const LARGEST_LAG = 20_000;
+const MAXIMUM_LAG = 20_000;
 
 /** The queue of one pool. */
 export class WaitingQueue {
-  private readonly live = new Map<CallId, RankedTicket>();
+  private readonly waitingByCall = new Map<CallId, RankedTicket>();
   private readonly virtualTimes = new Map<GroupName, number>();
   private readonly groups = new Map<CallClass, Map<GroupName, GroupQueue>>();
-  private readonly turns = new Map<CallClass, TinyQueue<GroupTurn>>();
+  private readonly groupHeaps = new Map<CallClass, TinyQueue<GroupHeapEntry>>();
   private readonly arrivals = new Map<CallClass, RankedTicket[]>();
   private systemVirtualTime = 0;
-  private servedSinceReserve = 0;
+  private servedSinceStarved = 0;
 
   constructor() {
     for (const callClass of CALL_CLASSES) {
       this.groups.set(callClass, new Map());
-      this.turns.set(
+      this.groupHeaps.set(
         callClass,
-        new TinyQueue<GroupTurn>([], (left, right) => left.virtualTime - right.virtualTime),
+        new TinyQueue<GroupHeapEntry>([], (left, right) => left.virtualTime - right.virtualTime),
       );
       this.arrivals.set(callClass, []);
     }
@@ -60,13 +60,13 @@
 
   /** Number of waiting calls. */
   get size(): number {
-    return this.live.size;
+    return this.waitingByCall.size;
   }
 
   /** Adds a call. */
   add(ranked: RankedTicket): void {
     const { ticket } = ranked;
-    this.live.set(ticket.call, ranked);
+    this.waitingByCall.set(ticket.call, ranked);
     const groups = this.groups.get(ticket.callClass)!;
     let queue = groups.get(ticket.group);
     if (queue === undefined) {
@@ -80,13 +80,13 @@
     queue.tickets.push(ranked);
     this.arrivals.get(ticket.callClass)!.push(ranked);
     if (wasEmpty) {
-      this.scheduleTurn(ticket.callClass, queue);
+      this.scheduleGroup(ticket.callClass, queue);
     }
   }
 
   /** Removes a call, wherever it is. */
   remove(call: CallId): void {
-    this.live.delete(call);
+    this.waitingByCall.delete(call);
   }
 
   /** Takes the call to be served next. */
@@ -98,7 +98,7 @@
     for (const callClass of CALL_CLASSES) {
       const taken = this.takeFromClass(callClass);
       if (taken !== undefined) {
-        this.servedSinceReserve += 1;
+        this.servedSinceStarved += 1;
         return taken;
       }
     }
@@ -107,7 +107,7 @@
 
   /** Charges a group for service it was given; a negative cost gives back an overestimate. */
   charge(group: GroupName, cost: number, share: number): void {
-    const start = Math.max(this.virtualTimeOf(group), this.systemVirtualTime - LARGEST_LAG);
+    const start = Math.max(this.virtualTimeOf(group), this.systemVirtualTime - MAXIMUM_LAG);
     this.virtualTimes.set(group, start + cost / Math.max(share, 0.001));
   }
 
@@ -116,32 +116,32 @@
     return this.virtualTimes.get(group) ?? this.systemVirtualTime;
   }
 
-  private scheduleTurn(callClass: CallClass, queue: GroupQueue): void {
-    const floor = this.systemVirtualTime - LARGEST_LAG;
+  private scheduleGroup(callClass: CallClass, queue: GroupQueue): void {
+    const floor = this.systemVirtualTime - MAXIMUM_LAG;
     const virtualTime = Math.max(this.virtualTimeOf(queue.group), floor);
     this.virtualTimes.set(queue.group, virtualTime);
-    this.turns.get(callClass)!.push({ queue, virtualTime });
+    this.groupHeaps.get(callClass)!.push({ queue, virtualTime });
   }
 
   private takeFromClass(callClass: CallClass): RankedTicket | undefined {
-    const turns = this.turns.get(callClass)!;
-    for (let turn = turns.pop(); turn !== undefined; turn = turns.pop()) {
-      const { queue } = turn;
+    const heap = this.groupHeaps.get(callClass)!;
+    for (let entry = heap.pop(); entry !== undefined; entry = heap.pop()) {
+      const { queue } = entry;
       this.dropRemoved(queue);
       if (queue.tickets.length === 0) {
         continue;
       }
       const current = this.virtualTimeOf(queue.group);
-      if (current > turn.virtualTime) {
+      if (current > entry.virtualTime) {
         // The group was charged since its turn was set: it goes back to its proper place.
-        turns.push({ queue, virtualTime: current });
+        heap.push({ queue, virtualTime: current });
         continue;
       }
       const taken = queue.tickets.pop()!;
-      this.live.delete(taken.ticket.call);
-      this.systemVirtualTime = Math.max(this.systemVirtualTime, turn.virtualTime);
+      this.waitingByCall.delete(taken.ticket.call);
+      this.systemVirtualTime = Math.max(this.systemVirtualTime, entry.virtualTime);
       if (queue.tickets.length > 0) {
-        turns.push({ queue, virtualTime: current });
+        heap.push({ queue, virtualTime: current });
       }
       return taken;
     }
@@ -150,7 +150,7 @@
 
   private dropRemoved(queue: GroupQueue): void {
     for (let head = queue.tickets.peek(); head !== undefined; head = queue.tickets.peek()) {
-      if (this.live.get(head.ticket.call) === head) {
+      if (this.waitingByCall.get(head.ticket.call) === head) {
         return;
       }
       queue.tickets.pop();
@@ -158,14 +158,14 @@
   }
 
   private takeStarving(now: number): RankedTicket | undefined {
-    if (this.servedSinceReserve < STARVATION_RESERVE) {
+    if (this.servedSinceStarved < CALLS_PER_STARVED_CALL) {
       return undefined;
     }
     for (const callClass of CALL_CLASSES) {
       const oldest = this.oldestOf(callClass);
       if (oldest !== undefined && now - oldest.enqueuedAt > STARVATION_MILLISECONDS[callClass]) {
-        this.live.delete(oldest.ticket.call);
-        this.servedSinceReserve = 0;
+        this.waitingByCall.delete(oldest.ticket.call);
+        this.servedSinceStarved = 0;
         return oldest;
       }
     }
@@ -174,16 +174,16 @@
 
   private oldestOf(callClass: CallClass): RankedTicket | undefined {
     const arrivals = this.arrivals.get(callClass)!;
-    let gone = 0;
-    while (gone < arrivals.length) {
-      const ranked = arrivals[gone]!;
-      if (this.live.get(ranked.ticket.call) === ranked) {
+    let removedCount = 0;
+    while (removedCount < arrivals.length) {
+      const ranked = arrivals[removedCount]!;
+      if (this.waitingByCall.get(ranked.ticket.call) === ranked) {
         break;
       }
-      gone += 1;
+      removedCount += 1;
     }
     // Removing from the front in one step keeps the cost per call constant.
-    arrivals.splice(0, gone);
+    arrivals.splice(0, removedCount);
     return arrivals[0];
   }
 }
--- a/src/simulation/simulated-back-ends.ts
+++ b/src/simulation/simulated-back-ends.ts
@@ -5,10 +5,10 @@
 import type {
   BackEndEvent,
   BackEndListener,
-  BackEndOrder,
+  BackEndRequest,
   BackEndPort,
   BackEndReport,
-  CancelOrder,
+  CancelRequest,
   Fence,
 } from '../platform/back-end-port.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -30,7 +30,7 @@
 export class SimulatedBackEnds implements BackEndPort {
   constructor(private readonly options: SimulatedBackEndsOptions) {}
 
-  start(engine: EngineId, order: BackEndOrder, listener: BackEndListener): CancelOrder {
+  start(engine: EngineId, order: BackEndRequest, listener: BackEndListener): CancelRequest {
     return this.openStream(
       engine,
       order.call,
@@ -40,7 +40,7 @@
     );
   }
 
-  resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelOrder {
+  resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelRequest {
     return this.openStream(
       engine,
       call,
@@ -90,7 +90,7 @@
     refusedVerdict: 'NotRun' | 'MayHaveRun',
     open: (backEnd: EmulatedBackEnd, back: BackEndListener) => void,
     listener: BackEndListener,
-  ): CancelOrder {
+  ): CancelRequest {
     const { network, end, runtime } = this.options;
     let over = false;
     const answers: ConnectionOrder = { lastArrival: 0 };
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -81,7 +81,7 @@
   gauges.revision.set(node.configuration.current.revision);
   gauges.waiting.set(schedulers.reduce((sum, scheduler) => sum + scheduler.waitingCount, 0));
   for (const roles of led) {
-    for (const call of roles.owner.listLive()) {
+    for (const call of roles.owner.listLiveCalls()) {
       const { group, callClass } = call.request;
       gauges.calls.inc({ group, class: callClass, state: call.phase });
     }
