--- a/features/steps/completeness.steps.ts
+++ b/features/steps/completeness.steps.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { AcknowledgementModel } from '../support/acknowledgement-model.js';
-import type { PlantedMistake } from '../support/acknowledgement-model.js';
+import type { InjectedFault } from '../support/acknowledgement-model.js';
 import { createRandom } from '../../src/runtime/random.js';
 import type { Runtime } from '../../src/runtime/runtime.js';
 import { SimulatedProcess } from '../../src/simulation/simulated-process.js';
 import { SimulatedReplicas } from '../../src/simulation/simulated-replicas.js';
 import { VirtualClock } from '../../src/simulation/virtual-clock.js';
 import { MemberDirectory } from '../../src/turns/member-directory.js';
-import { MembershipKeeper } from '../../src/turns/membership-keeper.js';
+import { MembershipController } from '../../src/turns/membership-controller.js';
 import type { MembershipStore, StoredRecord } from '../../src/turns/membership-store.js';
 import { encodeMemberRecord } from '../../src/turns/membership.js';
 import type { Member, MemberRecord } from '../../src/turns/membership.js';
@@ -25,17 +25,17 @@
 const timings = membershipTimingsFor(DEFAULT_CATCH_UP_MILLISECONDS);
 
 /** Times each step of the rule is to have been taken over all seeds, so that a pass means something. */
-const LEAST_STEPS = 1_000;
+const MINIMUM_STEPS = 1_000;
 const WRITE_MILLISECONDS = 5;
 /** Longer than a replica takes to see a change of the stored record. */
-const UNTIL_KNOWN_MILLISECONDS = 600;
+const RECORD_PROPAGATION_MILLISECONDS = 600;
 /** Latest start of a machine after the one before it, in milliseconds. */
-const LATEST_START_MILLISECONDS = 300;
-const RESERVE_MILLISECONDS = 700;
+const MAXIMUM_START_DELAY_MILLISECONDS = 300;
+const RESERVE_TIMEOUT_MILLISECONDS = 700;
 const NAMES = ['m1', 'm2', 'm3'];
 
 /** Three replicas that were started at moments drawn from a seed, and again without power and a disk. */
-interface PlayedStart {
+interface StartRun {
   readonly seed: number;
   readonly clock: VirtualClock;
   readonly replicas: SimulatedReplicas;
@@ -49,8 +49,8 @@
   replicas?: SimulatedReplicas;
   seeds?: readonly number[];
   writeMilliseconds?: number;
-  starts?: readonly PlayedStart[];
-  lone?: LoneReplica;
+  starts?: readonly StartRun[];
+  isolatedReplica?: IsolatedReplica;
 }
 
 Given(
@@ -73,7 +73,7 @@
       const moments = createRandom(seed, 'starts');
       for (const name of NAMES) {
         replicas.add(name, name);
-        clock.runUntil(clock.now + moments.uniform() * LATEST_START_MILLISECONDS);
+        clock.runUntil(clock.now + moments.uniform() * MAXIMUM_START_DELAY_MILLISECONDS);
       }
       clock.runUntil(clock.now + milliseconds);
       const completeBefore = replicas.activeNames().length;
@@ -99,7 +99,7 @@
 );
 
 /** One replica before a store that shows it records as a test says. */
-class LoneReplica {
+class IsolatedReplica {
   private readonly clock = new VirtualClock();
   private readonly process = new SimulatedProcess('a', this.clock, createRandom(1));
   private stored: StoredRecord = { tag: 'Unknown' };
@@ -133,7 +133,7 @@
       replica.restore({ tag: 'meta', meta: this.meta });
     }
     replica.endRestore();
-    const caller: ReplicaCaller = { call: () => undefined, tell: () => undefined };
+    const caller: ReplicaCaller = { call: () => undefined, notify: () => undefined };
     const sync = new ReplicaSync({
       id,
       runtime,
@@ -150,7 +150,7 @@
       reportRetirement: () => undefined,
     };
     const keeper = { self: memberOf(id), runtime, replica, sync, directory, store };
-    new MembershipKeeper({ ...keeper, wantedMembers: 3, timings });
+    new MembershipController({ ...keeper, wantedMembers: 3, timings });
     return replica;
   }
 
@@ -180,42 +180,42 @@
 Given(
   'a replica that becomes complete while a newer record of the members arrives',
   function (this: World) {
-    this.lone = new LoneReplica();
-    this.lone.directory.offer(recordOf(2, 'a b'), 'test');
-    this.lone.wait(100);
-    this.lone.replica.becomeReady('test');
-    this.lone.wait(WRITE_MILLISECONDS / 2);
-    this.lone.directory.offer(recordOf(3, 'a b c'), 'test');
-    this.lone.wait(100);
-    assert.equal(this.lone.replica.ready, true);
+    this.isolatedReplica = new IsolatedReplica();
+    this.isolatedReplica.directory.offer(recordOf(2, 'a b'), 'test');
+    this.isolatedReplica.wait(100);
+    this.isolatedReplica.replica.markReady('test');
+    this.isolatedReplica.wait(WRITE_MILLISECONDS / 2);
+    this.isolatedReplica.directory.offer(recordOf(3, 'a b c'), 'test');
+    this.isolatedReplica.wait(100);
+    assert.equal(this.isolatedReplica.replica.ready, true);
   },
 );
 
 Given('a complete replica that is a member', function (this: World) {
-  this.lone = new LoneReplica();
-  this.lone.directory.offer(recordOf(4, 'a b c'), 'test');
-  this.lone.replica.becomeReady('test');
-  this.lone.wait(100);
+  this.isolatedReplica = new IsolatedReplica();
+  this.isolatedReplica.directory.offer(recordOf(4, 'a b c'), 'test');
+  this.isolatedReplica.replica.markReady('test');
+  this.isolatedReplica.wait(100);
 });
 
 When('its process dies and starts again', function (this: World) {
-  this.lone!.restart();
+  this.isolatedReplica!.restart();
 });
 
 When('the store shows it the record from before it joined', function (this: World) {
-  this.lone!.show(recordOf(3, 'b c'));
+  this.isolatedReplica!.show(recordOf(3, 'b c'));
 });
 
 When('the store shows it a newer record without it', function (this: World) {
-  this.lone!.show(recordOf(5, 'b c'));
+  this.isolatedReplica!.show(recordOf(5, 'b c'));
 });
 
 Then('it is complete', function (this: World) {
-  assert.equal(this.lone!.replica.ready, true);
+  assert.equal(this.isolatedReplica!.replica.ready, true);
 });
 
 Then('it is not complete', function (this: World) {
-  assert.equal(this.lone!.replica.ready, false);
+  assert.equal(this.isolatedReplica!.replica.ready, false);
 });
 
 When(
@@ -233,7 +233,7 @@
     const active = replicas!.activeNames();
     const fresh = replicas!.namedMembers().find((each) => !active.includes(each))!;
     replicas!.pause(fresh);
-    clock!.runUntil(clock!.now + UNTIL_KNOWN_MILLISECONDS);
+    clock!.runUntil(clock!.now + RECORD_PROPAGATION_MILLISECONDS);
     const [lost] = active;
     const names = replicas!.runningNames();
     names.forEach((each) => replicas!.kill(each));
@@ -244,14 +244,14 @@
 
 When(
   'the rule is played by itself with seeds {int} to {int} and the mistake {string}',
-  function (this: World, first: number, last: number, mistake: PlantedMistake) {
+  function (this: World, first: number, last: number, mistake: InjectedFault) {
     this.missing = [];
     this.steps = {};
     for (let seed = first; seed <= last; seed += 1) {
       const model = new AcknowledgementModel(createRandom(seed, 'rule'), mistake);
       const missing = model.run();
       this.missing.push(...(missing === undefined ? [] : [`seed ${seed}: ${missing}`]));
-      for (const [kind, count] of Object.entries(model.done)) {
+      for (const [kind, count] of Object.entries(model.effectiveSteps)) {
         this.steps[kind] = (this.steps[kind] ?? 0) + count;
       }
     }
@@ -261,7 +261,7 @@
 Then('writes are never missing', function (this: World) {
   assert.deepEqual(this.missing, []);
   for (const kind of ['write', 'join', 'complete', 'loseDisk', 'leave', 'remove']) {
-    assert.ok((this.steps![kind] ?? 0) >= LEAST_STEPS, `${kind}: ${this.steps![kind]}`);
+    assert.ok((this.steps![kind] ?? 0) >= MINIMUM_STEPS, `${kind}: ${this.steps![kind]}`);
   }
 });
 
@@ -288,10 +288,10 @@
     const { client } = replicas!.client('g', 'z1', knownTo);
     const request = { program: 'p', turn: 't', mostTokens: 1, budgetTokens: 1 };
     let outcome = 'none';
-    client.reserve(request, RESERVE_MILLISECONDS, (ended) => {
+    client.reserve(request, RESERVE_TIMEOUT_MILLISECONDS, (ended) => {
       outcome = ended;
     });
-    clock!.runUntil(clock!.now + RESERVE_MILLISECONDS);
+    clock!.runUntil(clock!.now + RESERVE_TIMEOUT_MILLISECONDS);
     assert.equal(outcome, 'granted');
   },
 );
--- a/features/steps/disk.steps.ts
+++ b/features/steps/disk.steps.ts
@@ -16,8 +16,8 @@
 const MEGABYTE = 1024 * 1024;
 const TURN_MEGABYTES = 2;
 /** Long after the start: a replica that has just begun compacts nothing. */
-const SETTLED_MILLISECONDS = 60_000;
-const PATIENCE_MILLISECONDS = 10_000;
+const AFTER_COMPACTION_GRACE_MILLISECONDS = 60_000;
+const TIMEOUT_MILLISECONDS = 10_000;
 
 interface World {
   folder?: string;
@@ -69,7 +69,7 @@
 }
 
 async function until(condition: () => boolean): Promise<void> {
-  const end = Date.now() + PATIENCE_MILLISECONDS;
+  const end = Date.now() + TIMEOUT_MILLISECONDS;
   while (!condition() && Date.now() < end) {
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
@@ -100,7 +100,7 @@
     }
     this.storage = storage;
     this.live = live;
-    this.now = SETTLED_MILLISECONDS;
+    this.now = AFTER_COMPACTION_GRACE_MILLISECONDS;
   },
 );
 
--- a/features/steps/members.steps.ts
+++ b/features/steps/members.steps.ts
@@ -5,9 +5,9 @@
 import { decideMembership } from '../../src/turns/decide-membership.js';
 import type { MembershipAction } from '../../src/turns/decide-membership.js';
 import {
-  LEAST_MEMBERS,
+  MINIMUM_MEMBERS,
   majorityOf,
-  membersToBear,
+  membersToTolerate,
   withMember,
 } from '../../src/turns/membership.js';
 import type { Member, MemberRecord } from '../../src/turns/membership.js';
@@ -62,7 +62,7 @@
   'a majority of the members named for some losses outlives them and stays a majority',
   function () {
     for (let losses = 0; losses <= 20; losses += 1) {
-      const count = membersToBear(losses);
+      const count = membersToTolerate(losses);
       const majority = majorityOf(recordOf(count));
       assert.ok(majority > losses, 'all that hold a write may be lost');
       assert.ok(count - losses >= majority, 'no majority is left');
@@ -72,8 +72,8 @@
 
 Then('with one member fewer it would not stay one, or too few would be left', function () {
   for (let losses = 0; losses <= 20; losses += 1) {
-    const fewer = membersToBear(losses) - 1;
-    const isTooFew = fewer < LEAST_MEMBERS;
+    const fewer = membersToTolerate(losses) - 1;
+    const isTooFew = fewer < MINIMUM_MEMBERS;
     assert.ok(isTooFew || fewer - losses < majorityOf(recordOf(fewer)));
   }
 });
@@ -97,20 +97,20 @@
 When(
   'members {string} are silent, it is level with {string} and machines {string} are to be emptied',
   function (this: World, silent: string, level: string, retiring: string) {
-    const isSilent = new Set(words(silent));
-    const isLevel = new Set(words(level));
+    const silentIds = new Set(words(silent));
+    const caughtUpIds = new Set(words(level));
     const members = this.members!.map(member);
     this.action = decideMembership({
       self: member(this.self!),
       record: members.length === 0 ? undefined : { epoch: 1, members },
       ready: this.ready!,
-      isLevelWith: (id) => isLevel.has(id),
-      hasRead: (id) => isLevel.has(id),
+      isCaughtUpWith: (id) => caughtUpIds.has(id),
+      hasRead: (id) => caughtUpIds.has(id),
       isComplete: () => true,
-      silentMilliseconds: (id) => (isSilent.has(id) ? TIMINGS.removalMilliseconds : 0),
+      silentMilliseconds: (id) => (silentIds.has(id) ? TIMINGS.removalMilliseconds : 0),
       retiringNodes: new Set(words(retiring)),
       wantedMembers: Infinity,
-      presentMembers: members.length - isSilent.size,
+      presentMembers: members.length - silentIds.size,
       vacantMilliseconds: 0,
       timings: TIMINGS,
     });
@@ -129,7 +129,7 @@
       self: { ...member(this.self!), zone: 'z1' },
       record: { epoch: 1, members },
       ready: false,
-      isLevelWith: () => true,
+      isCaughtUpWith: () => true,
       hasRead: () => true,
       isComplete: () => true,
       silentMilliseconds: () => 0,
--- a/features/steps/older-replica.steps.ts
+++ b/features/steps/older-replica.steps.ts
@@ -12,11 +12,11 @@
 import {
   decodeReplicaMessage,
   encodeReplicaMessage,
-  REPLICA_KINDS,
+  REPLICA_MESSAGE_KINDS,
 } from '../../src/turns/messages.js';
 import type { ChainState, ReplicaReply } from '../../src/turns/messages.js';
 import type { ReplicaCaller, UnnumberedRequest } from '../../src/turns/replica-caller.js';
-import { encodeOwnKinds } from '../../src/turns/replica-forms.js';
+import { encodeKindCount } from '../../src/turns/protocol-negotiation.js';
 import { Replica } from '../../src/turns/replica.js';
 import { ReplicaSync } from '../../src/turns/replica-sync.js';
 import { membershipTimingsFor } from '../../src/turns/membership-timings.js';
@@ -45,7 +45,7 @@
   olderCaller?: TcpReplicaCaller;
   olderMember: Member;
   /** Names of the kinds in which chains were asked for on the first connection. */
-  askedForms: string[];
+  requestedKinds: string[];
   otherReply?: ReplicaReply | undefined;
   servingReplica?: Replica;
   replicaServer?: ReplicaServer;
@@ -72,9 +72,9 @@
 class OlderReplica {
   constructor(
     private readonly world: World,
-    private readonly kinds: number,
-    private readonly tellsKinds: boolean,
-    private readonly says: ChainState,
+    private readonly kindCount: number,
+    private readonly announcesKindCount: boolean,
+    private readonly chainState: ChainState,
   ) {}
 
   serve(socket: Socket): void {
@@ -85,7 +85,7 @@
     socket.on('error', () => undefined);
     socket.on('data', (chunk: Buffer) => {
       for (const content of reader.push(chunk)) {
-        if (content[0]! >= this.kinds) {
+        if (content[0]! >= this.kindCount) {
           socket.destroy();
           return;
         }
@@ -102,10 +102,10 @@
     } else if (message.type === 'chain' || message.type === 'chainUnder') {
       const isProbe = message.turn === '';
       if (isFirst && !isProbe) {
-        this.world.askedForms.push(message.type);
+        this.world.requestedKinds.push(message.type);
       }
-      const body = isProbe && this.tellsKinds ? encodeOwnKinds() : Buffer.alloc(0);
-      const state = isProbe ? 'found' : this.says;
+      const body = isProbe && this.announcesKindCount ? encodeKindCount() : Buffer.alloc(0);
+      const state = isProbe ? 'found' : this.chainState;
       this.send(socket, { type: 'chained', call: message.call, state, body });
     }
   }
@@ -129,7 +129,7 @@
   /^a replica that reads (\d+) kinds, tells (nothing|all) of it and says of chains "(.*)"$/,
   async function (this: World, kinds: string, told: string, says: ChainState) {
     this.olderSockets = [];
-    this.askedForms = [];
+    this.requestedKinds = [];
     this.replies = [];
     const older = new OlderReplica(this, Number(kinds), told === 'all', says);
     const server = createServer((socket) => older.serve(socket));
@@ -165,7 +165,7 @@
   'the answer is {string}, asked for as {string}',
   function (this: World, answer: string, form: string) {
     assert.deepEqual(this.replies, [answer]);
-    assert.deepEqual(this.askedForms, form === 'nothing' ? [] : [form]);
+    assert.deepEqual(this.requestedKinds, form === 'nothing' ? [] : [form]);
   },
 );
 
@@ -201,7 +201,7 @@
     const caller: ReplicaCaller = {
       call: (member, request, _timeout, listener) =>
         void process.setTimer(1, () => listener(answerAsOlder(member, request))),
-      tell: () => undefined,
+      notify: () => undefined,
     };
     const timings = membershipTimingsFor(CATCH_UP_MILLISECONDS);
     this.outsideSync = new ReplicaSync({
@@ -258,8 +258,8 @@
         this.replies.push(`${reply.type} ${'call' in reply ? reply.call : ''}`);
       }
     });
-    const strange = Buffer.from([REPLICA_KINDS.length, 0, 0, 0, 7, 1, 2, 3]);
-    socket.write(encodeFrame(strange));
+    const unknownMessage = Buffer.from([REPLICA_MESSAGE_KINDS.length, 0, 0, 0, 7, 1, 2, 3]);
+    socket.write(encodeFrame(unknownMessage));
     socket.write(encodeFrame(encodeReplicaMessage({ type: 'chain', call: 8, turn: '' })));
     await pause(REPLY_MILLISECONDS);
     socket.destroy();
--- a/features/steps/power-loss.steps.ts
+++ b/features/steps/power-loss.steps.ts
@@ -3,7 +3,7 @@
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import { createRandom } from '../../src/runtime/random.js';
 import type { RandomSource } from '../../src/runtime/random.js';
-import type { KeptTurn } from '../../src/turns/kept-turn.js';
+import type { ConversationTurn } from '../../src/turns/conversation-turn.js';
 import { MemberDirectory } from '../../src/turns/member-directory.js';
 import type { Member, MemberRecord } from '../../src/turns/membership.js';
 import type { ReplicaRequest } from '../../src/turns/messages.js';
@@ -17,17 +17,17 @@
 import { TurnClient } from '../../src/turns/turn-client.js';
 import type { ChainResult } from '../../src/turns/turn-client.js';
 import type { StorageChange } from '../../src/turns/turn-storage.js';
-import { Life, RecordedDisk } from '../support/disk-lives.js';
+import { ProcessRun, RecordedDisk } from '../support/recorded-disk.js';
 
 const timings = membershipTimingsFor(DEFAULT_CATCH_UP_MILLISECONDS);
 
-const ALL_NAMES = 1;
-const DRAWN_NAMES = 0.5;
-const STEPS_A_SEED = 24;
-const CALL_MILLISECONDS = 700;
-const STEP_MILLISECONDS = 20;
+const LOSE_ALL_NAMES = 1;
+const LOSE_HALF_OF_NAMES = 0.5;
+const STEPS_PER_SEED = 24;
+const CALL_TIMEOUT_MILLISECONDS = 700;
+const POLL_MILLISECONDS = 20;
 /** Longer than a replica waits after its start before it compacts. */
-const SETTLED_MILLISECONDS = 60_000;
+const AFTER_COMPACTION_GRACE_MILLISECONDS = 60_000;
 const REPLICA_NAMES = ['a', 'b', 'c'];
 
 interface World {
@@ -37,13 +37,13 @@
   syncs?: ReplicaSync[];
 }
 
-function keptTurn(id: string): KeptTurn {
+function conversationTurn(id: string): ConversationTurn {
   const text = Buffer.from(`${id}\n`);
   return { id, previous: '', input: text, output: text, retentionMilliseconds: 600_000 };
 }
 
 function turnChange(id: string): StorageChange {
-  return { tag: 'turn', turn: { turn: keptTurn(id), storedAt: Date.now() } };
+  return { tag: 'turn', turn: { turn: conversationTurn(id), storedAt: Date.now() } };
 }
 
 After(async function (this: World) {
@@ -69,7 +69,7 @@
 );
 
 When('power is lost with every name that was not synced', function (this: World) {
-  return this.disks![0]!.losePower(createRandom(1), ALL_NAMES);
+  return this.disks![0]!.losePower(createRandom(1), LOSE_ALL_NAMES);
 });
 
 Then(
@@ -83,13 +83,13 @@
 );
 
 /** What one seed draws of lives, writes and losses. */
-async function playDisk(disk: RecordedDisk, random: RandomSource): Promise<string[]> {
+async function runRandomDisk(disk: RecordedDisk, random: RandomSource): Promise<string[]> {
   const missing: string[] = [];
   const acknowledged: string[] = [];
-  let life = await disk.start();
+  let run = await disk.start();
   disk.storage.useLiveChanges(() => liveChanges(acknowledged));
   await disk.write([{ tag: 'meta', meta: { ready: true, members: '' } }]);
-  for (let step = 0; step < STEPS_A_SEED; step += 1) {
+  for (let step = 0; step < STEPS_PER_SEED; step += 1) {
     const drawn = random.uniform();
     if (drawn < 0.6) {
       const id = `t${step}`;
@@ -99,11 +99,11 @@
     }
     if (drawn < 0.7) {
       // Enough lives make a compaction due; it begins with the next write, and may be cut off.
-      life.skipped = SETTLED_MILLISECONDS;
+      run.skippedMilliseconds = AFTER_COMPACTION_GRACE_MILLISECONDS;
       continue;
     }
-    await (drawn < 0.85 ? disk.losePower(random, DRAWN_NAMES) : disk.stop());
-    life = await disk.start();
+    await (drawn < 0.85 ? disk.losePower(random, LOSE_HALF_OF_NAMES) : disk.stop());
+    run = await disk.start();
     disk.storage.useLiveChanges(() => liveChanges(acknowledged));
     const { foundTurns } = disk;
     missing.push(...acknowledged.filter((id) => !foundTurns.has(id)));
@@ -126,7 +126,7 @@
     for (let seed = first; seed <= last; seed += 1) {
       const disk = new RecordedDisk();
       try {
-        const missing = await playDisk(disk, createRandom(seed, 'disk'));
+        const missing = await runRandomDisk(disk, createRandom(seed, 'disk'));
         this.acknowledged.push(...missing.map((what) => `seed ${seed}: ${what}`));
       } finally {
         await disk.remove();
@@ -160,7 +160,7 @@
         }
       });
     },
-    tell: () => undefined,
+    notify: () => undefined,
   };
 }
 
@@ -185,7 +185,7 @@
 }
 
 function clientOf(world: World): TurnClient {
-  const { runtime } = new Life();
+  const { runtime } = new ProcessRun();
   const directory = new MemberDirectory(runtime);
   directory.offer(RECORD, 'test');
   return new TurnClient({ runtime, directory, caller: callerOf(world), zone: 'a' });
@@ -201,13 +201,13 @@
     this.disks = REPLICA_NAMES.map(() => new RecordedDisk());
     await startReplicas(this);
     for (const replica of this.diskReplicas!.values()) {
-      await new Promise<void>((resolve) => replica.becomeReady('first start', resolve));
+      await new Promise<void>((resolve) => replica.markReady('first start', resolve));
     }
     const client = clientOf(this);
     this.acknowledged = Array.from({ length: count }, (_, index) => `t${index}`);
     for (const id of this.acknowledged) {
       const isKept = await new Promise<boolean>((resolve) =>
-        client.keep(keptTurn(id), CALL_MILLISECONDS, resolve),
+        client.storeTurn(conversationTurn(id), CALL_TIMEOUT_MILLISECONDS, resolve),
       );
       assert.equal(isKept, true);
     }
@@ -222,7 +222,7 @@
     const [lost, ...others] = this.disks!;
     await lost!.loseDisk();
     for (const disk of others) {
-      await disk.losePower(createRandom(1), ALL_NAMES);
+      await disk.losePower(createRandom(1), LOSE_ALL_NAMES);
     }
     await startReplicas(this);
   },
@@ -235,7 +235,7 @@
     assert.ok(completeCount(this) >= 2, `${completeCount(this)} are complete`);
     const until = performance.now() + seconds * 1_000;
     while (completeCount(this) < REPLICA_NAMES.length && performance.now() < until) {
-      await new Promise((resolve) => setTimeout(resolve, STEP_MILLISECONDS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_MILLISECONDS));
     }
     assert.equal(completeCount(this), REPLICA_NAMES.length);
   },
@@ -245,7 +245,7 @@
   const client = clientOf(this);
   for (const id of this.acknowledged!) {
     const chain = await new Promise<ChainResult>((resolve) =>
-      client.readChain(id, CALL_MILLISECONDS, resolve),
+      client.readChain(id, CALL_TIMEOUT_MILLISECONDS, resolve),
     );
     assert.equal(chain.tag, 'found', id);
   }
--- a/features/steps/quotas.steps.ts
+++ b/features/steps/quotas.steps.ts
@@ -25,7 +25,7 @@
 const GATEWAYS = 5;
 const HISTORY_MILLISECONDS = 30_000;
 const READ_MILLISECONDS = 700;
-const LONGEST_DELAY_MILLISECONDS = 3_000;
+const MAXIMUM_DELAY_MILLISECONDS = 3_000;
 
 /** Gateways that ask one another; the first reads the store. Each takes a configuration late or never. */
 class ProofHistory {
@@ -42,7 +42,7 @@
   constructor(
     seed: number,
     /** A planted fault: an answer counts from when it was received. */
-    private readonly believesReceipt: boolean,
+    private readonly trustsReceiptTime: boolean,
   ) {
     this.random = createRandom(seed);
     for (let index = 0; index < GATEWAYS; index += 1) {
@@ -51,8 +51,8 @@
   }
 
   run(): this {
-    this.change();
-    this.freezeSome();
+    this.scheduleChange();
+    this.schedulePauses();
     for (let time = 0; time < HISTORY_MILLISECONDS; time += 50) {
       this.clock.runUntil(time);
       this.check();
@@ -78,18 +78,18 @@
       others.filter((other) => other !== host && this.random.uniform() < 0.5);
     new ProofExchange({ runtime, datagrams, proof, hostsToAsk, isNeeded: () => true });
     if (index === 0) {
-      this.readLater(index);
+      this.scheduleRead(index);
     }
   }
 
   /** The store answers what it holds when it is reached; the reader's time is that of sending. */
-  private readLater(index: number): void {
+  private scheduleRead(index: number): void {
     this.clock.schedule(READ_MILLISECONDS, () => {
       this.processes[index]!.enter(() => {
         const sentAt = this.clock.now;
         this.clock.schedule(this.random.uniform() * 100, () => {
           const revision = this.changedAt.length;
-          this.clock.schedule(this.random.uniform() * LONGEST_DELAY_MILLISECONDS, () =>
+          this.clock.schedule(this.random.uniform() * MAXIMUM_DELAY_MILLISECONDS, () =>
             this.processes[index]!.enter(() => {
               this.revisions[index] = Math.max(this.revisions[index]!, revision);
               this.proofs[index]!.noteRead(sentAt);
@@ -97,7 +97,7 @@
           );
         });
       });
-      this.readLater(index);
+      this.scheduleRead(index);
     });
   }
 
@@ -105,7 +105,7 @@
     const copies = this.random.uniform() < 0.1 ? 2 : this.random.uniform() < 0.1 ? 0 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
       const isLate = this.random.uniform() < 0.2;
-      const delay = this.random.uniform() * (isLate ? LONGEST_DELAY_MILLISECONDS : 10);
+      const delay = this.random.uniform() * (isLate ? MAXIMUM_DELAY_MILLISECONDS : 10);
       this.clock.schedule(delay, () => {
         const target = Number(to.slice(1));
         this.processes[target]!.enter(() => this.deliver(target, bytes, from));
@@ -114,7 +114,7 @@
   }
 
   private deliver(target: number, bytes: Uint8Array, from: string): void {
-    if (!this.believesReceipt) {
+    if (!this.trustsReceiptTime) {
       this.listeners.get(`g${target}`)!(bytes, from);
       return;
     }
@@ -125,7 +125,7 @@
     }
   }
 
-  private change(): void {
+  private scheduleChange(): void {
     this.clock.schedule(this.random.exponential(2_000), () => {
       this.changedAt.push(this.clock.now);
       const revision = this.changedAt.length;
@@ -140,18 +140,18 @@
           );
         }
       }
-      this.change();
+      this.scheduleChange();
     });
   }
 
-  private freezeSome(): void {
+  private schedulePauses(): void {
     this.clock.schedule(this.random.exponential(1_500), () => {
       const process = this.random.pick(this.processes);
       if (!process.isPaused) {
         process.pause();
         this.clock.schedule(this.random.uniform() * 4_000, () => process.resume());
       }
-      this.freezeSome();
+      this.schedulePauses();
     });
   }
 
@@ -182,7 +182,7 @@
 });
 
 /** A gateway's side of the exchange with what it sent; its clock begins at 0, as each process's does. */
-function startAsking(seed: number) {
+function startGateway(seed: number) {
   const clock = new VirtualClock();
   const runtime = new SimulatedProcess('g', clock, createRandom(seed)).begin();
   const proof = new ConfigurationProof(runtime, () => 1);
@@ -209,13 +209,13 @@
 Then(
   'a gateway that was started again takes no answer to what it asked before, and takes those to what it asks now',
   function () {
-    const before = startAsking(1);
+    const before = startGateway(1);
     before.clock.runUntil(450);
-    const other = startAsking(2);
+    const other = startGateway(2);
     other.proof.noteRead(0);
     other.take(before.sent.at(-1)!);
     const late = other.sent.at(-1)!;
-    const again = startAsking(3);
+    const again = startGateway(3);
     again.clock.runUntil(1_000);
     again.take(late);
     assert.equal(again.proof.ageMilliseconds, Infinity);
@@ -271,13 +271,13 @@
   random: RandomSource,
   patienceMilliseconds = 0,
 ): number | undefined {
-  const told = { tenant: 't', version: 1, ...quota };
+  const tenantQuota = { tenant: 't', version: 1, ...quota };
   const first = random.integer(0, members.length - 1);
   const share = 1 / members.length;
   for (const patience of new Set([0, patienceMilliseconds])) {
     for (let index = 0; index < members.length; index += 1) {
       const member = members[(first + index) % members.length]!;
-      const decision = member.take(told, share, beginsRequests, now, patience);
+      const decision = member.take(tenantQuota, share, beginsRequests, now, patience);
       if (decision.granted) {
         return now + decision.waitMilliseconds;
       }
@@ -286,7 +286,7 @@
   return undefined;
 }
 
-const LONGEST_PATIENCE = 600;
+const MAXIMUM_PATIENCE_MILLISECONDS = 600;
 const ALLOWANCE = { overshoot: OVERSHOOT - 1, slack: SLACK };
 
 function fullMembers(): QuotaBuckets[] {
@@ -309,7 +309,7 @@
         for (const gap of drawn) {
           now += gap;
           const isNewProgram = random.uniform() < 0.2;
-          const patience = isNewProgram ? 0 : random.integer(0, LONGEST_PATIENCE);
+          const patience = isNewProgram ? 0 : random.integer(0, MAXIMUM_PATIENCE_MILLISECONDS);
           const quota = { ratePerSecond: rate, burst };
           const runsAt = spendAt(members, quota, isNewProgram ? 5 : 0, now, random, patience);
           if (runsAt !== undefined) {
@@ -358,7 +358,7 @@
   run(programsPerSecond: number, until: number): void {
     while (this.now < until) {
       this.now += this.random.exponential(1_000 / programsPerSecond);
-      this.goOnUntil(this.now);
+      this.sendDueRequests(this.now);
       if (this.spend(true, this.now)) {
         this.add(this.now, REQUESTS_OF_PROGRAM - 1);
       } else {
@@ -374,7 +374,7 @@
     this.refusedUnderWay = 0;
   }
 
-  private goOnUntil(until: number): void {
+  private sendDueRequests(until: number): void {
     for (let next = this.due[0]; next !== undefined && next.at <= until; next = this.due[0]) {
       this.due.shift();
       if (!this.spend(false, next.at)) {
@@ -441,18 +441,18 @@
       load.run((0.9 * 20) / REQUESTS_OF_PROGRAM, 5 * SETTLING_MILLISECONDS);
       return load.refusedUnderWay / (load.granted + load.refusedUnderWay);
     };
-    const [atOnce, held] = [refusedWith(0), refusedWith(LONGEST_PATIENCE)];
+    const [atOnce, held] = [refusedWith(0), refusedWith(MAXIMUM_PATIENCE_MILLISECONDS)];
     assert.ok(atOnce > 0.01 && held < atOnce / 4, `${atOnce} ${held}`);
   },
 );
 
-type Trouble = (world: World) => void;
+type Fault = (world: World) => void;
 
-const TROUBLES: Readonly<Record<string, Trouble>> = {
+const FAULTS: Readonly<Record<string, Fault>> = {
   'nothing is amiss': () => undefined,
   'two members are cut off from the others': ({ replicas }) => {
-    for (const lonely of ['m1', 'm2']) {
-      ['m3', 'm4', 'm5', 'store'].forEach((other) => replicas!.cut(lonely, other));
+    for (const isolated of ['m1', 'm2']) {
+      ['m3', 'm4', 'm5', 'store'].forEach((other) => replicas!.cut(isolated, other));
     }
   },
   'half of the gateways reach just two members': ({ replicas }) => {
@@ -466,7 +466,7 @@
   },
 };
 
-const TROUBLE_AT_MILLISECONDS = 5_000;
+const FAULT_AT_MILLISECONDS = 5_000;
 const LIMIT = 100;
 
 When(
@@ -494,7 +494,7 @@
       clock.schedule(random.exponential(1_000 / Number(rate)), sendNext);
     };
     sendNext();
-    clock.schedule(TROUBLE_AT_MILLISECONDS, () => TROUBLES[trouble]!(this));
+    clock.schedule(FAULT_AT_MILLISECONDS, () => FAULTS[trouble]!(this));
     clock.runUntil(begunAt + 21_000);
     this.grants = grants;
     this.asked = Number(rate) * 20;
@@ -513,8 +513,8 @@
 Then(
   'at least {int} in 100 of what it may have are granted',
   function (this: World, least: number) {
-    const owed = Math.min(this.asked!, LIMIT * 20);
-    const share = (100 * this.grants!.length) / owed;
+    const entitled = Math.min(this.asked!, LIMIT * 20);
+    const share = (100 * this.grants!.length) / entitled;
     assert.ok(share >= least, `${share}`);
   },
 );
--- a/features/steps/reach.steps.ts
+++ b/features/steps/reach.steps.ts
@@ -7,26 +7,26 @@
 import { VirtualClock } from '../../src/simulation/virtual-clock.js';
 import type { Member, MemberRecord } from '../../src/turns/membership.js';
 import type { ReplicaCaller } from '../../src/turns/replica-caller.js';
-import { ReplicaReach } from '../../src/turns/replica-reach.js';
+import { ReplicaReachability } from '../../src/turns/replica-reachability.js';
 import { TurnClient } from '../../src/turns/turn-client.js';
 import type { ReserveOutcome } from '../../src/turns/turn-client.js';
 import { MemberDirectory } from '../../src/turns/member-directory.js';
 
-const ANSWER_MILLISECONDS = 3;
-const RESERVE_MILLISECONDS = 700;
+const REPLY_DELAY_MILLISECONDS = 3;
+const RESERVE_TIMEOUT_MILLISECONDS = 700;
 
 /** Replicas of which some say nothing. */
-class DarkeningReplicas implements ReplicaCaller {
-  readonly dark = new Set<string>();
+class SilenceableReplicas implements ReplicaCaller {
+  readonly silent = new Set<string>();
 
   constructor(private readonly runtime: Runtime) {}
 
   call(...[member, request, timeout, listener]: Parameters<ReplicaCaller['call']>): void {
-    if (this.dark.has(member.id)) {
+    if (this.silent.has(member.id)) {
       this.runtime.setTimer(timeout, () => listener(undefined));
       return;
     }
-    this.runtime.setTimer(ANSWER_MILLISECONDS, () =>
+    this.runtime.setTimer(REPLY_DELAY_MILLISECONDS, () =>
       listener(
         request.type === 'reserve'
           ? { type: 'account', call: 1, outcome: 'done', entries: [request.entry] }
@@ -35,7 +35,7 @@
     );
   }
 
-  tell(): void {
+  notify(): void {
     // Settlements are not looked at here.
   }
 }
@@ -43,8 +43,8 @@
 interface World {
   reachClock: VirtualClock;
   runtime: Runtime;
-  dark: DarkeningReplicas;
-  reach: ReplicaReach;
+  silenceableReplicas: SilenceableReplicas;
+  reach: ReplicaReachability;
   client: TurnClient;
   reserved: { outcome: ReserveOutcome; milliseconds: number } | undefined;
 }
@@ -53,7 +53,7 @@
   world.reserved = undefined;
   const begun = world.reachClock.now;
   const request = { program: 'p', turn: `t${begun}`, mostTokens: 1, budgetTokens: 1_000 };
-  world.client.reserve(request, RESERVE_MILLISECONDS, (outcome) => {
+  world.client.reserve(request, RESERVE_TIMEOUT_MILLISECONDS, (outcome) => {
     world.reserved = { outcome, milliseconds: world.reachClock.now - begun };
   });
 }
@@ -61,14 +61,18 @@
 Given('a gateway before replicas {string}', function (this: World, names: string) {
   this.reachClock = new VirtualClock();
   this.runtime = new SimulatedProcess('g', this.reachClock, createRandom(1)).begin();
-  this.dark = new DarkeningReplicas(this.runtime);
+  this.silenceableReplicas = new SilenceableReplicas(this.runtime);
   const members: Member[] = names
     .split(' ')
     .map((name) => ({ id: name, node: name, host: name, port: 1, zone: name }));
   const record: MemberRecord = { epoch: 1, members };
   const directory = new MemberDirectory(this.runtime);
   directory.offer(record, 'test');
-  this.reach = new ReplicaReach(this.runtime, this.dark, () => directory.current);
+  this.reach = new ReplicaReachability(
+    this.runtime,
+    this.silenceableReplicas,
+    () => directory.current,
+  );
   this.client = new TurnClient({
     runtime: this.runtime,
     directory,
@@ -79,11 +83,11 @@
 });
 
 When('replicas {string} fall silent', function (this: World, names: string) {
-  names.split(' ').forEach((name) => this.dark.dark.add(name));
+  names.split(' ').forEach((name) => this.silenceableReplicas.silent.add(name));
 });
 
 When('replicas {string} answer again', function (this: World, names: string) {
-  names.split(' ').forEach((name) => this.dark.dark.delete(name));
+  names.split(' ').forEach((name) => this.silenceableReplicas.silent.delete(name));
 });
 
 When('a reservation is tried', function (this: World) {
--- a/features/steps/replaced-member.steps.ts
+++ b/features/steps/replaced-member.steps.ts
@@ -14,7 +14,7 @@
 import type { ReplicaReply } from '../../src/turns/messages.js';
 import type { ReplicaCaller } from '../../src/turns/replica-caller.js';
 import {
-  mostNeighbours,
+  maximumSameZoneMembers,
   unmetBounds,
   worstRecoveryMilliseconds,
 } from '../../src/turns/replica-bounds.js';
@@ -23,14 +23,14 @@
 import { Replica } from '../../src/turns/replica.js';
 
 /** Turns that each day keeps at least, so that a pass means something. */
-const LEAST_TURNS = 80;
+const MINIMUM_TURNS = 80;
 /** Short, so that the members change while they are split. */
 const SPLIT_CATCH_UP_MILLISECONDS = 6_000;
 
 interface World {
   bounds?: ReplicaBounds;
-  neighbours?: number;
-  lone?: { clock: VirtualClock; sync: ReplicaSync };
+  sameZoneMembers?: number;
+  observer?: { clock: VirtualClock; sync: ReplicaSync };
   splits?: SplitDayResult[];
   replacements?: ReplacementDayResult[];
 }
@@ -62,7 +62,7 @@
     broken.map(({ seed, violations }) => `seed ${seed}: ${violations[0]}`),
     [],
   );
-  assert.ok(this.replacements!.every(({ kept }) => kept >= LEAST_TURNS));
+  assert.ok(this.replacements!.every(({ kept }) => kept >= MINIMUM_TURNS));
 });
 
 When(
@@ -90,16 +90,16 @@
     broken.map(({ seed, violations }) => `seed ${seed}: ${violations[0]}`),
     [],
   );
-  assert.ok(this.splits!.every(({ kept }) => kept >= LEAST_TURNS));
+  assert.ok(this.splits!.every(({ kept }) => kept >= MINIMUM_TURNS));
   assert.ok(this.splits!.every(({ epochs }) => epochs > 0));
 });
 
 /** Service is looked at once a second. */
-const LOOK_MILLISECONDS = 1_000;
+const POLL_MILLISECONDS = 1_000;
 
 Then('service is back within the sum of the timers of a return', function (this: World) {
   const slowest = Math.max(...this.replacements!.map(({ servedAfter }) => servedAfter));
-  assert.ok(slowest <= worstRecoveryMilliseconds() + LOOK_MILLISECONDS, `${slowest} ms`);
+  assert.ok(slowest <= worstRecoveryMilliseconds() + POLL_MILLISECONDS, `${slowest} ms`);
 });
 
 Given(
@@ -113,18 +113,18 @@
     zones: number,
   ) {
     this.bounds = { catchUpMilliseconds, recoveryMilliseconds, contactMilliseconds };
-    this.neighbours = mostNeighbours(members, zones);
+    this.sameZoneMembers = maximumSameZoneMembers(members, zones);
   },
 );
 
 Then("the sums of the replicas' timers fit all of them", function (this: World) {
-  assert.deepEqual(unmetBounds(this.bounds!, this.neighbours!), []);
+  assert.deepEqual(unmetBounds(this.bounds!, this.sameZoneMembers!), []);
 });
 
 Then(
   '{string}, {string}, {string} are unmet',
   function (this: World, first: string, second: string, third: string) {
-    const unmet = unmetBounds(this.bounds!, this.neighbours!).map(({ promise }) => promise);
+    const unmet = unmetBounds(this.bounds!, this.sameZoneMembers!).map(({ promise }) => promise);
     assert.deepEqual(unmet, [first, second, third]);
   },
 );
@@ -141,13 +141,13 @@
     const directory = new MemberDirectory(runtime);
     const storage = { write: () => undefined };
     const replica = new Replica({ id: 'a', runtime, storage, directory });
-    const answerer = new Replica({ id: other, runtime, storage, directory });
+    const responder = new Replica({ id: other, runtime, storage, directory });
     const caller: ReplicaCaller = {
       call: (_member, request, _timeout, listener) => {
-        const numbered = { ...request, call: 1 } as Parameters<typeof answerer.handle>[0];
-        answerer.handle(numbered, (reply) => listener(reply as ReplicaReply));
+        const numbered = { ...request, call: 1 } as Parameters<typeof responder.handle>[0];
+        responder.handle(numbered, (reply) => listener(reply as ReplicaReply));
       },
-      tell: () => undefined,
+      notify: () => undefined,
     };
     directory.offer({ epoch: 1, members: ['a', name].map(memberNamed) }, 'test');
     const timings = membershipTimingsFor(SPLIT_CATCH_UP_MILLISECONDS);
@@ -161,18 +161,18 @@
       wantedMembers,
       timings,
     });
-    this.lone = { clock, sync };
+    this.observer = { clock, sync };
   },
 );
 
 When('{int} milliseconds pass there', function (this: World, milliseconds: number) {
-  const { clock } = this.lone!;
+  const { clock } = this.observer!;
   clock.runUntil(clock.now + milliseconds);
 });
 
 Then(
   'it believes {string} silent for at least {int} milliseconds',
   function (this: World, name: string, milliseconds: number) {
-    assert.ok(this.lone!.sync.silenceOf(name) >= milliseconds);
+    assert.ok(this.observer!.sync.silenceOf(name) >= milliseconds);
   },
 );
--- a/features/steps/replicas.steps.ts
+++ b/features/steps/replicas.steps.ts
@@ -85,7 +85,7 @@
     const id = `t${turns}`;
     const bytes = Buffer.from(id);
     const turn = { id, previous: '', input: bytes, output: bytes, retentionMilliseconds: 60_000 };
-    client.keep(turn, 700, (done) => done && kept.push(id));
+    client.storeTurn(turn, 700, (done) => done && kept.push(id));
     clock.schedule(1_000 / writesPerSecond, keepNext);
   };
   keepNext();
@@ -181,7 +181,7 @@
       output: Buffer.from(`out ${id}`),
       retentionMilliseconds: 60_000,
     };
-    client.keep(turn, 700, (done) => done && this.keptTurns!.push(id));
+    client.storeTurn(turn, 700, (done) => done && this.keptTurns!.push(id));
     this.clock!.runUntil(this.clock!.now + 40);
   }
 });
--- a/features/steps/turns.steps.ts
+++ b/features/steps/turns.steps.ts
@@ -161,7 +161,7 @@
 }
 
 /** Copies what `to` lacks of `from`; returns how many reservations were sent. */
-function level(to: ReplicaState, from: ReplicaState): number {
+function pullMissing(to: ReplicaState, from: ReplicaState): number {
   const missing = to.missingDigests(unpackDigests(from.readLog(0).digests));
   const sent = from.entriesByDigest(missing);
   sent.forEach((entry) => to.mergeEntry({ entry, storedAt: 0 }));
@@ -177,11 +177,11 @@
   fc.assert(
     fc.property(fc.array(reservation), fc.array(reservation), (left, right) => {
       const [one, other] = [stateOf(left), stateOf(right)];
-      level(one, other);
-      level(other, one);
+      pullMissing(one, other);
+      pullMissing(other, one);
       assert.deepEqual(contentOf(one), contentOf(other));
       assert.deepEqual(contentOf(one), contentOf(stateOf([...left, ...right])));
-      assert.equal(level(one, other) + level(other, one), 0);
+      assert.equal(pullMissing(one, other) + pullMissing(other, one), 0);
     }),
   );
 });
@@ -191,8 +191,8 @@
     fc.property(fc.array(reservation), (entries) => {
       const open = entries.map((entry) => ({ ...entry, usedTokens: undefined }));
       const settled = entries.map((entry) => ({ ...entry, usedTokens: 5 }));
-      assert.equal(level(stateOf(settled), stateOf(open)), 0);
-      assert.equal(level(stateOf(open), stateOf(settled)) > 0, entries.length > 0);
+      assert.equal(pullMissing(stateOf(settled), stateOf(open)), 0);
+      assert.equal(pullMissing(stateOf(open), stateOf(settled)) > 0, entries.length > 0);
     }),
   );
 });
@@ -218,7 +218,7 @@
             clock.schedule(2, () => answer(place < dead + refusing ? 'inactive' : 'done'));
           }
         },
-        tell: () => undefined,
+        notify: () => undefined,
       },
     };
     Object.assign(this, { clock, answering });
--- a/features/steps/two-builds.steps.ts
+++ b/features/steps/two-builds.steps.ts
@@ -26,7 +26,7 @@
 import {
   decodeReplicaMessage,
   encodeReplicaMessage,
-  REPLICA_KINDS,
+  REPLICA_MESSAGE_KINDS,
 } from '../../src/turns/messages.js';
 import type { ReplicaMessage } from '../../src/turns/messages.js';
 import { MemoryTurnStorage } from '../../src/turns/memory-turn-storage.js';
@@ -144,7 +144,7 @@
   /^its kinds of messages are the first (\d+) of today's$/,
   function (this: World, count: string) {
     const kinds = this.samples.flatMap(({ form, value }) => (form === 'message' ? value.type : []));
-    assert.deepEqual(kinds, REPLICA_KINDS.slice(0, Number(count)));
+    assert.deepEqual(kinds, REPLICA_MESSAGE_KINDS.slice(0, Number(count)));
   },
 );
 
@@ -152,9 +152,9 @@
   'the kinds of messages beyond those of {string} have the bytes that were declared for them',
   function (build: string) {
     const frozen = samplesOf(build).filter(({ form }) => form === 'message').length;
-    const newer = REPLICA_KINDS.slice(frozen);
+    const newer = REPLICA_MESSAGE_KINDS.slice(frozen);
     assert.deepEqual(newer, Object.keys(NEWER_MESSAGES));
-    assert.deepEqual(Object.keys(MESSAGE_FIELDS), [...REPLICA_KINDS]);
+    assert.deepEqual(Object.keys(MESSAGE_FIELDS), [...REPLICA_MESSAGE_KINDS]);
     for (const type of newer) {
       const encoded = encodeReplicaMessage({ type, call: 9 } as ReplicaMessage);
       assert.equal(Buffer.from(encoded).toString('hex'), NEWER_MESSAGES[type]);
@@ -192,7 +192,7 @@
 });
 
 Then("any message of a kind beyond today's is told as unknown, with its call", function () {
-  const kinds = fc.integer({ min: REPLICA_KINDS.length, max: 0xff });
+  const kinds = fc.integer({ min: REPLICA_MESSAGE_KINDS.length, max: 0xff });
   fc.assert(
     fc.property(kinds, fc.nat(0xffff_ffff), fc.uint8Array(), (kind, call, rest) => {
       const head = Buffer.alloc(5);
--- a/features/support/acknowledgement-model.ts
+++ b/features/support/acknowledgement-model.ts
@@ -6,15 +6,15 @@
 import { drawSeveral } from '../../src/histories/draw-several.js';
 import type { RandomSource } from '../../src/runtime/random.js';
 import {
-  LEAST_MEMBERS,
+  MINIMUM_MEMBERS,
   majorityOf,
   readQuorumOf,
-  readsToBecomeComplete,
+  recoveryReadQuorum,
 } from '../../src/turns/membership.js';
 import type { MemberRecord } from '../../src/turns/membership.js';
 
 /** Mistakes planted to show that the model notices them. */
-export type PlantedMistake =
+export type InjectedFault =
   | 'none'
   /** One that lost its disk counts as one that has acknowledged nothing. */
   | 'lostCountsAsFresh'
@@ -28,7 +28,7 @@
 }
 
 const STEPS = 60;
-const MOST_MEMBERS = 6;
+const MAXIMUM_MEMBERS = 6;
 
 /** See the head of this file. */
 export class AcknowledgementModel {
@@ -36,11 +36,11 @@
   private memberCount = 1;
   private writeCount = 0;
   /** Steps that did something, by kind. */
-  readonly done: Record<string, number> = {};
+  readonly effectiveSteps: Record<string, number> = {};
 
   constructor(
     private readonly random: RandomSource,
-    private readonly planted: PlantedMistake,
+    private readonly injectedFault: InjectedFault,
   ) {}
 
   /** Plays; tells the first write that could be said to be missing, or undefined. */
@@ -56,7 +56,7 @@
     for (let step = 0; step < STEPS; step += 1) {
       const kind = this.random.pick(Object.keys(steps));
       if (steps[kind]!()) {
-        this.done[kind] = (this.done[kind] ?? 0) + 1;
+        this.effectiveSteps[kind] = (this.effectiveSteps[kind] ?? 0) + 1;
       }
       const missing = this.findMissing();
       if (missing !== undefined) {
@@ -71,12 +71,12 @@
     return { epoch: 1, members };
   }
 
-  private completeOnes(): ModelMember[] {
+  private completeMembers(): ModelMember[] {
     return this.members.filter(({ standing }) => standing === 'complete');
   }
 
   private write(): boolean {
-    const complete = this.completeOnes();
+    const complete = this.completeMembers();
     const needed = majorityOf(this.record);
     if (complete.length < needed) {
       return false;
@@ -89,7 +89,7 @@
   }
 
   private join(): boolean {
-    if (this.members.length >= MOST_MEMBERS) {
+    if (this.members.length >= MAXIMUM_MEMBERS) {
       return false;
     }
     this.memberCount += 1;
@@ -104,8 +104,8 @@
     }
     const member = this.random.pick(incomplete);
     const acknowledgers = this.members.filter((other) => this.mayHaveAcknowledged(other, member));
-    const needed = readsToBecomeComplete(acknowledgers.length);
-    const readable = this.completeOnes();
+    const needed = recoveryReadQuorum(acknowledgers.length);
+    const readable = this.completeMembers();
     if (readable.length < needed) {
       return false;
     }
@@ -118,7 +118,7 @@
 
   /** What a member that is to become complete believes of each, itself too. */
   private mayHaveAcknowledged(other: ModelMember, member: ModelMember): boolean {
-    switch (this.planted) {
+    switch (this.injectedFault) {
       case 'none':
         return other.standing !== 'fresh';
       case 'lostCountsAsFresh':
@@ -129,9 +129,9 @@
   }
 
   private loseDisk(): boolean {
-    const complete = this.completeOnes();
-    const isBearable = this.members.every(({ standing }) => standing !== 'lost');
-    if (!isBearable || complete.length < LEAST_MEMBERS) {
+    const complete = this.completeMembers();
+    const isTolerable = this.members.every(({ standing }) => standing !== 'lost');
+    if (!isTolerable || complete.length < MINIMUM_MEMBERS) {
       return false;
     }
     const member = this.random.pick(complete);
@@ -142,19 +142,19 @@
 
   /** A complete one goes once enough others, and all that are complete, have read all that it has. */
   private leave(): boolean {
-    const complete = this.completeOnes();
-    if (complete.length <= LEAST_MEMBERS) {
+    const complete = this.completeMembers();
+    if (complete.length <= MINIMUM_MEMBERS) {
       return false;
     }
     const member = this.random.pick(complete);
-    const left = this.members.filter((other) => other !== member);
-    const heirs = complete.filter((other) => other !== member);
+    const remaining = this.members.filter((other) => other !== member);
+    const handoverTargets = complete.filter((other) => other !== member);
     const record = { ...this.record, members: this.record.members.slice(1) };
-    if (heirs.length < majorityOf(record)) {
+    if (handoverTargets.length < majorityOf(record)) {
       return false;
     }
-    heirs.forEach((heir) => member.writes.forEach((write) => heir.writes.add(write)));
-    this.members = left;
+    handoverTargets.forEach((target) => member.writes.forEach((write) => target.writes.add(write)));
+    this.members = remaining;
     return true;
   }
 
@@ -163,7 +163,7 @@
     const silent = this.random.pick(this.members);
     const others = this.members.filter((other) => other !== silent);
     const isAllowed = others.every(({ standing }) => standing === 'complete');
-    if (!isAllowed || others.length < LEAST_MEMBERS) {
+    if (!isAllowed || others.length < MINIMUM_MEMBERS) {
       return false;
     }
     const all = others.flatMap((other) => [...other.writes]);
@@ -174,7 +174,7 @@
 
   /** A write that enough complete members lack to say, together, that it doesn't exist. */
   private findMissing(): number | undefined {
-    const complete = this.completeOnes();
+    const complete = this.completeMembers();
     const needed = readQuorumOf(this.record);
     for (let write = 1; write <= this.writeCount; write += 1) {
       const lacking = complete.filter((member) => !member.writes.has(write));
--- a/features/support/disk-lives.ts
+++ b/features/support/recorded-disk.ts
@@ -13,10 +13,10 @@
 import type { StorageChange, WrittenChange } from '../../src/turns/turn-storage.js';
 
 /** Surroundings of one life: its timers fall silent once it is over. */
-export class Life {
+export class ProcessRun {
   private over = false;
   /** Added to the clock, so that a test needs no wait, in milliseconds. */
-  skipped = 0;
+  skippedMilliseconds = 0;
 
   /** Nothing of this life happens after this, but for what the disk is doing. */
   end(): void {
@@ -24,7 +24,7 @@
   }
 
   readonly runtime: Runtime = {
-    now: () => performance.now() + this.skipped,
+    now: () => performance.now() + this.skippedMilliseconds,
     wallTime: () => Math.round(performance.timeOrigin + performance.now()),
     setTimer: (delay, callback) => {
       const timer = setTimeout(() => this.over || callback(), delay);
@@ -43,20 +43,20 @@
     ledger: join(this.base, 'ledger'),
   };
   private readonly endRecording = recordFolder(this.folder);
-  private life = new Life();
+  private run = new ProcessRun();
   private open: SegmentTurnStorage | undefined;
   /** What was found at the last start. */
   found: WrittenChange[] = [];
 
   /** Begins a life. */
-  async start(): Promise<Life> {
-    this.life = new Life();
-    const { runtime } = this.life;
+  async start(): Promise<ProcessRun> {
+    this.run = new ProcessRun();
+    const { runtime } = this.run;
     const storage = await SegmentTurnStorage.open(join(this.folder.root, 'turns'), runtime);
     this.found = [];
     await storage.load((change) => this.found.push(change));
     this.open = storage;
-    return this.life;
+    return this.run;
   }
 
   get storage(): SegmentTurnStorage {
@@ -66,7 +66,7 @@
 
   /** Ends a life; what the disk is doing is done. */
   async stop(): Promise<void> {
-    this.life.end();
+    this.run.end();
     const { open } = this;
     this.open = undefined;
     if (open !== undefined) {
--- a/features/support/relay-world.ts
+++ b/features/support/relay-world.ts
@@ -146,7 +146,7 @@
     directory.offer({ epoch: 1, members: [member] }, 'test');
     const storage = new MemoryTurnStorage(this.runtime);
     this.replica = new Replica({ id: 'r1', runtime: this.runtime, storage, directory });
-    this.replica.becomeReady('test');
+    this.replica.markReady('test');
     this.replicaServer = new ReplicaServer(this.replica, directory, this.runtime);
     this.replicaServer.listen(HOST, replicaPort, () => undefined);
     this.caller = new TcpReplicaCaller(this.runtime, () => undefined);
--- a/src/histories/replica-day.ts
+++ b/src/histories/replica-day.ts
@@ -153,7 +153,7 @@
     const bytes = Buffer.from(id);
     const turn = { id, previous: '', input: bytes, output: bytes };
     const kept = { ...turn, retentionMilliseconds: RETENTION_MILLISECONDS };
-    client.keep(kept, OPERATION_MILLISECONDS, (done) => {
+    client.storeTurn(kept, OPERATION_MILLISECONDS, (done) => {
       if (done) {
         this.kept.push(id);
         this.onKept(id);
--- a/src/histories/turn-history.ts
+++ b/src/histories/turn-history.ts
@@ -199,7 +199,7 @@
         output: Buffer.from(output),
         retentionMilliseconds: RETENTION_MILLISECONDS,
       };
-      client.keep(kept, OPERATION_MILLISECONDS, (done) => {
+      client.storeTurn(kept, OPERATION_MILLISECONDS, (done) => {
         client.settle(program.name, turn, MOST_TOKENS, used);
         if (done) {
           program.lastTurn = turn;
--- a/src/relay/answers/stream-answer.ts
+++ b/src/relay/answers/stream-answer.ts
@@ -133,7 +133,7 @@
       retentionMilliseconds: request.route.retentionSeconds * MILLISECONDS_IN_SECOND,
     };
     const timeout = Math.min(KEEP_MILLISECONDS, this.call.remainingMilliseconds);
-    context.turns.keep(turn, timeout, (kept) => {
+    context.turns.storeTurn(turn, timeout, (kept) => {
       if (kept) {
         this.call.answer.end();
         this.call.finishAnswered(status);
--- a/src/simulation/simulated-replicas.ts
+++ b/src/simulation/simulated-replicas.ts
@@ -6,7 +6,7 @@
 import type { LogFunction, Runtime } from '../runtime/runtime.js';
 import type { RandomSource } from '../runtime/random.js';
 import { MemberDirectory } from '../turns/member-directory.js';
-import { MembershipKeeper } from '../turns/membership-keeper.js';
+import { MembershipController } from '../turns/membership-controller.js';
 import type { MembershipStore, StoredRecord } from '../turns/membership-store.js';
 import {
   DEFAULT_CATCH_UP_MILLISECONDS,
@@ -252,7 +252,7 @@
     machine.disk.load((change) => replica.restore(change));
     replica.endRestore();
     if (this.options.planted === 'noRepair') {
-      replica.becomeReady('planted fault');
+      replica.markReady('planted fault');
     }
     const caller = this.callerOf(name, runtime, directory);
     const { wantedMembers = Infinity } = this.options;
@@ -262,13 +262,13 @@
     const sync = new ReplicaSync({ ...shared, id, caller });
     replica.holdsQuorum = () => sync.holdsQuorum;
     replica.hasReadEarlierEpochs = () => sync.hasReadEarlierEpochs;
-    replica.silenceWords = () => sync.silenceWords();
+    replica.silenceReports = () => sync.silenceReports();
     if (this.options.planted === 'noRepair') {
       sync.close();
     }
     const isCut = (): boolean => this.cuts.has(`${name} store`);
     const store = this.store.portOf(runtime, isCut);
-    const keeper = new MembershipKeeper({ ...shared, self: machine.member, sync, store });
+    const keeper = new MembershipController({ ...shared, self: machine.member, sync, store });
     machine.replica = replica;
     machine.directory = directory;
     machine.close = () => {
@@ -378,7 +378,7 @@
     return {
       call: (member, request, timeout, listener) =>
         this.call(from, runtime, directory, member, request, timeout, listener),
-      tell: (member, message) => {
+      notify: (member, message) => {
         this.clock.schedule(this.delay(), () => this.tell(from, member, message));
       },
     };
--- a/src/turns/chain-cache.ts
+++ b/src/turns/chain-cache.ts
@@ -1,8 +1,8 @@
 /** Chains that this process has lately seen whole; they never change, so a hit is always right. */
-import type { KeptTurn } from './kept-turn.js';
+import type { ConversationTurn } from './conversation-turn.js';
 
 /** Bytes of chains that are kept; the least lately used go first. */
-export const CHAIN_CACHE_BYTES = 24 * 1024 * 1024;
+export const MAXIMUM_CHAIN_CACHE_BYTES = 24 * 1024 * 1024;
 
 /** See the head of this file. */
 export class ChainCache {
@@ -20,10 +20,10 @@
   }
 
   /** Adds a turn whose earlier turns are here, or that begins a line. */
-  add(turn: KeptTurn): void {
-    const before = turn.previous === '' ? Buffer.alloc(0) : this.chains.get(turn.previous);
-    if (before !== undefined) {
-      this.put(turn.id, Buffer.concat([before, turn.input, turn.output]));
+  add(turn: ConversationTurn): void {
+    const prefix = turn.previous === '' ? Buffer.alloc(0) : this.chains.get(turn.previous);
+    if (prefix !== undefined) {
+      this.put(turn.id, Buffer.concat([prefix, turn.input, turn.output]));
     }
   }
 
@@ -33,7 +33,7 @@
     this.chains.delete(turn);
     this.chains.set(turn, chain);
     for (const [oldest, body] of this.chains) {
-      if (this.bytes <= CHAIN_CACHE_BYTES) {
+      if (this.bytes <= MAXIMUM_CHAIN_CACHE_BYTES) {
         return;
       }
       this.chains.delete(oldest);
--- a/src/turns/compaction.ts
+++ b/src/turns/compaction.ts
@@ -14,17 +14,18 @@
 }
 
 /** Bytes written since the last compaction below which none is worth its work. */
-const LEAST_GARBAGE_BYTES = 48 * 1024 * 1024;
+const MINIMUM_GARBAGE_BYTES = 48 * 1024 * 1024;
 /** The same as a share of what the last compaction left: bounds the work to two bytes a byte written. */
 const GARBAGE_SHARE = 0.5;
 /** Segments since the last compaction; each start of a process makes one, however short. */
-const MOST_SEGMENTS = 12;
+const MAXIMUM_SEGMENTS = 12;
 
 /** Whether to compact, from what the disk holds and what the last compaction left there. */
-export function isCompactionDue(now: DiskUse, left: DiskUse): boolean {
-  const garbageBytes = now.bytes - left.bytes;
-  const isLarge = garbageBytes >= Math.max(LEAST_GARBAGE_BYTES, left.bytes * GARBAGE_SHARE);
-  return isLarge || now.segments - left.segments >= MOST_SEGMENTS;
+export function isCompactionDue(current: DiskUse, afterLastCompaction: DiskUse): boolean {
+  const garbageBytes = current.bytes - afterLastCompaction.bytes;
+  const isLarge =
+    garbageBytes >= Math.max(MINIMUM_GARBAGE_BYTES, afterLastCompaction.bytes * GARBAGE_SHARE);
+  return isLarge || current.segments - afterLastCompaction.segments >= MAXIMUM_SEGMENTS;
 }
 
 /** Records in one slice: some milliseconds of a fraction of a core. */
@@ -32,7 +33,7 @@
 /** Bytes of turns in one slice. */
 const SLICE_BYTES = 128 * 1024;
 /** Pause between two slices, in milliseconds. */
-const PAUSE_MILLISECONDS = 20;
+const SLICE_PAUSE_MILLISECONDS = 20;
 
 function bytesOf(change: StorageChange): number {
   return change.tag === 'turn' ? change.turn.turn.input.length + change.turn.turn.output.length : 0;
@@ -72,7 +73,7 @@
       return;
     }
     write(slice, () => {
-      cancel = runtime.setTimer(PAUSE_MILLISECONDS, writeNext);
+      cancel = runtime.setTimer(SLICE_PAUSE_MILLISECONDS, writeNext);
     });
   };
   writeNext();
--- a/src/turns/completeness.ts
+++ b/src/turns/completeness-check.ts
@@ -5,13 +5,13 @@
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { MemberDirectory } from './member-directory.js';
-import { hasMember, readsToBecomeComplete } from './membership.js';
+import { hasMember, recoveryReadQuorum } from './membership.js';
 import type { MemberRecord } from './membership.js';
 import type { PeerView } from './peer-progress.js';
 import type { Replica } from './replica.js';
 
 /** Pause between two lines that tell why the state is not complete yet, in milliseconds. */
-const LINE_MILLISECONDS = 1_000;
+const LOG_INTERVAL_MILLISECONDS = 1_000;
 /** Pause between two declarations, since the first may still be on its way to the disk, in milliseconds. */
 export const DECLARATION_MILLISECONDS = 300;
 
@@ -27,7 +27,7 @@
   | 'read';
 
 /** What the check is made with. */
-export interface CompletenessOptions {
+export interface CompletenessCheckOptions {
   readonly id: string;
   readonly runtime: Runtime;
   readonly replica: Replica;
@@ -43,15 +43,15 @@
   if (!peer.active) {
     return peer.freshEpoch >= epoch ? 'fresh' : 'inactive';
   }
-  return peer.levelEpoch >= epoch ? 'read' : 'reading';
+  return peer.caughtUpEpoch >= epoch ? 'read' : 'reading';
 }
 
 /** See the head of this file. */
-export class Completeness {
+export class CompletenessCheck {
   private nextDeclarationAt = -Infinity;
-  private nextLineAt = -Infinity;
+  private nextLogAt = -Infinity;
 
-  constructor(private readonly options: CompletenessOptions) {}
+  constructor(private readonly options: CompletenessCheckOptions) {}
 
   /** Declares the replica ready if its state is complete; to be called whenever something was read. */
   check(): void {
@@ -71,7 +71,7 @@
       return;
     }
     this.nextDeclarationAt = runtime.now() + DECLARATION_MILLISECONDS;
-    replica.becomeReady(`read ${read} of ${others.length} others, ${fresh} of them fresh`);
+    replica.markReady(`read ${read} of ${others.length} others, ${fresh} of them fresh`);
   }
 
   private progressUnder(record: MemberRecord): ReadonlyMap<string, ReadProgress> {
@@ -85,7 +85,7 @@
       return 0;
     }
     const own = this.options.replica.isFresh ? 0 : 1;
-    return readsToBecomeComplete(otherAcknowledgers + own);
+    return recoveryReadQuorum(otherAcknowledgers + own);
   }
 
   /** Tells what is known of each other member while too few complete ones have been read. */
@@ -95,10 +95,10 @@
     progress: ReadonlyMap<string, ReadProgress>,
   ): void {
     const { runtime } = this.options;
-    if (runtime.now() < this.nextLineAt) {
+    if (runtime.now() < this.nextLogAt) {
       return;
     }
-    this.nextLineAt = runtime.now() + LINE_MILLISECONDS;
+    this.nextLogAt = runtime.now() + LOG_INTERVAL_MILLISECONDS;
     const others = [...progress].map(([id, each]) => `${id}=${each}`).join(' ');
     const fields = { event: 'replica.incomplete', epoch, needed, others };
     runtime.log('info', 'too few complete replicas have been read', fields);
--- a/src/turns/kept-turn.ts
+++ b/src/turns/conversation-turn.ts
@@ -1,7 +1,7 @@
 /** A turn that is kept so that later ones can go on from it. */
 
 /** Written once under the id of its request, never changed. */
-export interface KeptTurn {
+export interface ConversationTurn {
   /** Request id of the turn. */
   readonly id: string;
   /** Turn that it went on from; empty at the start of a line. */
--- a/src/turns/decide-membership.ts
+++ b/src/turns/decide-membership.ts
@@ -11,7 +11,7 @@
   /** Whether this replica's state is complete. */
   readonly ready: boolean;
   /** Whether this replica has lately read all that another member has. */
-  readonly isLevelWith: (memberId: string) => boolean;
+  readonly isCaughtUpWith: (memberId: string) => boolean;
   /** Whether another member has lately read all that this replica has. */
   readonly hasRead: (memberId: string) => boolean;
   /** Whether another member's state was complete when it was last heard. */
@@ -65,13 +65,13 @@
   | { readonly tag: 'Remove'; readonly member: Member; readonly reason: 'retiring' | 'silent' };
 
 /** Complete members that have read all that was here before this replica leaves. */
-const LEAST_HEIRS = 2;
+const MINIMUM_HANDOVER_TARGETS = 2;
 
 /**
  * Members that are left when a silent one is taken out: what they acknowledge is on two disks. Where no machine is
  * there for a third, two that may refill one another bear the loss of a disk; a gone one beside them would not.
  */
-const LEAST_LEFT = 2;
+const MINIMUM_REMAINING_MEMBERS = 2;
 
 function waitFor(reason: WaitReason): MembershipAction {
   return { tag: 'Wait', reason };
@@ -102,15 +102,17 @@
   if (view.presentMembers >= view.wantedMembers) {
     return waitFor('enough present');
   }
-  const neighbours = record.members.filter(
+  const sameZoneMembers = record.members.filter(
     (member) => member.zone === view.self.zone && isPresent(view, member),
   );
-  if (view.vacantMilliseconds < neighbours.length * view.timings.courtesyMilliseconds) {
+  if (view.vacantMilliseconds < sameZoneMembers.length * view.timings.sameZoneDelayMilliseconds) {
     return waitFor('courtesy');
   }
   // With fewer complete ones the larger record would need an incomplete or gone one for each write.
-  const level = record.members.filter(({ id }) => view.isComplete(id) && view.isLevelWith(id));
-  return level.length >= readQuorumOf(record) ? { tag: 'Join' } : waitFor('not level');
+  const caughtUpMembers = record.members.filter(
+    ({ id }) => view.isComplete(id) && view.isCaughtUpWith(id),
+  );
+  return caughtUpMembers.length >= readQuorumOf(record) ? { tag: 'Join' } : waitFor('not level');
 }
 
 function isPresent(view: MembershipView, member: Member): boolean {
@@ -118,20 +120,21 @@
 }
 
 function decideLeave(view: MembershipView, record: MemberRecord): MembershipAction {
-  const left = withoutMember(record, view.self.id);
-  const present = left.members.filter((member) => isPresent(view, member));
+  const remaining = withoutMember(record, view.self.id);
+  const present = remaining.members.filter((member) => isPresent(view, member));
   // What only this replica and one other have must be with a majority of those that may acknowledge.
-  const heirs = present.filter((member) => view.isComplete(member.id));
-  const isEnough = heirs.length >= Math.max(LEAST_HEIRS, majorityOf(left));
-  const handedOver = isEnough && present.every((member) => view.hasRead(member.id));
-  return handedOver
+  const handoverTargets = present.filter((member) => view.isComplete(member.id));
+  const isEnough =
+    handoverTargets.length >= Math.max(MINIMUM_HANDOVER_TARGETS, majorityOf(remaining));
+  const isHandedOver = isEnough && present.every((member) => view.hasRead(member.id));
+  return isHandedOver
     ? { tag: 'Remove', member: view.self, reason: 'retiring' }
     : waitFor('not handed over');
 }
 
 /** Whether this replica and another complete one have lately read all of one another. */
-function holdsAll(view: MembershipView, member: string): boolean {
-  return view.isComplete(member) && view.isLevelWith(member) && view.hasRead(member);
+function isMutuallyCaughtUp(view: MembershipView, member: string): boolean {
+  return view.isComplete(member) && view.isCaughtUpWith(member) && view.hasRead(member);
 }
 
 function decideRemoval(view: MembershipView, record: MemberRecord): MembershipAction {
@@ -141,18 +144,21 @@
   if (silent === undefined) {
     return waitFor('nobody silent');
   }
-  const left = withoutMember(record, silent.id);
+  const remaining = withoutMember(record, silent.id);
   // Others that are gone as well have nothing to say here: those present must be a majority without them.
-  const present = left.members.filter(
+  const present = remaining.members.filter(
     (member) => member.id !== view.self.id && isPresent(view, member),
   );
-  if (left.members.length < LEAST_LEFT || present.length + 1 < majorityOf(left)) {
+  if (
+    remaining.members.length < MINIMUM_REMAINING_MEMBERS ||
+    present.length + 1 < majorityOf(remaining)
+  ) {
     return waitFor('too few left');
   }
   if (!present.every((member) => view.self.id < member.id)) {
     return waitFor('not first');
   }
-  return present.every(({ id }) => holdsAll(view, id))
+  return present.every(({ id }) => isMutuallyCaughtUp(view, id))
     ? { tag: 'Remove', member: silent, reason: 'silent' }
     : waitFor('others not level');
 }
--- a/src/turns/failed-write-log.ts
+++ b/src/turns/failed-write-log.ts
@@ -6,21 +6,21 @@
 import type { MemberOutcomes } from './quorum-write.js';
 
 /** Least time between two lines, in milliseconds. */
-const LINE_MILLISECONDS = 1_000;
+const LOG_INTERVAL_MILLISECONDS = 1_000;
 
 /** See the head of this file. */
 export class FailedWriteLog {
-  private nextLineAt = -Infinity;
+  private nextLogAt = -Infinity;
   /** Writes that failed since the last line. */
   private failures = 0;
 
   constructor(private readonly runtime: Runtime) {}
 
   /** Notes a write of an epoch that no majority acknowledged. */
-  note(epoch: number, outcomes: MemberOutcomes): void {
+  recordFailure(epoch: number, outcomes: MemberOutcomes): void {
     const now = this.runtime.now();
     this.failures += 1;
-    if (now < this.nextLineAt) {
+    if (now < this.nextLogAt) {
       return;
     }
     this.runtime.log('warn', 'no majority of the replicas acknowledged', {
@@ -30,6 +30,6 @@
       failures: this.failures,
     });
     this.failures = 0;
-    this.nextLineAt = now + LINE_MILLISECONDS;
+    this.nextLogAt = now + LOG_INTERVAL_MILLISECONDS;
   }
 }
--- a/src/turns/membership-keeper.ts
+++ b/src/turns/membership-controller.ts
@@ -16,15 +16,15 @@
 } from './membership.js';
 import type { Member, MemberRecord } from './membership.js';
 import { MembershipWaitLog } from './membership-wait-log.js';
-import { STEP_MILLISECONDS } from './membership-timings.js';
+import { DECISION_INTERVAL_MILLISECONDS } from './membership-timings.js';
 import type { MembershipTimings } from './membership-timings.js';
 import type { MembershipStore } from './membership-store.js';
 import type { Replica } from './replica.js';
 import type { ReplicaSync } from './replica-sync.js';
-import { Retirement } from './retirement.js';
+import { RetirementReporter } from './retirement-reporter.js';
 
 /** What the keeper is made with. */
-export interface MembershipKeeperOptions {
+export interface MembershipControllerOptions {
   readonly self: Member;
   readonly runtime: Runtime;
   readonly replica: Replica;
@@ -36,16 +36,16 @@
   readonly timings: MembershipTimings;
 }
 
-const LEVEL_MILLISECONDS = 1_500;
+const CAUGHT_UP_WINDOW_MILLISECONDS = 1_500;
 /** Samples of the log's end that are kept. */
-const LOG_END_SAMPLES = 12;
+const MAXIMUM_LOG_END_SAMPLES = 12;
 
 /** See the head of this file. */
-export class MembershipKeeper {
+export class MembershipController {
   private readonly cancelTimer: CancelTimer;
-  private busy = false;
+  private isChanging = false;
   private readonly logEnds: { readonly at: number; readonly end: number }[] = [];
-  private readonly retirement: Retirement;
+  private readonly retirementReporter: RetirementReporter;
   /** Epoch of the older record that the store shows; undefined while it shows the newest known. */
   private olderEpoch: number | undefined;
   /** Local time since which fewer members are present than wanted; undefined while enough are. */
@@ -54,21 +54,23 @@
   /** End of the log when the record in force became known. */
   private epochLogEnd = 0;
 
-  constructor(private readonly options: MembershipKeeperOptions) {
+  constructor(private readonly options: MembershipControllerOptions) {
     this.waitLog = new MembershipWaitLog(options);
     options.directory.onChange(() => {
       this.epochLogEnd = options.replica.state.logEnd;
     });
-    this.retirement = new Retirement(options);
-    this.cancelTimer = setRepeatingTimer(options.runtime, STEP_MILLISECONDS, () => this.step());
+    this.retirementReporter = new RetirementReporter(options);
+    this.cancelTimer = setRepeatingTimer(options.runtime, DECISION_INTERVAL_MILLISECONDS, () =>
+      this.step(),
+    );
   }
 
   /** Takes one decision and carries it out. */
   step(): void {
     const { store, directory } = this.options;
-    this.noteLogEnd();
+    this.sampleLogEnd();
     const stored = store.readRecord();
-    if (this.busy || stored.tag === 'Unknown') {
+    if (this.isChanging || stored.tag === 'Unknown') {
       return;
     }
     const record = stored.tag === 'Present' ? decodeMemberRecord(stored.text) : undefined;
@@ -77,16 +79,16 @@
     }
     if ((record?.epoch ?? 0) < (directory.current?.epoch ?? 0)) {
       // The store shows what was true earlier: nothing may be concluded from that.
-      this.noteOlderRecord(record);
+      this.logOlderRecord(record);
       return;
     }
     this.olderEpoch = undefined;
-    this.noteOwnMembership(record);
-    this.noteVacancy(record);
+    this.markIncompleteIfRemoved(record);
+    this.trackVacancy(record);
     const revision = stored.tag === 'Present' ? stored.revision : 0;
-    this.carryOut(decideMembership(this.viewOf(record)), record, revision);
+    this.execute(decideMembership(this.viewOf(record)), record, revision);
     if (record !== undefined) {
-      this.retirement.step(record);
+      this.retirementReporter.step(record);
     }
   }
 
@@ -101,7 +103,7 @@
       self: own,
       record,
       ready: replica.ready,
-      isLevelWith: (member) => sync.isLevelWith(member, LEVEL_MILLISECONDS),
+      isCaughtUpWith: (member) => sync.isCaughtUpWith(member, CAUGHT_UP_WINDOW_MILLISECONDS),
       isComplete: (member) => sync.view(member)?.active ?? false,
       hasRead: (member) => this.hasRead(member, this.logEndToRead()),
       silentMilliseconds: (member) => sync.silenceOf(member),
@@ -127,19 +129,19 @@
    * nothing is acknowledged under those any more, and what was taken up to a little while ago.
    */
   private logEndToRead(): number {
-    return Math.max(this.logEndBefore(), this.epochLogEnd);
+    return Math.max(this.earlierLogEnd(), this.epochLogEnd);
   }
 
   /** End of the log a little while ago: those that read it always stand behind its end now. */
-  private logEndBefore(): number {
-    const since = this.options.runtime.now() - LEVEL_MILLISECONDS;
+  private earlierLogEnd(): number {
+    const since = this.options.runtime.now() - CAUGHT_UP_WINDOW_MILLISECONDS;
     return this.logEnds.findLast((sample) => sample.at <= since)?.end ?? Infinity;
   }
 
-  private noteLogEnd(): void {
+  private sampleLogEnd(): void {
     const { runtime, replica } = this.options;
     this.logEnds.push({ at: runtime.now(), end: replica.state.logEnd });
-    if (this.logEnds.length > LOG_END_SAMPLES) {
+    if (this.logEnds.length > MAXIMUM_LOG_END_SAMPLES) {
       this.logEnds.shift();
     }
   }
@@ -150,11 +152,11 @@
     return (
       progress !== undefined &&
       progress.position >= logEnd &&
-      progress.at >= runtime.now() - LEVEL_MILLISECONDS
+      progress.at >= runtime.now() - CAUGHT_UP_WINDOW_MILLISECONDS
     );
   }
 
-  private noteOlderRecord(record: MemberRecord | undefined): void {
+  private logOlderRecord(record: MemberRecord | undefined): void {
     const epoch = record?.epoch ?? 0;
     if (epoch !== this.olderEpoch) {
       this.olderEpoch = epoch;
@@ -165,14 +167,14 @@
   }
 
   /** Out of the record, others no longer write here: the state must be made complete again. */
-  private noteOwnMembership(record: MemberRecord | undefined): void {
+  private markIncompleteIfRemoved(record: MemberRecord | undefined): void {
     const { self: own, replica } = this.options;
     if (record !== undefined && !hasMember(record, own.id) && replica.ready) {
-      replica.loseReadiness();
+      replica.markIncomplete();
     }
   }
 
-  private noteVacancy(record: MemberRecord | undefined): void {
+  private trackVacancy(record: MemberRecord | undefined): void {
     const { wantedMembers, runtime, sync } = this.options;
     const present = sync.presentMembers;
     if (record === undefined || present >= wantedMembers) {
@@ -184,14 +186,14 @@
     }
   }
 
-  private carryOut(
+  private execute(
     action: MembershipAction,
     record: MemberRecord | undefined,
     revision: number,
   ): void {
     switch (action.tag) {
       case 'Wait':
-        this.waitLog.note(action.reason, record);
+        this.waitLog.update(action.reason, record);
         return;
       case 'Create':
       case 'Join':
@@ -208,12 +210,12 @@
   /** Adds this replica, once its disk says under which token. */
   private join(tag: 'Create' | 'Join', record: MemberRecord | undefined, revision: number): void {
     const { self: own, replica } = this.options;
-    this.busy = true;
+    this.isChanging = true;
     replica.prepareJoin((joinToken) => {
       const joined = withMember(record, { ...own, joinToken });
       this.swap(revision, joined, tag.toLowerCase(), () => {
         if (tag === 'Create') {
-          replica.becomeReady('first member');
+          replica.markReady('first member');
         }
       });
     });
@@ -226,9 +228,9 @@
     done: () => void = () => undefined,
   ): void {
     const { store, runtime, directory } = this.options;
-    this.busy = true;
+    this.isChanging = true;
     store.swapRecord(revision, encodeMemberRecord(record), (swapped) => {
-      this.busy = false;
+      this.isChanging = false;
       const fields = { event: 'members.swap', epoch: record.epoch, reason, swapped };
       runtime.log('info', 'change of members tried', fields);
       if (swapped) {
--- a/src/turns/membership-wait-log.ts
+++ b/src/turns/membership-wait-log.ts
@@ -16,29 +16,29 @@
 }
 
 /** Shortest time between two lines, in milliseconds; a reason that lasts is told once. */
-const LINE_MILLISECONDS = 500;
+const LOG_INTERVAL_MILLISECONDS = 500;
 /** Silence from which on a member is named, in milliseconds: longer than any call to it may take. */
-const NAMED_MILLISECONDS = 1_000;
+const REPORTED_SILENCE_MILLISECONDS = 1_000;
 
 /** See the head of this file. */
 export class MembershipWaitLog {
-  private told = '';
-  private nextLineAt = -Infinity;
+  private lastLogged = '';
+  private nextLogAt = -Infinity;
 
   constructor(private readonly options: MembershipWaitLogOptions) {}
 
   /** Notes what was decided; a line follows when that, or who is silent, has changed. */
-  note(reason: WaitReason, record: MemberRecord | undefined): void {
+  update(reason: WaitReason, record: MemberRecord | undefined): void {
     const { self, runtime } = this.options;
     const now = runtime.now();
     const silences = this.silencesOf(record);
-    const isQuiet = hasMember(record, self.id) && silences.length === 0;
-    const state = isQuiet ? '' : [reason, ...silences.map(({ id }) => id)].join(' ');
-    if (state === this.told || now < this.nextLineAt) {
+    const hasNothingToLog = hasMember(record, self.id) && silences.length === 0;
+    const state = hasNothingToLog ? '' : [reason, ...silences.map(({ id }) => id)].join(' ');
+    if (state === this.lastLogged || now < this.nextLogAt) {
       return;
     }
-    this.told = state;
-    this.nextLineAt = now + LINE_MILLISECONDS;
+    this.lastLogged = state;
+    this.nextLogAt = now + LOG_INTERVAL_MILLISECONDS;
     runtime.log('info', 'no change of members', {
       event: 'members.waits',
       epoch: record?.epoch ?? 0,
@@ -52,6 +52,6 @@
     return (record?.members ?? [])
       .filter(({ id }) => id !== self.id)
       .map(({ id }) => ({ id, milliseconds: sync.silenceOf(id) }))
-      .filter(({ milliseconds }) => milliseconds >= NAMED_MILLISECONDS);
+      .filter(({ milliseconds }) => milliseconds >= REPORTED_SILENCE_MILLISECONDS);
   }
 }
--- a/src/turns/membership.ts
+++ b/src/turns/membership.ts
@@ -32,15 +32,15 @@
 }
 
 /** Fewest members that a record is to name. */
-export const LEAST_MEMBERS = 3;
+export const MINIMUM_MEMBERS = 3;
 
 /**
  * Members that are needed so that a majority is left, and with it every acknowledged write, when
  * `lossCount` of them are lost at once. More would make each write and each levelling dearer and bear
  * no more losses: further replicas stand by.
  */
-export function membersToBear(lossCount: number): number {
-  return Math.max(LEAST_MEMBERS, 2 * lossCount + 1);
+export function membersToTolerate(lossCount: number): number {
+  return Math.max(MINIMUM_MEMBERS, 2 * lossCount + 1);
 }
 
 const JoinTokenType = new t.Type<JoinToken>(
@@ -76,9 +76,9 @@
 }
 
 /** The same when the record before had a member more, as far as a record of this size can have as many. */
-export function readQuorumBefore({ members }: MemberRecord): number {
-  const before = members.length + 1;
-  return Math.min(members.length, before - majorityOfCount(before) + 1);
+export function readQuorumOfPreviousRecord({ members }: MemberRecord): number {
+  const previousCount = members.length + 1;
+  return Math.min(members.length, previousCount - majorityOfCount(previousCount) + 1);
 }
 
 /**
@@ -86,7 +86,7 @@
  * may ever have acknowledged one. Of these a majority at least has each write: acknowledgements by a
  * majority of all members come from them alone, and who becomes complete has read from enough of them.
  */
-export function readsToBecomeComplete(acknowledgers: number): number {
+export function recoveryReadQuorum(acknowledgers: number): number {
   return acknowledgers === 0 ? 0 : acknowledgers - majorityOfCount(acknowledgers) + 1;
 }
 
--- a/src/turns/messages.ts
+++ b/src/turns/messages.ts
@@ -16,9 +16,9 @@
 import { decodeGrown } from '../wire/sections.js';
 import type { UnionBranch } from '../wire/fields.js';
 import type { Reservation } from './account.js';
-import type { KeptTurn } from './kept-turn.js';
-import type { SilenceWord } from './member-silence.js';
-import type { QuotaDecision, ToldQuota } from './quota-buckets.js';
+import type { ConversationTurn } from './conversation-turn.js';
+import type { SilenceReport } from './silence-tracker.js';
+import type { QuotaDecision, TenantQuota } from './quota-buckets.js';
 
 /** How a replica took a request. */
 export type ReplicaOutcome =
@@ -65,7 +65,7 @@
 /** Requests; each is answered by the reply with the same `call`. */
 export type ReplicaRequest =
   | { type: 'reserve'; call: number; epoch: number; entry: AccountEntry }
-  | { type: 'keep'; call: number; epoch: number; turn: KeptTurn }
+  | { type: 'keep'; call: number; epoch: number; turn: ConversationTurn }
   /** Asks whether the replica is there: the turn never exists. */
   | { type: 'chain'; call: number; turn: string }
   | { type: 'pull'; call: number; from: string; members: string; log: string; after: number }
@@ -81,7 +81,7 @@
       type: 'spend';
       call: number;
       epoch: number;
-      quota: ToldQuota;
+      quota: TenantQuota;
       beginsRequests: number;
       patienceMilliseconds: number;
     };
@@ -105,11 +105,11 @@
       digests: Buffer;
       turns: string[];
     }
-  | { type: 'fetched'; call: number; turns: KeptTurn[] }
+  | { type: 'fetched'; call: number; turns: ConversationTurn[] }
   | { type: 'entriesRead'; call: number; entries: AccountEntry[] }
   /** The request is of a kind that this build doesn't know: it was not taken. */
   | { type: 'notKnown'; call: number }
-  | { type: 'silencesTold'; call: number; from: string; words: SilenceWord[] }
+  | { type: 'silencesTold'; call: number; from: string; words: SilenceReport[] }
   | ({ type: 'spent'; call: number; outcome: ReplicaOutcome } & QuotaDecision);
 
 /** A newer record of the members; either side sends it whenever the other may not know it. */
@@ -165,7 +165,7 @@
 /** An entry of an account, on the wire and on disk. */
 export const accountEntryField: r.Field = new ReservationField();
 /** A kept turn, on the wire and on disk. */
-export const keptTurnField: r.Field = record({
+export const conversationTurnField: r.Field = record({
   id: shortText,
   previous: shortText,
   input: bytes,
@@ -173,9 +173,14 @@
   retentionMilliseconds: real,
 });
 const outcome = oneOf(REPLICA_OUTCOMES);
-const toldQuota = record({ tenant: shortText, version: real, ratePerSecond: real, burst: real });
+const tenantQuotaField = record({
+  tenant: shortText,
+  version: real,
+  ratePerSecond: real,
+  burst: real,
+});
 
-const silenceWord = record({ member: shortText, milliseconds: real, wasHeard: flag });
+const silenceReportField = record({ member: shortText, milliseconds: real, wasHeard: flag });
 
 const pulledFields = {
   call: count,
@@ -196,7 +201,7 @@
 const BRANCHES: readonly UnionBranch[] = [
   { type: 'reserve', fields: { call: count, epoch: count, entry: accountEntryField } },
   { type: 'settle', fields: { entry: accountEntryField } },
-  { type: 'keep', fields: { call: count, epoch: count, turn: keptTurnField } },
+  { type: 'keep', fields: { call: count, epoch: count, turn: conversationTurnField } },
   { type: 'chain', fields: { call: count, turn: shortText } },
   {
     type: 'pull',
@@ -207,7 +212,7 @@
   { type: 'account', fields: { call: count, outcome, entries: listOf(accountEntryField) } },
   { type: 'chained', fields: { call: count, state: oneOf(CHAIN_STATES), body: bytes } },
   { type: 'pulled', fields: pulledFields },
-  { type: 'fetched', fields: { call: count, turns: listOf(keptTurnField) } },
+  { type: 'fetched', fields: { call: count, turns: listOf(conversationTurnField) } },
   { type: 'members', fields: { record: longText } },
   { type: 'readEntries', fields: { call: count, digests: bytes } },
   { type: 'entriesRead', fields: { call: count, entries: listOf(accountEntryField) } },
@@ -216,7 +221,7 @@
     fields: {
       call: count,
       epoch: count,
-      quota: toldQuota,
+      quota: tenantQuotaField,
       beginsRequests: real,
       patienceMilliseconds: real,
     },
@@ -226,7 +231,7 @@
   { type: 'askSilences', fields: { call: count } },
   {
     type: 'silencesTold',
-    fields: { call: count, from: shortText, words: listOf(silenceWord) },
+    fields: { call: count, from: shortText, words: listOf(silenceReportField) },
   },
   { type: 'chainUnder', fields: { call: count, epoch: count, turn: shortText } },
   { type: 'notKnown', fields: { call: count } },
@@ -234,10 +239,10 @@
 const message = new TaggedUnion(BRANCHES);
 
 /** Names of all kinds, in the order of their numbers. */
-export const REPLICA_KINDS: readonly string[] = BRANCHES.map(({ type }) => type);
+export const REPLICA_MESSAGE_KINDS: readonly string[] = BRANCHES.map(({ type }) => type);
 
 /** Number of a message's kind. */
-export function kindOf(value: { readonly type: string }): number {
+export function messageKindOf(value: { readonly type: string }): number {
   return message.numberOf(value);
 }
 
--- a/src/turns/peer-progress.ts
+++ b/src/turns/peer-progress.ts
@@ -5,9 +5,9 @@
   log: string;
   position: number;
   /** Epoch that the peer knew when this replica last stood at its log's end; 0 before. */
-  levelEpoch: number;
+  caughtUpEpoch: number;
   /** Local time at which this replica last stood at its log's end, in milliseconds. */
-  levelAt: number;
+  caughtUpAt: number;
   /** Whether the peer's own state was complete then. */
   active: boolean;
   /** Epoch under which it said that it had acknowledged nothing as a member; 0 when it did not. */
--- a/src/turns/trial-connection.ts
+++ b/src/turns/protocol-probe.ts
@@ -7,30 +7,30 @@
 import { encodeFrame } from '../wire/framing.js';
 import type { Member } from './membership.js';
 import { encodeReplicaMessage } from './messages.js';
-import { KINDS_OF_ALL_BUILDS, KINDS_OF_UNTOLD_BUILDS } from './replica-forms.js';
+import { BASELINE_KIND_COUNT, UNANNOUNCED_KIND_COUNT } from './protocol-negotiation.js';
 
 /** Longest wait for either end, in milliseconds: below the silence after which a replica counts as out of reach. */
-const TRIAL_MILLISECONDS = 200;
+const PROBE_TIMEOUT_MILLISECONDS = 200;
 /** The turn never exists: the question changes nothing. */
-const QUESTION = { type: 'chainUnder', call: 1, epoch: 0, turn: '' } as const;
+const PROBE_REQUEST = { type: 'chainUnder', call: 1, epoch: 0, turn: '' } as const;
 
 /** Calls back with the number of kinds that are read; undefined when it can't be told now. */
-export function tryKinds(
+export function probeKindCount(
   member: Member,
   runtime: Runtime,
   done: (kinds: number | undefined) => void,
 ): void {
   const socket = connect({ host: member.host, port: member.port, noDelay: true });
   let kinds: number | undefined;
-  const cancelTimer = runtime.setTimer(TRIAL_MILLISECONDS, () => socket.destroy());
-  const noteEnd = (): void => {
-    kinds ??= socket.bytesWritten > 0 ? KINDS_OF_ALL_BUILDS : undefined;
+  const cancelTimer = runtime.setTimer(PROBE_TIMEOUT_MILLISECONDS, () => socket.destroy());
+  const handleEnd = (): void => {
+    kinds ??= socket.bytesWritten > 0 ? BASELINE_KIND_COUNT : undefined;
   };
-  socket.on('error', noteEnd);
-  socket.on('end', noteEnd);
-  socket.on('connect', () => socket.write(encodeFrame(encodeReplicaMessage(QUESTION))));
+  socket.on('error', handleEnd);
+  socket.on('end', handleEnd);
+  socket.on('connect', () => socket.write(encodeFrame(encodeReplicaMessage(PROBE_REQUEST))));
   socket.once('data', () => {
-    kinds = KINDS_OF_UNTOLD_BUILDS;
+    kinds = UNANNOUNCED_KIND_COUNT;
     socket.destroy();
   });
   socket.on('close', () => {
--- a/src/turns/quorum-write.ts
+++ b/src/turns/quorum-write.ts
@@ -39,13 +39,13 @@
 }
 
 class QuorumWrite {
-  private readonly waiting: Member[];
+  private readonly unaskedMembers: Member[];
   private readonly needed: number;
   private readonly replies: ReplicaReply[] = [];
   private readonly outcomes = new Map<Member, MemberOutcome>();
-  private readonly until: number;
-  private open = 0;
-  private over = false;
+  private readonly deadline: number;
+  private pendingCalls = 0;
+  private finished = false;
 
   constructor(
     private readonly runtime: Runtime,
@@ -53,35 +53,37 @@
     private readonly write: QuorumWriteRequest,
     private readonly done: (replies: readonly ReplicaReply[] | undefined) => void,
   ) {
-    this.waiting = membersForKey(write.record, write.key);
+    this.unaskedMembers = membersForKey(write.record, write.key);
     this.needed = majorityOf(write.record);
-    this.until = runtime.now() + write.timeoutMilliseconds;
+    this.deadline = runtime.now() + write.timeoutMilliseconds;
   }
 
   start(): void {
-    this.ask(this.needed + SPARE_REPLICAS);
-    if (this.waiting.length > 0) {
-      this.runtime.setTimer(HEDGE_MILLISECONDS, () => this.ask(this.waiting.length));
+    this.sendToNext(this.needed + SPARE_REPLICAS);
+    if (this.unaskedMembers.length > 0) {
+      this.runtime.setTimer(HEDGE_MILLISECONDS, () => this.sendToNext(this.unaskedMembers.length));
     }
-    this.endIfHopeless();
+    this.failIfImpossible();
   }
 
-  private ask(count: number): void {
-    const left = this.until - this.runtime.now();
-    if (this.over || left <= 0) {
+  private sendToNext(count: number): void {
+    const remainingMilliseconds = this.deadline - this.runtime.now();
+    if (this.finished || remainingMilliseconds <= 0) {
       return;
     }
-    const asked = this.waiting.splice(0, count);
-    this.open += asked.length;
+    const asked = this.unaskedMembers.splice(0, count);
+    this.pendingCalls += asked.length;
     for (const member of asked) {
       this.outcomes.set(member, 'none');
-      this.caller.call(member, this.write.request, left, (reply) => this.take(member, reply));
+      this.caller.call(member, this.write.request, remainingMilliseconds, (reply) =>
+        this.handleReply(member, reply),
+      );
     }
   }
 
-  private take(member: Member, reply: ReplicaReply | undefined): void {
-    this.open -= 1;
-    if (this.over) {
+  private handleReply(member: Member, reply: ReplicaReply | undefined): void {
+    this.pendingCalls -= 1;
+    if (this.finished) {
       return;
     }
     const outcome = reply !== undefined && 'outcome' in reply ? reply.outcome : 'none';
@@ -89,25 +91,25 @@
     if (reply !== undefined && outcome === 'done') {
       this.replies.push(reply);
     } else {
-      this.ask(1);
+      this.sendToNext(1);
     }
     if (this.replies.length >= this.needed) {
       this.finish(this.replies);
     } else {
-      this.endIfHopeless();
+      this.failIfImpossible();
     }
   }
 
-  private endIfHopeless(): void {
-    const possible = this.replies.length + this.open + this.waiting.length;
-    if (!this.over && possible < this.needed) {
+  private failIfImpossible(): void {
+    const possible = this.replies.length + this.pendingCalls + this.unaskedMembers.length;
+    if (!this.finished && possible < this.needed) {
       this.write.onFailed?.(this.outcomes);
       this.finish(undefined);
     }
   }
 
   private finish(replies: readonly ReplicaReply[] | undefined): void {
-    this.over = true;
+    this.finished = true;
     this.done(replies);
   }
 }
--- a/src/turns/quota-buckets.ts
+++ b/src/turns/quota-buckets.ts
@@ -6,7 +6,7 @@
  */
 
 /** Limit of a tenant as a gateway knows it. */
-export interface ToldQuota {
+export interface TenantQuota {
   readonly tenant: string;
   /** Version of the configuration it stands in: the newest one counts. */
   readonly version: number;
@@ -34,22 +34,22 @@
 
 const MILLISECONDS_IN_SECOND = 1_000;
 /** Part of the overshoot that is given out; 0.06 of a rate is kept for a member that was taken out. */
-const OVERSHOOT_SHARE = 0.4;
+const OVERSHOOT_SHARE_GRANTED = 0.4;
 /** Part of the slack that is given out, so that few programs at once don't exceed a small limit. */
-const SLACK_SHARE = 0.8;
+const SLACK_SHARE_GRANTED = 0.8;
 /**
  * Programs that a limit must hold in one window for them to be counted as wholes: where it holds fewer,
  * more are refused by that than are broken off without it.
  */
-const LEAST_PROGRAMS = 4;
+const MINIMUM_PROGRAMS = 4;
 /** Window over which that is told, in seconds. */
 const WINDOW_SECONDS = 5;
 /** Time over which a program's requests come, in seconds: what is promised may exceed what is there by so much. */
-const PROMISE_SECONDS = 2;
+const RESERVATION_SECONDS = 2;
 /** Time without a request after which a tenant is forgotten, in milliseconds: any bucket is full by then. */
-const FORGET_MILLISECONDS = 60_000;
+const IDLE_TENANT_MILLISECONDS = 60_000;
 /** Tenants beyond which idle ones are looked for. */
-const MANY_TENANTS = 256;
+const IDLE_SWEEP_THRESHOLD = 256;
 
 interface Bucket {
   version: number;
@@ -58,7 +58,7 @@
   /** Requests that may run now. */
   tokens: number;
   /** The same, less what the programs that were let in are expected to need. */
-  unpromised: number;
+  unreserved: number;
   filledAt: number;
 }
 
@@ -80,55 +80,57 @@
    * @param patienceMilliseconds time for which it may be held: it is then granted ahead of what comes in
    */
   take(
-    quota: ToldQuota,
+    quota: TenantQuota,
     share: number,
     beginsRequests: number,
     now: number,
     patienceMilliseconds = 0,
   ): QuotaDecision {
     const bucket = this.bucketOf(quota, share, now);
-    const isCounted = beginsRequests > 0 && holdsPrograms(bucket, beginsRequests * share);
-    const lacking = Math.max(
+    const reservesProgram =
+      beginsRequests > 0 && fitsSeveralPrograms(bucket, beginsRequests * share);
+    const missingTokens = Math.max(
       1 - bucket.tokens,
-      isCounted && bucket.unpromised <= 0 ? -bucket.unpromised + 1 : 0,
+      reservesProgram && bucket.unreserved <= 0 ? -bucket.unreserved + 1 : 0,
     );
-    const waitMilliseconds = waitFor(Math.max(0, lacking), bucket.ratePerSecond);
+    const waitMilliseconds = refillMilliseconds(Math.max(0, missingTokens), bucket.ratePerSecond);
     if (waitMilliseconds > patienceMilliseconds) {
       return { granted: false, waitMilliseconds };
     }
     bucket.tokens -= 1;
-    bucket.unpromised -= beginsRequests;
+    bucket.unreserved -= beginsRequests;
     return { granted: true, waitMilliseconds };
   }
 
-  private bucketOf(quota: ToldQuota, share: number, now: number): Bucket {
+  private bucketOf(quota: TenantQuota, share: number, now: number): Bucket {
     let bucket = this.buckets.get(quota.tenant);
     if (bucket === undefined) {
-      this.forgetIdle(now);
+      this.evictIdle(now);
       bucket = emptyBucket(this.startedAt);
       this.buckets.set(quota.tenant, bucket);
     }
     if (quota.version >= bucket.version) {
       bucket.version = quota.version;
       const { overshoot, slack } = this.allowance;
-      bucket.ratePerSecond = quota.ratePerSecond * (1 + overshoot * OVERSHOOT_SHARE) * share;
-      bucket.capacity = Math.max(1, (quota.burst + slack * SLACK_SHARE) * share);
+      bucket.ratePerSecond =
+        quota.ratePerSecond * (1 + overshoot * OVERSHOOT_SHARE_GRANTED) * share;
+      bucket.capacity = Math.max(1, (quota.burst + slack * SLACK_SHARE_GRANTED) * share);
     }
-    const filled =
+    const refilledTokens =
       (Math.max(0, now - bucket.filledAt) * bucket.ratePerSecond) / MILLISECONDS_IN_SECOND;
-    bucket.tokens = Math.min(bucket.capacity, bucket.tokens + filled);
-    const mostPromised = bucket.capacity + bucket.ratePerSecond * PROMISE_SECONDS;
-    bucket.unpromised = Math.min(mostPromised, bucket.unpromised + filled);
+    bucket.tokens = Math.min(bucket.capacity, bucket.tokens + refilledTokens);
+    const maximumUnreserved = bucket.capacity + bucket.ratePerSecond * RESERVATION_SECONDS;
+    bucket.unreserved = Math.min(maximumUnreserved, bucket.unreserved + refilledTokens);
     bucket.filledAt = now;
     return bucket;
   }
 
-  private forgetIdle(now: number): void {
-    if (this.buckets.size < MANY_TENANTS) {
+  private evictIdle(now: number): void {
+    if (this.buckets.size < IDLE_SWEEP_THRESHOLD) {
       return;
     }
     for (const [tenant, { filledAt }] of this.buckets) {
-      if (now - filledAt > FORGET_MILLISECONDS) {
+      if (now - filledAt > IDLE_TENANT_MILLISECONDS) {
         this.buckets.delete(tenant);
       }
     }
@@ -139,15 +141,15 @@
 
 function emptyBucket(filledAt: number): Bucket {
   const unlimited = { version: -1, ratePerSecond: 0, capacity: 0 };
-  return { ...unlimited, tokens: 0, unpromised: 0, filledAt };
+  return { ...unlimited, tokens: 0, unreserved: 0, filledAt };
 }
 
 /** Whether a limit has room for several programs, each taking so many requests of this member's share. */
-function holdsPrograms({ ratePerSecond, capacity }: Bucket, requestsHere: number): boolean {
-  return requestsHere * LEAST_PROGRAMS <= ratePerSecond * WINDOW_SECONDS + capacity;
+function fitsSeveralPrograms({ ratePerSecond, capacity }: Bucket, requestsHere: number): boolean {
+  return requestsHere * MINIMUM_PROGRAMS <= ratePerSecond * WINDOW_SECONDS + capacity;
 }
 
-function waitFor(tokens: number, ratePerSecond: number): number {
+function refillMilliseconds(tokens: number, ratePerSecond: number): number {
   if (tokens === 0) {
     return 0;
   }
--- a/src/turns/quota-client.ts
+++ b/src/turns/quota-client.ts
@@ -8,7 +8,7 @@
 import type { MemberDirectory } from './member-directory.js';
 import type { Member, MemberRecord } from './membership.js';
 import type { ReplicaReply } from './messages.js';
-import type { ToldQuota } from './quota-buckets.js';
+import type { TenantQuota } from './quota-buckets.js';
 import type { ReplicaCaller } from './replica-caller.js';
 
 /** How asking ended. */
@@ -29,8 +29,8 @@
 /** Time after which the next member is asked beside one that is slow, in milliseconds. */
 const HEDGE_MILLISECONDS = 40;
 /** What is asked. */
-export interface QuotaQuestion {
-  readonly quota: ToldQuota;
+export interface QuotaRequest {
+  readonly quota: TenantQuota;
   /** Requests that the program is expected to need which begins with this one; 0 for one under way. */
   readonly beginsRequests: number;
   /** Time for which the request may be held, in milliseconds. */
@@ -38,21 +38,21 @@
 }
 
 /** Refusals that are remembered; beyond, those that are over are dropped. */
-const MANY_REFUSALS = 2_000;
+const REFUSAL_SWEEP_THRESHOLD = 2_000;
 
 /** A question on its way from member to member. */
-interface Spending {
-  readonly question: QuotaQuestion;
+interface SpendAttempt {
+  readonly quotaRequest: QuotaRequest;
   readonly record: MemberRecord;
-  readonly until: number;
+  readonly deadline: number;
   readonly done: (outcome: QuotaOutcome) => void;
-  readonly waiting: Member[];
+  readonly unaskedMembers: Member[];
   /** Members that refused, with the time until they have room, in milliseconds. */
   readonly refusals: { readonly member: Member; readonly waitMilliseconds: number }[];
-  open: number;
-  over: boolean;
+  pendingCalls: number;
+  finished: boolean;
   /** Whether the member that has room soonest was asked for its next place. */
-  isHeld: boolean;
+  hasQueued: boolean;
 }
 
 /** See the head of this file. */
@@ -64,7 +64,7 @@
 
   /** Asks whether one request may run; calls back when it may, or that it may not. */
   spend(
-    question: QuotaQuestion,
+    quotaRequest: QuotaRequest,
     timeoutMilliseconds: number,
     done: (outcome: QuotaOutcome) => void,
   ): void {
@@ -74,130 +74,150 @@
       done({ tag: 'OutOfReach' });
       return;
     }
-    const until = runtime.now() + timeoutMilliseconds;
-    const state = { waiting: [], refusals: [], open: 0, over: false, isHeld: false };
-    const spending: Spending = { question, record, until, done, ...state };
-    for (const member of this.inDrawnOrder(record.members)) {
-      const waitMilliseconds = this.refusalLeft(spending, member);
+    const deadline = runtime.now() + timeoutMilliseconds;
+    const state = {
+      unaskedMembers: [],
+      refusals: [],
+      pendingCalls: 0,
+      finished: false,
+      hasQueued: false,
+    };
+    const attempt: SpendAttempt = {
+      quotaRequest: quotaRequest,
+      record,
+      deadline: deadline,
+      done,
+      ...state,
+    };
+    for (const member of this.inRandomOrder(record.members)) {
+      const waitMilliseconds = this.refusalMilliseconds(attempt, member);
       if (waitMilliseconds > 0) {
-        spending.refusals.push({ member, waitMilliseconds });
+        attempt.refusals.push({ member, waitMilliseconds });
       } else {
-        spending.waiting.push(member);
+        attempt.unaskedMembers.push(member);
       }
     }
-    this.askNext(spending);
+    this.askNext(attempt);
   }
 
-  private inDrawnOrder(members: readonly Member[]): Member[] {
+  private inRandomOrder(members: readonly Member[]): Member[] {
     const { random } = this.options.runtime;
-    const left = [...members];
-    const drawn: Member[] = [];
-    while (left.length > 0) {
-      drawn.push(...left.splice(random.integer(0, left.length - 1), 1));
+    const remaining = [...members];
+    const shuffled: Member[] = [];
+    while (remaining.length > 0) {
+      shuffled.push(...remaining.splice(random.integer(0, remaining.length - 1), 1));
     }
-    return drawn;
+    return shuffled;
   }
 
-  private askNext(spending: Spending): void {
-    if (spending.over) {
+  private askNext(attempt: SpendAttempt): void {
+    if (attempt.finished) {
       return;
     }
-    const hasTime = spending.until > this.options.runtime.now();
-    const member = hasTime ? spending.waiting.shift() : undefined;
+    const hasTime = attempt.deadline > this.options.runtime.now();
+    const member = hasTime ? attempt.unaskedMembers.shift() : undefined;
     if (member === undefined) {
-      this.holdOrEnd(spending, hasTime);
+      this.queueOrFinish(attempt, hasTime);
       return;
     }
-    this.ask(spending, member, 0);
+    this.ask(attempt, member, 0);
     this.options.runtime.setTimer(HEDGE_MILLISECONDS, () => {
-      if (spending.waiting.length > 0) {
-        this.askNext(spending);
+      if (attempt.unaskedMembers.length > 0) {
+        this.askNext(attempt);
       }
     });
   }
 
-  private ask(spending: Spending, member: Member, patienceMilliseconds: number): void {
+  private ask(attempt: SpendAttempt, member: Member, patienceMilliseconds: number): void {
     const { runtime, caller } = this.options;
-    const { question, record, until } = spending;
-    const request = { ...question, type: 'spend' as const, epoch: record.epoch };
-    spending.open += 1;
-    caller.call(member, { ...request, patienceMilliseconds }, until - runtime.now(), (reply) => {
-      spending.open -= 1;
-      this.take(spending, member, reply);
+    const { quotaRequest: quotaRequest, record, deadline: deadline } = attempt;
+    const request = { ...quotaRequest, type: 'spend' as const, epoch: record.epoch };
+    attempt.pendingCalls += 1;
+    caller.call(member, { ...request, patienceMilliseconds }, deadline - runtime.now(), (reply) => {
+      attempt.pendingCalls -= 1;
+      this.handleReply(attempt, member, reply);
     });
   }
 
-  private take(spending: Spending, member: Member, reply: ReplicaReply | undefined): void {
-    if (spending.over) {
+  private handleReply(
+    attempt: SpendAttempt,
+    member: Member,
+    reply: ReplicaReply | undefined,
+  ): void {
+    if (attempt.finished) {
       return;
     }
     if (reply?.type === 'spent' && reply.outcome === 'done') {
       const { granted, waitMilliseconds } = reply;
       if (granted) {
-        this.grant(spending, waitMilliseconds);
+        this.grant(attempt, waitMilliseconds);
         return;
       }
-      this.rememberRefusal(spending, member, waitMilliseconds);
-      spending.refusals.push({ member, waitMilliseconds });
+      this.rememberRefusal(attempt, member, waitMilliseconds);
+      attempt.refusals.push({ member, waitMilliseconds });
     }
-    this.askNext(spending);
+    this.askNext(attempt);
   }
 
-  private grant(spending: Spending, waitMilliseconds: number): void {
-    spending.over = true;
+  private grant(attempt: SpendAttempt, waitMilliseconds: number): void {
+    attempt.finished = true;
     if (waitMilliseconds > 0) {
-      const granted = (): void => spending.done({ tag: 'Granted' });
+      const granted = (): void => attempt.done({ tag: 'Granted' });
       this.options.runtime.setTimer(waitMilliseconds, granted);
     } else {
-      spending.done({ tag: 'Granted' });
+      attempt.done({ tag: 'Granted' });
     }
   }
 
   /** Nobody is left to ask: takes the next place of the member that has room soonest, or gives up. */
-  private holdOrEnd(spending: Spending, hasTime: boolean): void {
-    if (spending.open > 0 && hasTime) {
+  private queueOrFinish(attempt: SpendAttempt, hasTime: boolean): void {
+    if (attempt.pendingCalls > 0 && hasTime) {
       return;
     }
-    const soonest = spending.refusals.reduce<Spending['refusals'][number] | undefined>(
+    const shortestRefusal = attempt.refusals.reduce<SpendAttempt['refusals'][number] | undefined>(
       (best, each) =>
         best === undefined || each.waitMilliseconds < best.waitMilliseconds ? each : best,
       undefined,
     );
-    const { patienceMilliseconds } = spending.question;
-    const mayHold = hasTime && !spending.isHeld && patienceMilliseconds > 0;
-    if (soonest !== undefined && mayHold && soonest.waitMilliseconds <= patienceMilliseconds) {
-      spending.isHeld = true;
-      this.ask(spending, soonest.member, patienceMilliseconds);
+    const { patienceMilliseconds } = attempt.quotaRequest;
+    const mayQueue = hasTime && !attempt.hasQueued && patienceMilliseconds > 0;
+    if (
+      shortestRefusal !== undefined &&
+      mayQueue &&
+      shortestRefusal.waitMilliseconds <= patienceMilliseconds
+    ) {
+      attempt.hasQueued = true;
+      this.ask(attempt, shortestRefusal.member, patienceMilliseconds);
       return;
     }
-    spending.over = true;
-    spending.done(
-      soonest === undefined
+    attempt.finished = true;
+    attempt.done(
+      shortestRefusal === undefined
         ? { tag: 'OutOfReach' }
-        : { tag: 'Exhausted', waitMilliseconds: soonest.waitMilliseconds },
+        : { tag: 'Exhausted', waitMilliseconds: shortestRefusal.waitMilliseconds },
     );
   }
 
-  private rememberRefusal(spending: Spending, member: Member, waitMilliseconds: number): void {
+  private rememberRefusal(attempt: SpendAttempt, member: Member, waitMilliseconds: number): void {
     const now = this.options.runtime.now();
-    if (this.refusedUntil.size >= MANY_REFUSALS) {
+    if (this.refusedUntil.size >= REFUSAL_SWEEP_THRESHOLD) {
       for (const [key, until] of this.refusedUntil) {
         if (until <= now) {
           this.refusedUntil.delete(key);
         }
       }
     }
-    this.refusedUntil.set(refusalKey(spending, member), now + waitMilliseconds);
+    this.refusedUntil.set(refusalKey(attempt, member), now + waitMilliseconds);
   }
 
-  private refusalLeft(spending: Spending, member: Member): number {
-    const until = this.refusedUntil.get(refusalKey(spending, member)) ?? -Infinity;
+  private refusalMilliseconds(attempt: SpendAttempt, member: Member): number {
+    const until = this.refusedUntil.get(refusalKey(attempt, member)) ?? -Infinity;
     return until - this.options.runtime.now();
   }
 }
 
-function refusalKey({ question }: Spending, member: Member): string {
-  const { quota, beginsRequests } = question;
+function refusalKey({ quotaRequest: quotaRequest }: SpendAttempt, member: Member): string {
+  const { quota, beginsRequests } = quotaRequest;
   const kind = beginsRequests > 0 ? 'program' : 'request';
   return `${member.id} ${kind} ${quota.version} ${quota.tenant}`;
 }
--- a/src/turns/replica-bounds.ts
+++ b/src/turns/replica-bounds.ts
@@ -3,28 +3,31 @@
  * and links that are well. docs/design/bounds.md tells the terms; each sum has a scenario in which the last fault comes
  * at that very moment. What is copied and read grows with the state and stands in docs/CAPACITY.md, not here.
  */
-import { DECLARATION_MILLISECONDS } from './completeness.js';
+import { DECLARATION_MILLISECONDS } from './completeness-check.js';
 import {
   CHANGE_MILLISECONDS,
-  HURRIED_LOOK_MILLISECONDS,
+  URGENT_POLL_MILLISECONDS,
   membershipTimingsFor,
-  PULL_MILLISECONDS,
+  PULL_INTERVAL_MILLISECONDS,
   START_MILLISECONDS,
-  STEP_MILLISECONDS,
+  DECISION_INTERVAL_MILLISECONDS,
 } from './membership-timings.js';
 import type { MembershipTimings } from './membership-timings.js';
-import { REACH_LOOK_MILLISECONDS, REACH_SILENCE_MILLISECONDS } from './replica-reach.js';
-import { CALL_MILLISECONDS } from './replica-sync.js';
 import {
-  CONNECT_MILLISECONDS,
-  LINK_SILENCE_MILLISECONDS,
-  RECONNECT_MILLISECONDS,
+  REACHABILITY_CHECK_MILLISECONDS,
+  MEMBER_SILENCE_MILLISECONDS,
+} from './replica-reachability.js';
+import { CALL_TIMEOUT_MILLISECONDS } from './replica-sync.js';
+import {
+  CONNECT_TIMEOUT_MILLISECONDS,
+  SOCKET_SILENCE_MILLISECONDS,
+  RECONNECT_DELAY_MILLISECONDS,
 } from './tcp-replica-caller.js';
 
 /** Pause before a disk that can't be read is tried again, in milliseconds. */
-export const REOPEN_MILLISECONDS = 500;
+export const REOPEN_DELAY_MILLISECONDS = 500;
 /** Part of a bound that is left to processes that are late. */
-const LATE_PART = 0.1;
+const LATENESS_MARGIN = 0.1;
 
 /** What a deployment promises, in milliseconds; infinite where it names no bound. */
 export interface ReplicaBounds {
@@ -50,14 +53,17 @@
  * begin anew as the successor starts, so that they must notice the silence themselves.
  */
 export function worstReplacementMilliseconds(
-  { removalMilliseconds, courtesyMilliseconds }: MembershipTimings,
+  { removalMilliseconds, sameZoneDelayMilliseconds: sameZoneDelayMilliseconds }: MembershipTimings,
   /** Members present in the successor's own zone. */
-  neighbours: number,
+  sameZoneMembers: number,
 ): number {
-  const untilOpen = START_MILLISECONDS + removalMilliseconds + neighbours * courtesyMilliseconds;
-  const untilJoined = HURRIED_LOOK_MILLISECONDS + STEP_MILLISECONDS + CHANGE_MILLISECONDS;
-  const untilRemoved = PULL_MILLISECONDS + STEP_MILLISECONDS + CHANGE_MILLISECONDS;
-  return untilOpen + untilJoined + untilRemoved;
+  const untilVacant =
+    START_MILLISECONDS + removalMilliseconds + sameZoneMembers * sameZoneDelayMilliseconds;
+  const untilJoined =
+    URGENT_POLL_MILLISECONDS + DECISION_INTERVAL_MILLISECONDS + CHANGE_MILLISECONDS;
+  const untilRemoved =
+    PULL_INTERVAL_MILLISECONDS + DECISION_INTERVAL_MILLISECONDS + CHANGE_MILLISECONDS;
+  return untilVacant + untilJoined + untilRemoved;
 }
 
 /**
@@ -65,26 +71,28 @@
  * one call goes into a dead connection, and its word that it is complete reaches its disk.
  */
 export function worstRefillMilliseconds(): number {
-  const untilAsked = START_MILLISECONDS + RECONNECT_MILLISECONDS + PULL_MILLISECONDS;
-  return untilAsked + CALL_MILLISECONDS + DECLARATION_MILLISECONDS + CHANGE_MILLISECONDS;
+  const untilPulled =
+    START_MILLISECONDS + RECONNECT_DELAY_MILLISECONDS + PULL_INTERVAL_MILLISECONDS;
+  return untilPulled + CALL_TIMEOUT_MILLISECONDS + DECLARATION_MILLISECONDS + CHANGE_MILLISECONDS;
 }
 
 /** From the end of a trouble until a gateway has its replicas again: a dead connection is given up and made anew. */
 export function worstContactMilliseconds(): number {
-  const untilConnected = LINK_SILENCE_MILLISECONDS + RECONNECT_MILLISECONDS + CONNECT_MILLISECONDS;
-  return untilConnected + REACH_SILENCE_MILLISECONDS + REACH_LOOK_MILLISECONDS;
+  const untilConnected =
+    SOCKET_SILENCE_MILLISECONDS + RECONNECT_DELAY_MILLISECONDS + CONNECT_TIMEOUT_MILLISECONDS;
+  return untilConnected + MEMBER_SILENCE_MILLISECONDS + REACHABILITY_CHECK_MILLISECONDS;
 }
 
 /** From the return of all machines until writes are acknowledged: a disk that opens late, a refill, contact. */
 export function worstRecoveryMilliseconds(): number {
-  return REOPEN_MILLISECONDS + worstRefillMilliseconds() + worstContactMilliseconds();
+  return REOPEN_DELAY_MILLISECONDS + worstRefillMilliseconds() + worstContactMilliseconds();
 }
 
 /** The bounds that can't be kept in the worst case. */
-export function unmetBounds(bounds: ReplicaBounds, neighbours: number): readonly UnmetBound[] {
+export function unmetBounds(bounds: ReplicaBounds, sameZoneMembers: number): readonly UnmetBound[] {
   const { catchUpMilliseconds, recoveryMilliseconds, contactMilliseconds } = bounds;
   const timings = membershipTimingsFor(catchUpMilliseconds);
-  const replacement = worstReplacementMilliseconds(timings, neighbours);
+  const replacement = worstReplacementMilliseconds(timings, sameZoneMembers);
   const sums: readonly UnmetBound[] = [
     { promise: 'a machine replaced', bound: catchUpMilliseconds, worst: replacement },
     { promise: 'a disk replaced', bound: catchUpMilliseconds, worst: worstRefillMilliseconds() },
@@ -95,10 +103,10 @@
     },
     { promise: 'contact', bound: contactMilliseconds, worst: worstContactMilliseconds() },
   ];
-  return sums.filter(({ bound, worst }) => worst > bound * (1 - LATE_PART));
+  return sums.filter(({ bound, worst }) => worst > bound * (1 - LATENESS_MARGIN));
 }
 
 /** Members present in the zone of a successor at most, besides the gone one whose place it takes. */
-export function mostNeighbours(wantedMembers: number, zoneCount: number): number {
+export function maximumSameZoneMembers(wantedMembers: number, zoneCount: number): number {
   return Math.ceil(wantedMembers / Math.max(1, zoneCount)) - 1;
 }
--- a/src/turns/replica-caller.ts
+++ b/src/turns/replica-caller.ts
@@ -24,5 +24,5 @@
     listener: ReplyListener,
   ): void;
   /** Sends something to which nothing comes back. */
-  tell(member: Member, message: OneWayMessage): void;
+  notify(member: Member, message: OneWayMessage): void;
 }
--- a/src/turns/replica-reach.ts
+++ b/src/turns/replica-reachability.ts
@@ -12,23 +12,23 @@
 import type { ReplicaCaller, ReplyListener, UnnumberedRequest } from './replica-caller.js';
 
 /** Time without any reply, while calls wait for one, after which a replica counts as silent. */
-export const REACH_SILENCE_MILLISECONDS = 250;
+export const MEMBER_SILENCE_MILLISECONDS = 250;
 /** Pause between looks at the calls that wait, and between probes. */
-export const REACH_LOOK_MILLISECONDS = 100;
+export const REACHABILITY_CHECK_MILLISECONDS = 100;
 
 /** What is known of one replica. */
 interface ReplicaContact {
   /** Calls that have no reply yet. */
-  waiting: number;
+  pendingCalls: number;
   /** Local time since which a reply is owed, in milliseconds; undefined when none is. */
-  owedSince: number | undefined;
+  dueSince: number | undefined;
 }
 
 /** See the head of this file. Passes all calls on to another caller. */
-export class ReplicaReach implements ReplicaCaller {
+export class ReplicaReachability implements ReplicaCaller {
   private readonly contacts = new Map<string, ReplicaContact>();
   private reachable = true;
-  private cancelLook: CancelTimer | undefined;
+  private cancelCheck: CancelTimer | undefined;
 
   constructor(
     private readonly runtime: Runtime,
@@ -50,65 +50,65 @@
     listener: ReplyListener,
   ): void {
     const contact = this.contactOf(member);
-    contact.waiting += 1;
-    contact.owedSince ??= this.runtime.now();
-    this.lookLater();
+    contact.pendingCalls += 1;
+    contact.dueSince ??= this.runtime.now();
+    this.scheduleCheck();
     this.caller.call(member, request, timeoutMilliseconds, (reply) => {
-      contact.waiting -= 1;
+      contact.pendingCalls -= 1;
       if (reply !== undefined) {
-        contact.owedSince = contact.waiting > 0 ? this.runtime.now() : undefined;
+        contact.dueSince = contact.pendingCalls > 0 ? this.runtime.now() : undefined;
       }
       listener(reply);
     });
   }
 
-  tell(member: Member, message: OneWayMessage): void {
-    this.caller.tell(member, message);
+  notify(member: Member, message: OneWayMessage): void {
+    this.caller.notify(member, message);
   }
 
   private contactOf(member: Member): ReplicaContact {
     let contact = this.contacts.get(member.id);
     if (contact === undefined) {
-      contact = { waiting: 0, owedSince: undefined };
+      contact = { pendingCalls: 0, dueSince: undefined };
       this.contacts.set(member.id, contact);
     }
     return contact;
   }
 
-  private lookLater(): void {
-    this.cancelLook ??= this.runtime.setTimer(REACH_LOOK_MILLISECONDS, () => {
-      this.cancelLook = undefined;
-      this.look();
+  private scheduleCheck(): void {
+    this.cancelCheck ??= this.runtime.setTimer(REACHABILITY_CHECK_MILLISECONDS, () => {
+      this.cancelCheck = undefined;
+      this.check();
     });
   }
 
   /** Compares what is owed with the clock; goes on as long as something is. */
-  private look(): void {
+  private check(): void {
     const record = this.currentRecord();
     if (record === undefined) {
       return;
     }
-    this.forgetOthers(record);
+    this.forgetNonMembers(record);
     const silent = record.members.filter((member) => this.isSilent(member));
-    this.note(record.members.length - silent.length >= majorityOf(record), silent);
+    this.updateReachable(record.members.length - silent.length >= majorityOf(record), silent);
     silent.forEach((member) => this.probe(member));
-    if (record.members.some((member) => this.contactOf(member).owedSince !== undefined)) {
-      this.lookLater();
+    if (record.members.some((member) => this.contactOf(member).dueSince !== undefined)) {
+      this.scheduleCheck();
     }
   }
 
   private isSilent(member: Member): boolean {
-    const { owedSince } = this.contactOf(member);
-    return owedSince !== undefined && this.runtime.now() - owedSince >= REACH_SILENCE_MILLISECONDS;
+    const { dueSince: dueSince } = this.contactOf(member);
+    return dueSince !== undefined && this.runtime.now() - dueSince >= MEMBER_SILENCE_MILLISECONDS;
   }
 
   private probe(member: Member): void {
-    if (this.contactOf(member).waiting === 0) {
-      this.call(member, PRESENCE_PROBE, REACH_SILENCE_MILLISECONDS, () => undefined);
+    if (this.contactOf(member).pendingCalls === 0) {
+      this.call(member, PRESENCE_PROBE, MEMBER_SILENCE_MILLISECONDS, () => undefined);
     }
   }
 
-  private note(reachable: boolean, silent: readonly Member[]): void {
+  private updateReachable(reachable: boolean, silent: readonly Member[]): void {
     if (reachable === this.reachable) {
       return;
     }
@@ -124,7 +124,7 @@
     this.onChange(reachable);
   }
 
-  private forgetOthers(record: MemberRecord): void {
+  private forgetNonMembers(record: MemberRecord): void {
     const members = new Set(record.members.map((member) => member.id));
     for (const id of this.contacts.keys()) {
       if (!members.has(id)) {
--- a/src/turns/replica-server.ts
+++ b/src/turns/replica-server.ts
@@ -52,7 +52,9 @@
     socket.on('close', () => this.sockets.delete(socket));
     socket.on('data', (chunk: Buffer) => {
       try {
-        reader.push(chunk).forEach((content) => this.take(socket, decodeReplicaMessage(content)));
+        reader
+          .push(chunk)
+          .forEach((content) => this.dispatch(socket, decodeReplicaMessage(content)));
       } catch (cause) {
         const reason = cause instanceof Error ? cause.message : String(cause);
         this.runtime.log('error', 'unreadable request', { event: 'replica.unreadable', reason });
@@ -61,7 +63,7 @@
     });
   }
 
-  private take(socket: Socket, message: ReplicaMessage | UnknownMessage): void {
+  private dispatch(socket: Socket, message: ReplicaMessage | UnknownMessage): void {
     if (message.type === 'unknown') {
       this.refuseUnknown(socket, message);
       return;
--- a/src/turns/replica-state.ts
+++ b/src/turns/replica-state.ts
@@ -1,17 +1,17 @@
 /** What one replica holds in memory: accounts, turns, and the log of its changes for the others. */
 import { mergeReservation } from './account.js';
 import type { Account } from './account.js';
-import type { KeptTurn } from './kept-turn.js';
+import type { ConversationTurn } from './conversation-turn.js';
 import type { AccountEntry, ChainState } from './messages.js';
 import { packDigests, ReservationDigests } from './reservation-digests.js';
 import type { StorageChange, StoredEntry, StoredTurn } from './turn-storage.js';
 
 /** Time after its last change for which an account is kept, in milliseconds. */
-const ACCOUNT_MILLISECONDS = 300_000;
+const ACCOUNT_RETENTION_MILLISECONDS = 300_000;
 /** Added to each expiry, since clocks of machines differ, in milliseconds. */
-const CLOCK_SLACK_MILLISECONDS = 10_000;
+const CLOCK_SKEW_MILLISECONDS = 10_000;
 /** Largest part of a reply to a pull, in entries. */
-const PULL_ENTRIES = 2_000;
+const MAXIMUM_PULL_ENTRIES = 2_000;
 /** Longest chain that is followed. */
 const MAXIMUM_CHAIN_TURNS = 10_000;
 
@@ -21,7 +21,7 @@
 }
 
 interface TurnRecord {
-  readonly turn: KeptTurn;
+  readonly turn: ConversationTurn;
   /** Wall time after which it is dropped, in milliseconds. */
   expiresAt: number;
 }
@@ -40,13 +40,13 @@
 }
 
 /** As many entries as a map has now: those that are added while it is read come after them. */
-function* firstOf<Key, Value>(map: ReadonlyMap<Key, Value>): Generator<[Key, Value]> {
-  let left = map.size;
+function* initialEntries<Key, Value>(map: ReadonlyMap<Key, Value>): Generator<[Key, Value]> {
+  let remaining = map.size;
   for (const entry of map) {
-    if (left === 0) {
+    if (remaining === 0) {
       return;
     }
-    left -= 1;
+    remaining -= 1;
     yield entry;
   }
 }
@@ -110,7 +110,7 @@
     const input = Buffer.from(stored.turn.input);
     const output = Buffer.from(stored.turn.output);
     const turn = { ...stored.turn, input, output };
-    const expiresAt = storedAt + turn.retentionMilliseconds + CLOCK_SLACK_MILLISECONDS;
+    const expiresAt = storedAt + turn.retentionMilliseconds + CLOCK_SKEW_MILLISECONDS;
     if (!this.turns.has(turn.id)) {
       this.turns.set(turn.id, { turn, expiresAt });
       this.log.push({ tag: 'turn', id: turn.id });
@@ -126,21 +126,21 @@
     return this.turns.has(id);
   }
 
-  getTurn(id: string): KeptTurn | undefined {
+  getTurn(id: string): ConversationTurn | undefined {
     return this.turns.get(id)?.turn;
   }
 
   /** The chain that ends with a turn: inputs and outputs from the oldest on. */
   chainOf(id: string): { readonly state: ChainState; readonly body: Buffer } {
     const parts: Buffer[] = [];
-    let at = id;
-    for (let depth = 0; at !== '' && depth < MAXIMUM_CHAIN_TURNS; depth += 1) {
-      const record = this.turns.get(at);
+    let currentId = id;
+    for (let depth = 0; currentId !== '' && depth < MAXIMUM_CHAIN_TURNS; depth += 1) {
+      const record = this.turns.get(currentId);
       if (record === undefined) {
         return { state: depth === 0 ? 'missing' : 'unsure', body: Buffer.alloc(0) };
       }
       parts.push(record.turn.output, record.turn.input);
-      at = record.turn.previous;
+      currentId = record.turn.previous;
     }
     return { state: 'found', body: Buffer.concat(parts.reverse()) };
   }
@@ -149,7 +149,7 @@
   readLog(after: number): LogPart {
     const end = this.logEnd;
     const from = Math.max(after, this.logStart);
-    const next = Math.min(end, from + PULL_ENTRIES);
+    const next = Math.min(end, from + MAXIMUM_PULL_ENTRIES);
     const digests: string[] = [];
     const turns: string[] = [];
     for (const change of this.log.slice(from - this.logStart, next - this.logStart)) {
@@ -177,7 +177,7 @@
       }
     }
     for (const [program, record] of this.accounts) {
-      if (record.changedAt + ACCOUNT_MILLISECONDS < wallTime) {
+      if (record.changedAt + ACCOUNT_RETENTION_MILLISECONDS < wallTime) {
         this.accounts.delete(program);
         for (const reservation of record.account.values()) {
           this.digests.drop({ program, ...reservation });
@@ -206,17 +206,17 @@
    * meanwhile may be left out: it has a record of its own already.
    */
   *liveChanges(wallTime: () => number): Generator<StorageChange> {
-    for (const [program, { account, changedAt: storedAt }] of firstOf(this.accounts)) {
+    for (const [program, { account, changedAt: storedAt }] of initialEntries(this.accounts)) {
       for (const reservation of account.values()) {
         yield { tag: 'entry', entry: { entry: { program, ...reservation }, storedAt } };
       }
     }
-    for (const [, { turn, expiresAt }] of firstOf(this.turns)) {
+    for (const [, { turn, expiresAt }] of initialEntries(this.turns)) {
       const storedAt = wallTime();
       // Its time may have been extended by later turns.
-      const left = expiresAt - CLOCK_SLACK_MILLISECONDS - storedAt;
-      const kept = { ...turn, retentionMilliseconds: Math.max(0, left) };
-      yield { tag: 'turn', turn: { turn: kept, storedAt } };
+      const remainingMilliseconds = expiresAt - CLOCK_SKEW_MILLISECONDS - storedAt;
+      const remainingTurn = { ...turn, retentionMilliseconds: Math.max(0, remainingMilliseconds) };
+      yield { tag: 'turn', turn: { turn: remainingTurn, storedAt } };
     }
   }
 
--- a/src/turns/replica.ts
+++ b/src/turns/replica.ts
@@ -16,11 +16,11 @@
   ReplicaReply,
   ReplicaRequest,
 } from './messages.js';
-import type { SilenceWord } from './member-silence.js';
-import type { KeptTurn } from './kept-turn.js';
+import type { SilenceReport } from './silence-tracker.js';
+import type { ConversationTurn } from './conversation-turn.js';
 import { QuotaBuckets } from './quota-buckets.js';
 import type { QuotaAllowance, QuotaDecision } from './quota-buckets.js';
-import { encodeOwnKinds } from './replica-forms.js';
+import { encodeKindCount } from './protocol-negotiation.js';
 import { ReplicaState } from './replica-state.js';
 import { unpackDigests } from './reservation-digests.js';
 import type {
@@ -31,9 +31,9 @@
   WrittenChange,
 } from './turn-storage.js';
 
-const EXPIRY_MILLISECONDS = 5_000;
+const EXPIRY_INTERVAL_MILLISECONDS = 5_000;
 /** Largest reply to a fetch, in bytes; at least one turn is sent. */
-const FETCH_BYTES = 1024 * 1024;
+const MAXIMUM_FETCH_BYTES = 1024 * 1024;
 
 /** What a replica is made with. */
 export interface ReplicaOptions {
@@ -55,11 +55,11 @@
   readonly at: number;
 }
 
-type FoundChain = ReturnType<ReplicaState['chainOf']>;
+type ChainLookup = ReturnType<ReplicaState['chainOf']>;
 
 /** A chain that is missing here is denied only where the replica may say so. */
-function deniedBy(chain: FoundChain, mayDeny: boolean): FoundChain {
-  return chain.state === 'missing' && !mayDeny ? { ...chain, state: 'unsure' } : chain;
+function downgradeMissing(chain: ChainLookup, mayReportMissing: boolean): ChainLookup {
+  return chain.state === 'missing' && !mayReportMissing ? { ...chain, state: 'unsure' } : chain;
 }
 
 /** See the head of this file. */
@@ -73,14 +73,14 @@
   /** Whether what was acknowledged under earlier members is known to be here, or with those of now. */
   hasReadEarlierEpochs: () => boolean = () => true;
   /** What this replica can say of how long other members have been silent. */
-  silenceWords: () => readonly SilenceWord[] = () => [];
+  silenceReports: () => readonly SilenceReport[] = () => [];
   private readonly quotas: QuotaBuckets;
   private isReady = false;
   /**
    * What the disk says, or will once it has written what it was given: whatever is written of this replica
    * is made from this, so that no write takes back the one before it.
    */
-  private declaresReady = false;
+  private readyOnDisk = false;
   /** Set from before this replica joins until it is complete. */
   private joinToken: JoinToken | undefined;
   private storedMeta: ReplicaMeta | undefined;
@@ -90,7 +90,9 @@
     const { id, runtime, directory } = options;
     this.quotas = new QuotaBuckets(runtime.now(), options.quotaAllowance);
     this.logName = `${id} ${runtime.wallTime()} ${runtime.random.uniform()}`;
-    this.cancelExpiry = setRepeatingTimer(runtime, EXPIRY_MILLISECONDS, () => this.expire());
+    this.cancelExpiry = setRepeatingTimer(runtime, EXPIRY_INTERVAL_MILLISECONDS, () =>
+      this.expire(),
+    );
     directory.onChange(() => this.saveMeta());
   }
 
@@ -121,7 +123,7 @@
     this.state.expire(options.runtime.wallTime());
     if (storedMeta !== undefined) {
       this.isReady = storedMeta.ready && unknownRecords === 0;
-      this.declaresReady = this.isReady;
+      this.readyOnDisk = this.isReady;
       options.directory.offerText(storedMeta.members, 'disk');
     }
     const { programs, turns } = this.state.counts;
@@ -129,7 +131,7 @@
       event: 'replica.restored',
       ready: this.isReady,
       unknownRecords,
-      emptyDisk: this.beganEmpty,
+      emptyDisk: this.startedEmpty,
       epoch: options.directory.current?.epoch ?? 0,
       programs,
       turns,
@@ -137,7 +139,7 @@
   }
 
   /** Whether it began without anything on its disk: the disk is new, or was lost. */
-  get beganEmpty(): boolean {
+  get startedEmpty(): boolean {
     return this.storedMeta === undefined;
   }
 
@@ -152,10 +154,10 @@
   }
 
   /** Declares the state complete, durably; calls back when it is so. */
-  becomeReady(reason: string, done: () => void = () => undefined): void {
-    this.declaresReady = true;
+  markReady(reason: string, done: () => void = () => undefined): void {
+    this.readyOnDisk = true;
     this.saveMeta((durable) => {
-      if (!durable || !this.declaresReady) {
+      if (!durable || !this.readyOnDisk) {
         return;
       }
       this.isReady = true;
@@ -166,9 +168,9 @@
   }
 
   /** Declares the state incomplete: it left the members and others no longer write to it. */
-  loseReadiness(): void {
+  markIncomplete(): void {
     this.isReady = false;
-    this.declaresReady = false;
+    this.readyOnDisk = false;
     this.joinToken = undefined;
     this.saveMeta();
   }
@@ -176,8 +178,8 @@
   /** Calls back with the token to join with, once the disk says that nothing was acknowledged under it. */
   prepareJoin(done: (token: JoinToken) => void): void {
     const { id, runtime, storage } = this.options;
-    const drawn = `${id} ${runtime.wallTime()} ${runtime.random.uniform()}` as JoinToken;
-    const token = this.joinToken ?? drawn;
+    const newToken = `${id} ${runtime.wallTime()} ${runtime.random.uniform()}` as JoinToken;
+    const token = this.joinToken ?? newToken;
     this.joinToken = token;
     storage.write([{ tag: 'joining', token }], (durable) => durable && done(token));
   }
@@ -211,8 +213,8 @@
         });
         return;
       case 'chain': {
-        const chain = deniedBy(this.state.chainOf(request.turn), false);
-        const body = request.turn === '' ? encodeOwnKinds() : chain.body;
+        const chain = downgradeMissing(this.state.chainOf(request.turn), false);
+        const body = request.turn === '' ? encodeKindCount() : chain.body;
         send({ type: 'chained', call, state: chain.state, body });
         return;
       }
@@ -231,8 +233,8 @@
         return;
       }
       case 'askSilences': {
-        const words = [...this.silenceWords()];
-        send({ type: 'silencesTold', call, from: this.options.id, words });
+        const reports = [...this.silenceReports()];
+        send({ type: 'silencesTold', call, from: this.options.id, words: reports });
         return;
       }
       case 'spend':
@@ -256,7 +258,7 @@
   }
 
   /** Takes turns; calls back when they are on disk. */
-  storeTurns(turns: readonly KeptTurn[], done: (durable: boolean) => void): void {
+  storeTurns(turns: readonly ConversationTurn[], done: (durable: boolean) => void): void {
     const storedAt = this.options.runtime.wallTime();
     const changes = turns.map((turn): StorageChange => {
       this.state.addTurn({ turn, storedAt });
@@ -268,7 +270,7 @@
   /** Everything it holds, as changes that make it again; it may go on changing meanwhile. */
   *liveChanges(): Generator<StorageChange> {
     const { directory, runtime } = this.options;
-    yield { tag: 'meta', meta: { ready: this.declaresReady, members: directory.currentText } };
+    yield { tag: 'meta', meta: { ready: this.readyOnDisk, members: directory.currentText } };
     if (this.joinToken !== undefined) {
       yield { tag: 'joining', token: this.joinToken };
     }
@@ -306,8 +308,8 @@
     const outcome = this.outcomeOf(request.epoch, true, send);
     const { current } = this.options.directory;
     if (outcome !== 'done' || current === undefined || !this.holdsQuorum()) {
-      const refused = outcome === 'done' ? 'inactive' : outcome;
-      return { outcome: refused, granted: false, waitMilliseconds: 0 };
+      const refusedOutcome = outcome === 'done' ? 'inactive' : outcome;
+      return { outcome: refusedOutcome, granted: false, waitMilliseconds: 0 };
     }
     const share = 1 / current.members.length;
     const { quota, beginsRequests, patienceMilliseconds } = request;
@@ -318,19 +320,19 @@
     };
   }
 
-  private readChain(turn: string, epoch: number, send: ReplySender): FoundChain {
+  private readChain(turn: string, epoch: number, send: ReplySender): ChainLookup {
     // A client gives up for good what is denied: only who surely has what was ever acknowledged may say so, and
     // only to one that counts denials by the same members.
     const isSameEpoch = this.outcomeOf(epoch, true, send) === 'done';
-    return deniedBy(this.state.chainOf(turn), isSameEpoch && this.hasReadEarlierEpochs());
+    return downgradeMissing(this.state.chainOf(turn), isSameEpoch && this.hasReadEarlierEpochs());
   }
 
-  private readTurns(ids: readonly string[]): KeptTurn[] {
-    const turns: KeptTurn[] = [];
+  private readTurns(ids: readonly string[]): ConversationTurn[] {
+    const turns: ConversationTurn[] = [];
     let bytes = 0;
     for (const id of ids) {
       const turn = this.state.getTurn(id);
-      if (turn !== undefined && (turns.length === 0 || bytes < FETCH_BYTES)) {
+      if (turn !== undefined && (turns.length === 0 || bytes < MAXIMUM_FETCH_BYTES)) {
         turns.push(turn);
         bytes += turn.input.length + turn.output.length;
       }
@@ -360,7 +362,7 @@
   }
 
   private saveMeta(done: (durable: boolean) => void = () => undefined): void {
-    const meta = { ready: this.declaresReady, members: this.options.directory.currentText };
+    const meta = { ready: this.readyOnDisk, members: this.options.directory.currentText };
     this.options.storage.write([{ tag: 'meta', meta }], done);
   }
 
--- a/src/turns/reservation-digests.ts
+++ b/src/turns/reservation-digests.ts
@@ -29,8 +29,8 @@
 /** Reads digests that stand one behind the other; bytes left over are no digest. */
 export function unpackDigests(bytes: Buffer): string[] {
   const digests: string[] = [];
-  for (let at = 0; at + DIGEST_BYTES <= bytes.length; at += DIGEST_BYTES) {
-    digests.push(bytes.toString('hex', at, at + DIGEST_BYTES));
+  for (let offset = 0; offset + DIGEST_BYTES <= bytes.length; offset += DIGEST_BYTES) {
+    digests.push(bytes.toString('hex', offset, offset + DIGEST_BYTES));
   }
   return digests;
 }
--- a/src/turns/retirement.ts
+++ b/src/turns/retirement-reporter.ts
@@ -11,10 +11,10 @@
 import type { Member, MemberRecord } from './membership.js';
 import type { Replica } from './replica.js';
 
-type Report = 'nothing' | 'running' | 'finished';
+type RetirementState = 'nothing' | 'running' | 'finished';
 
 /** What the report is made with. */
-export interface RetirementOptions {
+export interface RetirementReporterOptions {
   readonly self: Member;
   readonly runtime: Runtime;
   readonly replica: Replica;
@@ -22,18 +22,18 @@
 }
 
 /** See the head of this file. */
-export class Retirement {
+export class RetirementReporter {
   /** End of the log when this replica was no longer a member; undefined while it is one. */
-  private leftAtLogEnd: number | undefined;
+  private logEndAtRemoval: number | undefined;
   /** The others that were members together with this replica. */
-  private heirs: ReadonlySet<string> = new Set();
+  private handoverTargets: ReadonlySet<string> = new Set();
   /** Members that have read the log up to there. */
   private readonly handedTo = new Set<string>();
   /** Whether acknowledged writes may be here that only members are sure to have elsewhere. */
   private wasMember: boolean;
-  private reported: Report = 'nothing';
+  private reported: RetirementState = 'nothing';
 
-  constructor(private readonly options: RetirementOptions) {
+  constructor(private readonly options: RetirementReporterOptions) {
     this.wasMember = options.replica.ready;
   }
 
@@ -44,37 +44,37 @@
     if (!store.retiringNodes().has(own.node)) {
       return;
     }
-    this.noteMembership(record);
-    this.noteReaders(record);
-    const isOut = this.leftAtLogEnd !== undefined;
+    this.updateHandoverTargets(record);
+    this.updateHandovers(record);
+    const isOut = this.logEndAtRemoval !== undefined;
     const isDone = isOut && (this.isHandedOver(record) || !this.wasMember);
     this.report(isDone ? 'finished' : 'running', record);
   }
 
   /** Whether enough of the members that had to read this log are left, and all of those have. */
   private isHandedOver(record: MemberRecord): boolean {
-    const heirs = record.members.filter((member) => this.heirs.has(member.id));
-    const haveRead = heirs.every((member) => this.handedTo.has(member.id));
-    return haveRead && heirs.length >= majorityOf(record);
+    const remainingTargets = record.members.filter((member) => this.handoverTargets.has(member.id));
+    const haveRead = remainingTargets.every((member) => this.handedTo.has(member.id));
+    return haveRead && remainingTargets.length >= majorityOf(record);
   }
 
-  private noteMembership(record: MemberRecord): void {
+  private updateHandoverTargets(record: MemberRecord): void {
     const { self: own, replica } = this.options;
     const others = record.members.filter((member) => member.id !== own.id);
     if (hasMember(record, own.id)) {
-      this.leftAtLogEnd = undefined;
+      this.logEndAtRemoval = undefined;
       this.handedTo.clear();
     } else {
-      this.leftAtLogEnd ??= replica.state.logEnd;
+      this.logEndAtRemoval ??= replica.state.logEnd;
     }
     // One that joins in the same moment is no heir; after a start in between, all that are there count.
-    if (hasMember(record, own.id) || this.heirs.size === 0) {
-      this.heirs = new Set(others.map((member) => member.id));
+    if (hasMember(record, own.id) || this.handoverTargets.size === 0) {
+      this.handoverTargets = new Set(others.map((member) => member.id));
     }
   }
 
-  private noteReaders(record: MemberRecord): void {
-    const logEnd = this.leftAtLogEnd ?? Infinity;
+  private updateHandovers(record: MemberRecord): void {
+    const logEnd = this.logEndAtRemoval ?? Infinity;
     for (const { id } of record.members) {
       const position = this.options.replica.pullers.get(id)?.position;
       if (position === undefined) {
@@ -89,18 +89,18 @@
     }
   }
 
-  private report(wanted: Report, record: MemberRecord): void {
-    if (this.reported === wanted || this.reported === 'finished') {
+  private report(state: RetirementState, record: MemberRecord): void {
+    if (this.reported === state || this.reported === 'finished') {
       return;
     }
     const { self: own, store, runtime } = this.options;
-    const before = this.reported;
-    this.reported = wanted;
-    store.reportRetirement(own.node, wanted === 'finished', (written) => {
-      this.reported = written ? wanted : before;
+    const previous = this.reported;
+    this.reported = state;
+    store.reportRetirement(own.node, state === 'finished', (written) => {
+      this.reported = written ? state : previous;
       runtime.log('info', 'emptying reported', {
         event: 'retirement.reported',
-        state: wanted,
+        state: state,
         written,
         epoch: record.epoch,
         members: record.members.length,
--- a/src/turns/segment-codec.ts
+++ b/src/turns/segment-codec.ts
@@ -15,12 +15,12 @@
 } from '../wire/fields.js';
 import { decodeGrown } from '../wire/sections.js';
 import type { JoinToken } from './membership.js';
-import { accountEntryField, keptTurnField } from './messages.js';
+import { accountEntryField, conversationTurnField } from './messages.js';
 import type { WrittenChange } from './turn-storage.js';
 
 const HEADER_BYTES = 8;
 /** Longest record that is believed, in bytes. */
-const MAXIMUM_RECORD_BYTES = 64 * 1024 * 1024;
+const MAXIMUM_RECORD_CONTENT_BYTES = 64 * 1024 * 1024;
 
 /**
  * Append only: a branch's place is its number on disk. One that is added is read by a build before any writes it,
@@ -29,7 +29,7 @@
 const recordField: r.Field = new TaggedUnion([
   { type: 'meta', fields: { ready: flag, members: longText } },
   { type: 'entry', fields: { entry: accountEntryField, storedAt: real } },
-  { type: 'turn', fields: { turn: keptTurnField, storedAt: real } },
+  { type: 'turn', fields: { turn: conversationTurnField, storedAt: real } },
   { type: 'joining', fields: { token: shortText } },
 ]);
 
@@ -47,7 +47,7 @@
       storedAt: number;
     };
 
-function valueOf(change: WrittenChange): RecordValue {
+function toRecordValue(change: WrittenChange): RecordValue {
   switch (change.tag) {
     case 'meta':
       return { type: 'meta', ...change.meta };
@@ -60,7 +60,7 @@
   }
 }
 
-function changeOf(value: RecordValue): WrittenChange {
+function toChange(value: RecordValue): WrittenChange {
   switch (value.type) {
     case 'meta':
       return { tag: 'meta', meta: { ready: value.ready, members: value.members } };
@@ -75,7 +75,7 @@
 
 /** One change as a record. */
 export function encodeRecord(change: WrittenChange): Buffer {
-  const content = encodeField(recordField, valueOf(change));
+  const content = encodeField(recordField, toRecordValue(change));
   const bytes = Buffer.allocUnsafe(HEADER_BYTES + content.length);
   bytes.writeUInt32LE(content.length, 0);
   bytes.writeUInt32LE(crc32(content), 4);
@@ -84,7 +84,7 @@
 }
 
 /** What was found in a segment. */
-export interface ReadSegment {
+export interface SegmentSummary {
   /** Whole records, known or not. */
   readonly records: number;
   /** Those of kinds that only newer builds know: what they hold is not here. */
@@ -94,9 +94,9 @@
 }
 
 /** The change of a record; undefined when only newer builds know its kind. */
-function changeIn(content: Buffer): WrittenChange | undefined {
+function decodeChange(content: Buffer): WrittenChange | undefined {
   try {
-    return changeOf(decodeGrown(recordField, content).value as RecordValue);
+    return toChange(decodeGrown(recordField, content).value as RecordValue);
   } catch (cause) {
     if (cause instanceof UnknownKindError) {
       return undefined;
@@ -106,28 +106,31 @@
 }
 
 /** Tells all whole records from the start of a segment. */
-export function decodeSegment(bytes: Buffer, take: (change: WrittenChange) => void): ReadSegment {
+export function decodeSegment(
+  bytes: Buffer,
+  onChange: (change: WrittenChange) => void,
+): SegmentSummary {
   let records = 0;
   let unknownRecords = 0;
-  let at = 0;
-  while (at + HEADER_BYTES <= bytes.length) {
-    const length = bytes.readUInt32LE(at);
-    const end = at + HEADER_BYTES + length;
-    if (length === 0 || length > MAXIMUM_RECORD_BYTES || end > bytes.length) {
+  let offset = 0;
+  while (offset + HEADER_BYTES <= bytes.length) {
+    const length = bytes.readUInt32LE(offset);
+    const end = offset + HEADER_BYTES + length;
+    if (length === 0 || length > MAXIMUM_RECORD_CONTENT_BYTES || end > bytes.length) {
       break;
     }
-    const content = bytes.subarray(at + HEADER_BYTES, end);
-    if (crc32(content) !== bytes.readUInt32LE(at + 4)) {
+    const content = bytes.subarray(offset + HEADER_BYTES, end);
+    if (crc32(content) !== bytes.readUInt32LE(offset + 4)) {
       break;
     }
-    const change = changeIn(content);
+    const change = decodeChange(content);
     if (change === undefined) {
       unknownRecords += 1;
     } else {
-      take(change);
+      onChange(change);
     }
     records += 1;
-    at = end;
+    offset = end;
   }
-  return { records, unknownRecords, tornBytes: bytes.length - at };
+  return { records, unknownRecords, tornBytes: bytes.length - offset };
 }
--- a/src/turns/segment-turn-storage.ts
+++ b/src/turns/segment-turn-storage.ts
@@ -18,16 +18,16 @@
 
 const SEGMENT_PATTERN = /^segment-(\d+)\.log$/;
 /** Longest wait of a lazy write, in milliseconds. */
-const LAZY_MILLISECONDS = 250;
+const LAZY_WRITE_MILLISECONDS = 250;
 /** Pause before a refused write is tried in a new segment, in milliseconds. */
-const REFUSED_MILLISECONDS = 500;
+const RETRY_DELAY_MILLISECONDS = 500;
 /** Length at which a segment is ended: a start reads one at a time into memory. */
-const SEGMENT_BYTES = 8 * 1024 * 1024;
+const MAXIMUM_SEGMENT_BYTES = 8 * 1024 * 1024;
 /**
  * Time after the start in which nothing is compacted, since callers wait for other work then, in
  * milliseconds; as much again is drawn, so that replicas that started together don't compact together.
  */
-const SETTLING_MILLISECONDS = 20_000;
+const COMPACTION_GRACE_MILLISECONDS = 20_000;
 const EMPTY_DISK: DiskUse = { bytes: 0, segments: 0 };
 
 interface Segment {
@@ -35,7 +35,7 @@
   bytes: number;
 }
 
-function nameOf({ number }: Segment): string {
+function fileNameOf({ number }: Segment): string {
   return `segment-${number}.log`;
 }
 
@@ -60,7 +60,7 @@
   private left = EMPTY_DISK;
   private compacting = false;
   /** Local time before which nothing is compacted, in milliseconds. */
-  private readonly settledAt: number;
+  private readonly compactionAllowedAt: number;
   private closing: (() => void) | undefined;
   /** Everything that is to survive a compaction; set by the replica. */
   private liveChanges: () => Iterable<StorageChange> = () => [];
@@ -71,7 +71,8 @@
     private readonly folder: DurableFolder,
     private readonly runtime: Runtime,
   ) {
-    this.settledAt = runtime.now() + SETTLING_MILLISECONDS * (1 + runtime.random.uniform());
+    this.compactionAllowedAt =
+      runtime.now() + COMPACTION_GRACE_MILLISECONDS * (1 + runtime.random.uniform());
   }
 
   /** Opens a folder, made when it is missing. Rejects when the disk refuses. */
@@ -90,12 +91,12 @@
    * Reads all segments, the oldest first, one at a time; tells each change. Resolves with the number of records of
    * kinds that only newer builds know.
    */
-  async load(take: (change: WrittenChange) => void): Promise<number> {
+  async load(onChange: (change: WrittenChange) => void): Promise<number> {
     let unknownRecords = 0;
     for (const segment of this.segments) {
-      const bytes = await this.folder.read(nameOf(segment));
+      const bytes = await this.folder.read(fileNameOf(segment));
       segment.bytes = bytes.length;
-      const { records, tornBytes, ...read } = decodeSegment(bytes, take);
+      const { records, tornBytes, ...read } = decodeSegment(bytes, onChange);
       unknownRecords += read.unknownRecords;
       if (tornBytes > 0) {
         const fields = { event: 'disk.torn', segment: segment.number, tornBytes, records };
@@ -128,7 +129,7 @@
       this.writeNext();
     } else if (!this.lazyTimerSet) {
       this.lazyTimerSet = true;
-      this.runtime.setTimer(LAZY_MILLISECONDS, () => {
+      this.runtime.setTimer(LAZY_WRITE_MILLISECONDS, () => {
         this.lazyTimerSet = false;
         this.writeNext();
       });
@@ -152,7 +153,7 @@
     }
     if (this.queue.length === 0) {
       if (this.closing !== undefined) {
-        this.endSegment();
+        this.closeSegment();
         this.closing();
       }
       return;
@@ -168,7 +169,7 @@
         this.compactIfDue();
         this.writeNext();
       },
-      (cause: unknown) => this.refuse(writes, cause),
+      (cause: unknown) => this.retryInNewSegment(writes, cause),
     );
   }
 
@@ -186,19 +187,19 @@
     await this.file.datasync();
     const segment = this.segments.at(-1)!;
     segment.bytes += bytes.length;
-    if (segment.bytes >= SEGMENT_BYTES) {
-      this.endSegment();
+    if (segment.bytes >= MAXIMUM_SEGMENT_BYTES) {
+      this.closeSegment();
     }
   }
 
   private async openSegment(): Promise<FileHandle> {
     const segment = { number: (this.segments.at(-1)?.number ?? 0) + 1, bytes: 0 };
     this.segments.push(segment);
-    return this.folder.create(nameOf(segment));
+    return this.folder.create(fileNameOf(segment));
   }
 
   /** What is written from now on goes into a new segment. */
-  private endSegment(): void {
+  private closeSegment(): void {
     const { file } = this;
     this.file = undefined;
     // What was written is synced: a refusal to close takes nothing away.
@@ -206,17 +207,17 @@
   }
 
   /** What may stand half written in this segment is written again into a new one. */
-  private refuse(writes: readonly PendingWrite[], cause: unknown): void {
-    this.logRefusal(cause);
-    this.endSegment();
+  private retryInNewSegment(writes: readonly PendingWrite[], cause: unknown): void {
+    this.logDiskError(cause);
+    this.closeSegment();
     this.queue = [...writes, ...this.queue];
-    this.runtime.setTimer(REFUSED_MILLISECONDS, () => {
+    this.runtime.setTimer(RETRY_DELAY_MILLISECONDS, () => {
       this.writing = false;
       this.writeNext();
     });
   }
 
-  private logRefusal(cause: unknown): void {
+  private logDiskError(cause: unknown): void {
     const reason = cause instanceof Error ? cause.message : String(cause);
     this.runtime.log('error', 'disk refused a write', { event: 'disk.refused', reason });
   }
@@ -224,11 +225,15 @@
   /** Writes the live state into new segments; once that is synced, the older ones may go. */
   private compactIfDue(): void {
     const { use, left, runtime } = this;
-    if (this.compacting || runtime.now() < this.settledAt || !isCompactionDue(use, left)) {
+    if (
+      this.compacting ||
+      runtime.now() < this.compactionAllowedAt ||
+      !isCompactionDue(use, left)
+    ) {
       return;
     }
     this.compacting = true;
-    this.endSegment();
+    this.closeSegment();
     const old = [...this.segments];
     const startedAt = runtime.now();
     const inputs = { bytes: use.bytes, segments: use.segments, leftBefore: left.bytes };
@@ -237,11 +242,11 @@
       runtime,
       this.liveChanges(),
       (changes, done) => this.write(changes, () => done()),
-      () => this.endCompaction(old, startedAt),
+      () => this.finishCompaction(old, startedAt),
     );
   }
 
-  private endCompaction(old: readonly Segment[], startedAt: number): void {
+  private finishCompaction(old: readonly Segment[], startedAt: number): void {
     this.segments = this.segments.filter((segment) => !old.includes(segment));
     this.left = this.use;
     this.compacting = false;
@@ -253,7 +258,7 @@
     });
     for (const segment of old) {
       // One that stays is read again at the next start and changes nothing.
-      this.folder.remove(nameOf(segment)).catch((cause: unknown) => this.logRefusal(cause));
+      this.folder.remove(fileNameOf(segment)).catch((cause: unknown) => this.logDiskError(cause));
     }
   }
 }
--- a/src/turns/member-silence.ts
+++ b/src/turns/silence-tracker.ts
@@ -6,7 +6,7 @@
 import type { Runtime } from '../runtime/runtime.js';
 
 /** What one process can say of how long a member has been silent. */
-export interface SilenceWord {
+export interface SilenceReport {
   readonly member: string;
   /** Time since its last reply; when there was none, time for which it has been asked. */
   readonly milliseconds: number;
@@ -15,57 +15,57 @@
 }
 
 /** Time for which a word counts, in milliseconds: several looks at the members. */
-const WORD_MILLISECONDS = 1_500;
+const REPORT_TTL_MILLISECONDS = 1_500;
 
-interface ToldWords {
+interface ReceivedReports {
   readonly at: number;
-  readonly words: ReadonlyMap<string, SilenceWord>;
+  readonly byMember: ReadonlyMap<string, SilenceReport>;
 }
 
 /** See the head of this file. */
-export class MemberSilence {
+export class SilenceTracker {
   /** Local time since which a member has been asked without a break, in milliseconds. */
-  private readonly askedSince = new Map<string, number>();
+  private readonly polledSince = new Map<string, number>();
   /** Local time of a member's last reply, in milliseconds. */
   private readonly repliedAt = new Map<string, number>();
   /** What members said last, by who said it. */
-  private readonly told = new Map<string, ToldWords>();
+  private readonly receivedReports = new Map<string, ReceivedReports>();
 
   constructor(private readonly runtime: Runtime) {}
 
   /** Notes that a member is asked. */
-  noteAsked(member: string): void {
-    if (!this.askedSince.has(member)) {
-      this.askedSince.set(member, this.runtime.now());
+  startPolling(member: string): void {
+    if (!this.polledSince.has(member)) {
+      this.polledSince.set(member, this.runtime.now());
     }
   }
 
   /** Notes that a member is asked no longer. */
-  noteUnasked(member: string): void {
-    this.askedSince.delete(member);
+  stopPolling(member: string): void {
+    this.polledSince.delete(member);
   }
 
   /** Notes a reply. */
-  noteHeard(member: string): void {
+  recordReply(member: string): void {
     this.repliedAt.set(member, this.runtime.now());
   }
 
   /** Notes that this process stood still: what it did not hear meanwhile tells nothing. */
-  noteStall(): void {
-    this.askedSince.clear();
-    this.told.clear();
+  resetAfterStall(): void {
+    this.polledSince.clear();
+    this.receivedReports.clear();
   }
 
   /** Notes what a member says of others. */
-  noteTold(by: string, words: readonly SilenceWord[]): void {
-    const byMember = new Map(words.map((word) => [word.member, word]));
-    this.told.set(by, { at: this.runtime.now(), words: byMember });
+  recordReports(reporter: string, reports: readonly SilenceReport[]): void {
+    const byMember = new Map(reports.map((word) => [word.member, word]));
+    this.receivedReports.set(reporter, { at: this.runtime.now(), byMember: byMember });
   }
 
   /** What this process itself can say. */
-  ownWord(member: string): SilenceWord {
+  ownReport(member: string): SilenceReport {
     const now = this.runtime.now();
-    const askedSince = this.askedSince.get(member) ?? now;
+    const askedSince = this.polledSince.get(member) ?? now;
     const repliedAt = this.repliedAt.get(member);
     const milliseconds = now - Math.max(askedSince, repliedAt ?? -Infinity);
     return { member, milliseconds, wasHeard: repliedAt !== undefined };
@@ -75,18 +75,18 @@
    * Time in milliseconds since a member was last heard: by whoever heard it last; when nobody heard it, for as
    * long as anybody has asked.
    */
-  of(member: string): number {
-    const words = [this.ownWord(member), ...this.wordsOf(member)];
-    const heard = words.filter(({ wasHeard }) => wasHeard);
-    return heard.length > 0
-      ? Math.min(...heard.map(({ milliseconds }) => milliseconds))
-      : Math.max(...words.map(({ milliseconds }) => milliseconds));
+  silenceOf(member: string): number {
+    const reports = [this.ownReport(member), ...this.reportsOf(member)];
+    const reportsWithReply = reports.filter(({ wasHeard }) => wasHeard);
+    return reportsWithReply.length > 0
+      ? Math.min(...reportsWithReply.map(({ milliseconds }) => milliseconds))
+      : Math.max(...reports.map(({ milliseconds }) => milliseconds));
   }
 
-  private wordsOf(member: string): SilenceWord[] {
-    const since = this.runtime.now() - WORD_MILLISECONDS;
-    return [...this.told.values()]
+  private reportsOf(member: string): SilenceReport[] {
+    const since = this.runtime.now() - REPORT_TTL_MILLISECONDS;
+    return [...this.receivedReports.values()]
       .filter(({ at }) => at >= since)
-      .flatMap(({ words }) => words.get(member) ?? []);
+      .flatMap(({ byMember: words }) => words.get(member) ?? []);
   }
 }
--- a/src/turns/tcp-replica-caller.ts
+++ b/src/turns/tcp-replica-caller.ts
@@ -12,30 +12,30 @@
   ReplicaRequest,
   UnknownMessage,
 } from './messages.js';
-import { LinkKinds } from './link-kinds.js';
+import { ConnectionProtocol } from './connection-protocol.js';
 import { PRESENCE_PROBE } from './replica-caller.js';
 import type { ReplicaCaller, ReplyListener, UnnumberedRequest } from './replica-caller.js';
-import { olderFormOf, replyToOlderForm, toldKinds } from './replica-forms.js';
-import { tryKinds } from './trial-connection.js';
+import { fallbackRequestOf, adaptFallbackReply, decodeKindCount } from './protocol-negotiation.js';
+import { probeKindCount } from './protocol-probe.js';
 
 /** Longest wait for a connection to a replica, in milliseconds. */
-export const CONNECT_MILLISECONDS = 500;
+export const CONNECT_TIMEOUT_MILLISECONDS = 500;
 /** Longest wait of a message to which nothing comes back, in milliseconds. */
-const LAZY_MILLISECONDS = 25;
+const FLUSH_DELAY_MILLISECONDS = 25;
 /** Pause before a broken connection is made anew, in milliseconds. */
-export const RECONNECT_MILLISECONDS = 100;
+export const RECONNECT_DELAY_MILLISECONDS = 100;
 /** Bytes that may wait for one replica; beyond, calls to it fail at once. */
 const MAXIMUM_QUEUED_BYTES = 8 * 1024 * 1024;
 /**
  * A connection is given up when something is owed on it and nothing came for this long, however many
  * calls have ended meanwhile: it may be silent for good while a new one works.
  */
-export const LINK_SILENCE_MILLISECONDS = 1_000;
+export const SOCKET_SILENCE_MILLISECONDS = 1_000;
 /**
  * Longest wait for what a replica tells of its build, in milliseconds; a trial may follow, so that the first request
  * that needs it may end before: its client comes back when it is known.
  */
-const KINDS_MILLISECONDS = 500;
+const KIND_COUNT_TIMEOUT_MILLISECONDS = 500;
 
 interface PendingCall {
   readonly listener: ReplyListener;
@@ -43,17 +43,17 @@
 }
 
 /** A connection to one replica, made when first needed and again after it broke. */
-class ReplicaLink {
+class ReplicaConnection {
   private socket: Socket | undefined;
-  private retryAt = -Infinity;
+  private reconnectAt = -Infinity;
   /** Local time since which a reply is owed and nothing came, in milliseconds; undefined when none is. */
-  private owedSince: number | undefined;
+  private dueSince: number | undefined;
   /** Frames to which nothing comes back; they go with the next call or after a moment. */
-  private lazyFrames: Buffer[] = [];
-  private lazyBytes = 0;
+  private bufferedFrames: Buffer[] = [];
+  private bufferedBytes = 0;
   private readonly pending = new Map<number, PendingCall>();
   /** Of the connection that stands. */
-  private kinds: LinkKinds;
+  private protocol: ConnectionProtocol;
   private unknownLogged = false;
 
   constructor(
@@ -62,7 +62,7 @@
     private readonly onMembers: (record: string) => void,
     private readonly newCall: () => number,
   ) {
-    this.kinds = this.unknownKinds();
+    this.protocol = this.newProtocol();
   }
 
   call(request: ReplicaRequest, timeoutMilliseconds: number, listener: ReplyListener): void {
@@ -71,64 +71,66 @@
       this.runtime.setTimer(0, () => listener(undefined));
       return;
     }
-    const cancelTimer = this.runtime.setTimer(timeoutMilliseconds, () => this.expire(request.call));
+    const cancelTimer = this.runtime.setTimer(timeoutMilliseconds, () =>
+      this.handleTimeout(request.call),
+    );
     const pending = { listener, cancelTimer };
     this.pending.set(request.call, pending);
-    this.kinds.whetherRead(request, (isRead) => {
+    this.protocol.checkSupport(request, (isRead) => {
       if (this.pending.get(request.call) !== pending) {
         return;
       }
       if (isRead) {
-        this.ask(request);
+        this.sendRequest(request);
       } else {
-        this.sendOlderForm(request, pending);
+        this.sendFallback(request, pending);
       }
     });
   }
 
   /** Sends what an older build reads, or says in its place that it doesn't know the request. */
-  private sendOlderForm(request: ReplicaRequest, pending: PendingCall): void {
-    const older = olderFormOf(request);
-    if (older === undefined) {
+  private sendFallback(request: ReplicaRequest, pending: PendingCall): void {
+    const fallback = fallbackRequestOf(request);
+    if (fallback === undefined) {
       // Later, as any reply: nobody is called back within the call.
-      this.runtime.setTimer(0, () => this.answer({ type: 'notKnown', call: request.call }));
+      this.runtime.setTimer(0, () => this.deliverReply({ type: 'notKnown', call: request.call }));
       return;
     }
     const listener: ReplyListener = (reply) =>
-      pending.listener(reply === undefined ? undefined : replyToOlderForm(reply));
+      pending.listener(reply === undefined ? undefined : adaptFallbackReply(reply));
     this.pending.set(request.call, { ...pending, listener });
-    this.ask(older);
+    this.sendRequest(fallback);
   }
 
   /** From now on a reply is owed. */
-  private ask(request: ReplicaRequest): void {
-    this.owedSince ??= this.runtime.now();
+  private sendRequest(request: ReplicaRequest): void {
+    this.dueSince ??= this.runtime.now();
     this.flush(encodeFrame(encodeReplicaMessage(request)));
   }
 
-  private unknownKinds(): LinkKinds {
-    return new LinkKinds((done) => {
-      const question = { ...PRESENCE_PROBE, call: this.newCall() } as ReplicaRequest;
-      this.call(question, KINDS_MILLISECONDS, (reply) => {
-        const told = toldKinds(reply);
-        if (told !== undefined || reply === undefined) {
-          done(told);
+  private newProtocol(): ConnectionProtocol {
+    return new ConnectionProtocol((done) => {
+      const probe = { ...PRESENCE_PROBE, call: this.newCall() } as ReplicaRequest;
+      this.call(probe, KIND_COUNT_TIMEOUT_MILLISECONDS, (reply) => {
+        const kindCount = decodeKindCount(reply);
+        if (kindCount !== undefined || reply === undefined) {
+          done(kindCount);
         } else {
-          tryKinds(this.member, this.runtime, done);
+          probeKindCount(this.member, this.runtime, done);
         }
       });
     });
   }
 
-  tell(message: OneWayMessage): void {
-    if (this.open() === undefined || this.lazyBytes > MAXIMUM_QUEUED_BYTES) {
+  notify(message: OneWayMessage): void {
+    if (this.open() === undefined || this.bufferedBytes > MAXIMUM_QUEUED_BYTES) {
       return;
     }
     const frame = encodeFrame(encodeReplicaMessage(message));
-    this.lazyFrames.push(frame);
-    this.lazyBytes += frame.length;
-    if (this.lazyFrames.length === 1) {
-      this.runtime.setTimer(LAZY_MILLISECONDS, () => this.flush());
+    this.bufferedFrames.push(frame);
+    this.bufferedBytes += frame.length;
+    if (this.bufferedFrames.length === 1) {
+      this.runtime.setTimer(FLUSH_DELAY_MILLISECONDS, () => this.flush());
     }
   }
 
@@ -138,37 +140,37 @@
 
   /** Sends what waited, and a frame behind it, in one write. */
   private flush(frame?: Buffer): void {
-    const frames = frame === undefined ? this.lazyFrames : [...this.lazyFrames, frame];
-    this.lazyFrames = [];
-    this.lazyBytes = 0;
+    const frames = frame === undefined ? this.bufferedFrames : [...this.bufferedFrames, frame];
+    this.bufferedFrames = [];
+    this.bufferedBytes = 0;
     if (frames.length > 0) {
       this.socket?.write(frames.length === 1 ? frames[0]! : Buffer.concat(frames));
     }
   }
 
   private open(): Socket | undefined {
-    if (this.socket !== undefined || this.runtime.now() < this.retryAt) {
+    if (this.socket !== undefined || this.runtime.now() < this.reconnectAt) {
       return this.socket;
     }
     const socket = connect({ host: this.member.host, port: this.member.port, noDelay: true });
     this.socket = socket;
-    this.kinds = this.unknownKinds();
+    this.protocol = this.newProtocol();
     this.unknownLogged = false;
     const reader = new FrameReader();
-    socket.setTimeout(CONNECT_MILLISECONDS, () => socket.connecting && socket.destroy());
+    socket.setTimeout(CONNECT_TIMEOUT_MILLISECONDS, () => socket.connecting && socket.destroy());
     socket.on('connect', () => socket.setTimeout(0));
     socket.on('error', () => undefined);
-    socket.on('close', () => this.drop(socket));
-    socket.on('data', (chunk: Buffer) => this.read(socket, reader, chunk));
+    socket.on('close', () => this.handleClose(socket));
+    socket.on('data', (chunk: Buffer) => this.handleData(socket, reader, chunk));
     return socket;
   }
 
-  private read(socket: Socket, reader: FrameReader, chunk: Buffer): void {
+  private handleData(socket: Socket, reader: FrameReader, chunk: Buffer): void {
     try {
       for (const content of reader.push(chunk)) {
-        this.take(decodeReplicaMessage(content));
+        this.dispatch(decodeReplicaMessage(content));
       }
-      this.owedSince = this.pending.size > 0 ? this.runtime.now() : undefined;
+      this.dueSince = this.pending.size > 0 ? this.runtime.now() : undefined;
     } catch (cause) {
       const reason = cause instanceof Error ? cause.message : String(cause);
       const fields = { event: 'replica.unreadable', member: this.member.id, reason };
@@ -177,10 +179,10 @@
     }
   }
 
-  private take(message: ReplicaMessage | UnknownMessage): void {
+  private dispatch(message: ReplicaMessage | UnknownMessage): void {
     if (message.type === 'unknown') {
-      this.noteUnknown(message);
-      this.answerWith(message.call, undefined);
+      this.logUnknownKind(message);
+      this.completeCall(message.call, undefined);
       return;
     }
     if (message.type === 'members') {
@@ -190,14 +192,14 @@
     if (message.type === 'settle') {
       return;
     }
-    this.answer(message as ReplicaReply);
+    this.deliverReply(message as ReplicaReply);
   }
 
-  private answer(reply: ReplicaReply): void {
-    this.answerWith(reply.call, reply);
+  private deliverReply(reply: ReplicaReply): void {
+    this.completeCall(reply.call, reply);
   }
 
-  private answerWith(call: number, reply: ReplicaReply | undefined): void {
+  private completeCall(call: number, reply: ReplicaReply | undefined): void {
     const pending = this.pending.get(call);
     if (pending !== undefined) {
       this.pending.delete(call);
@@ -206,7 +208,7 @@
     }
   }
 
-  private noteUnknown({ kind }: UnknownMessage): void {
+  private logUnknownKind({ kind }: UnknownMessage): void {
     if (!this.unknownLogged) {
       this.unknownLogged = true;
       const fields = { event: 'replica.unknown', member: this.member.id, kind };
@@ -214,7 +216,7 @@
     }
   }
 
-  private expire(call: number): void {
+  private handleTimeout(call: number): void {
     const pending = this.pending.get(call);
     this.pending.delete(call);
     if (this.isSilent) {
@@ -230,20 +232,20 @@
   }
 
   private get isSilent(): boolean {
-    const { owedSince } = this;
-    return owedSince !== undefined && this.runtime.now() - owedSince >= LINK_SILENCE_MILLISECONDS;
+    const { dueSince: dueSince } = this;
+    return dueSince !== undefined && this.runtime.now() - dueSince >= SOCKET_SILENCE_MILLISECONDS;
   }
 
-  private drop(socket: Socket): void {
+  private handleClose(socket: Socket): void {
     if (this.socket !== socket) {
       return;
     }
     this.socket = undefined;
-    this.owedSince = undefined;
-    this.retryAt = this.runtime.now() + RECONNECT_MILLISECONDS;
-    const lost = [...this.pending.values()];
+    this.dueSince = undefined;
+    this.reconnectAt = this.runtime.now() + RECONNECT_DELAY_MILLISECONDS;
+    const interrupted = [...this.pending.values()];
     this.pending.clear();
-    for (const pending of lost) {
+    for (const pending of interrupted) {
       pending.cancelTimer();
       pending.listener(undefined);
     }
@@ -252,7 +254,7 @@
 
 /** See the head of this file. */
 export class TcpReplicaCaller implements ReplicaCaller {
-  private readonly links = new Map<string, ReplicaLink>();
+  private readonly connections = new Map<string, ReplicaConnection>();
   private lastCall = 0;
 
   constructor(
@@ -268,20 +270,20 @@
     listener: ReplyListener,
   ): void {
     const numbered = { ...request, call: this.newCall() } as ReplicaRequest;
-    this.linkTo(member).call(numbered, timeoutMilliseconds, listener);
+    this.connectionTo(member).call(numbered, timeoutMilliseconds, listener);
   }
 
-  tell(member: Member, message: OneWayMessage): void {
-    this.linkTo(member).tell(message);
+  notify(member: Member, message: OneWayMessage): void {
+    this.connectionTo(member).notify(message);
   }
 
   /** Closes the connections to replicas that are no longer members. */
   keepOnly(members: readonly Member[]): void {
-    const kept = new Set(members.map((member) => member.id));
-    for (const [id, link] of this.links) {
-      if (!kept.has(id)) {
-        link.close();
-        this.links.delete(id);
+    const memberIds = new Set(members.map((member) => member.id));
+    for (const [id, connection] of this.connections) {
+      if (!memberIds.has(id)) {
+        connection.close();
+        this.connections.delete(id);
       }
     }
   }
@@ -296,12 +298,14 @@
     return this.lastCall;
   }
 
-  private linkTo(member: Member): ReplicaLink {
-    let link = this.links.get(member.id);
-    if (link === undefined) {
-      link = new ReplicaLink(member, this.runtime, this.onMembers, () => this.newCall());
-      this.links.set(member.id, link);
+  private connectionTo(member: Member): ReplicaConnection {
+    let connection = this.connections.get(member.id);
+    if (connection === undefined) {
+      connection = new ReplicaConnection(member, this.runtime, this.onMembers, () =>
+        this.newCall(),
+      );
+      this.connections.set(member.id, connection);
     }
-    return link;
+    return connection;
   }
 }
--- a/src/turns/turn-client.ts
+++ b/src/turns/turn-client.ts
@@ -8,7 +8,7 @@
 import { mergeReservation } from './account.js';
 import { ChainCache } from './chain-cache.js';
 import { FailedWriteLog } from './failed-write-log.js';
-import type { KeptTurn } from './kept-turn.js';
+import type { ConversationTurn } from './conversation-turn.js';
 import type { MemberDirectory } from './member-directory.js';
 import { readQuorumOf } from './membership.js';
 import type { Member, MemberRecord } from './membership.js';
@@ -49,7 +49,7 @@
 /** Pause before an account that seems spent is read again: turns just ended may be settling. */
 const SETTLING_MILLISECONDS = 40;
 /** Times that a seemingly spent account is read again. */
-const SETTLING_READS = 2;
+const SETTLING_RETRIES = 2;
 /** Pause before a write is repeated under newer members, in milliseconds. */
 const EPOCH_RETRY_MILLISECONDS = 60;
 /** Time after which the next replica is asked for a chain as well, in milliseconds. */
@@ -80,7 +80,7 @@
     this.tryReserve(
       request,
       this.options.runtime.now() + timeoutMilliseconds,
-      SETTLING_READS,
+      SETTLING_RETRIES,
       done,
     );
   }
@@ -94,14 +94,18 @@
   settle(program: string, turn: string, mostTokens: number, usedTokens: number): void {
     const entry = { program, turn, mostTokens, usedTokens };
     const members = this.options.directory.current?.members ?? [];
-    members.forEach((member) => this.options.caller.tell(member, { type: 'settle', entry }));
+    members.forEach((member) => this.options.caller.notify(member, { type: 'settle', entry }));
   }
 
   /** Keeps a turn; true once a majority has it on disk. */
-  keep(turn: KeptTurn, timeoutMilliseconds: number, done: (kept: boolean) => void): void {
+  storeTurn(
+    turn: ConversationTurn,
+    timeoutMilliseconds: number,
+    done: (stored: boolean) => void,
+  ): void {
     const request: EpochRequest = (epoch) => ({ type: 'keep', epoch, turn });
-    const until = this.options.runtime.now() + timeoutMilliseconds;
-    this.write(turn.id, request, until, (replies) => {
+    const deadline = this.options.runtime.now() + timeoutMilliseconds;
+    this.write(turn.id, request, deadline, (replies) => {
       if (replies !== undefined) {
         this.chains.add(turn);
       }
@@ -131,24 +135,24 @@
 
   private tryReserve(
     request: ReserveRequest,
-    until: number,
-    readsLeft: number,
+    deadline: number,
+    retriesLeft: number,
     done: (outcome: ReserveOutcome) => void,
   ): void {
     const { program, turn, mostTokens, budgetTokens } = request;
     const entry = { program, turn, mostTokens, usedTokens: undefined };
     const epochRequest: EpochRequest = (epoch) => ({ type: 'reserve', epoch, entry });
-    this.write(program, epochRequest, until, (replies) => {
+    this.write(program, epochRequest, deadline, (replies) => {
       if (replies === undefined) {
         done('unavailable');
         return;
       }
-      const account = unionOf(replies);
+      const account = mergeReplies(replies);
       if (fitsBudget(account, turn, mostTokens, budgetTokens)) {
         done('granted');
-      } else if (readsLeft > 0) {
+      } else if (retriesLeft > 0) {
         this.options.runtime.setTimer(SETTLING_MILLISECONDS, () =>
-          this.tryReserve(request, until, readsLeft - 1, done),
+          this.tryReserve(request, deadline, retriesLeft - 1, done),
         );
       } else {
         this.settle(program, turn, mostTokens, 0);
@@ -161,13 +165,13 @@
   private write(
     key: string,
     request: EpochRequest,
-    until: number,
+    deadline: number,
     done: (replies: readonly ReplicaReply[] | undefined) => void,
   ): void {
     const { runtime, directory } = this.options;
     const record = directory.current;
-    const left = until - runtime.now();
-    if (record === undefined || left <= 0) {
+    const remainingMilliseconds = deadline - runtime.now();
+    if (record === undefined || remainingMilliseconds <= 0) {
       done(undefined);
       return;
     }
@@ -175,13 +179,17 @@
       record,
       request: request(record.epoch),
       key,
-      timeoutMilliseconds: left,
-      onFailed: (outcomes: MemberOutcomes) => this.failedWrites.note(record.epoch, outcomes),
+      timeoutMilliseconds: remainingMilliseconds,
+      onFailed: (outcomes: MemberOutcomes) =>
+        this.failedWrites.recordFailure(record.epoch, outcomes),
     };
     writeToQuorum(runtime, this.options.caller, write, (replies) => {
-      const changed = (directory.current?.epoch ?? 0) > record.epoch;
-      if (replies === undefined && (changed || until - runtime.now() > EPOCH_RETRY_MILLISECONDS)) {
-        runtime.setTimer(EPOCH_RETRY_MILLISECONDS, () => this.write(key, request, until, done));
+      const hasNewerRecord = (directory.current?.epoch ?? 0) > record.epoch;
+      if (
+        replies === undefined &&
+        (hasNewerRecord || deadline - runtime.now() > EPOCH_RETRY_MILLISECONDS)
+      ) {
+        runtime.setTimer(EPOCH_RETRY_MILLISECONDS, () => this.write(key, request, deadline, done));
       } else {
         done(replies);
       }
@@ -189,7 +197,7 @@
   }
 }
 
-function unionOf(replies: readonly ReplicaReply[]): Account {
+function mergeReplies(replies: readonly ReplicaReply[]): Account {
   const account: Account = new Map();
   for (const reply of replies) {
     if (reply.type === 'account') {
@@ -201,11 +209,11 @@
 
 /** Reads one chain: asks the nearest replica, then the others one after another or when it is slow. */
 class ChainRead {
-  private readonly waiting: Member[];
-  private open = 0;
-  private missing = 0;
-  private over = false;
-  private readonly until: number;
+  private readonly unaskedMembers: Member[];
+  private pendingCalls = 0;
+  private missingReplies = 0;
+  private finished = false;
+  private readonly deadline: number;
 
   constructor(
     private readonly options: TurnClientOptions,
@@ -214,9 +222,11 @@
     timeoutMilliseconds: number,
     private readonly done: (result: ChainResult) => void,
   ) {
-    const near = (member: Member): number => (member.zone === options.zone ? 0 : 1);
-    this.waiting = [...record.members].sort((left, right) => near(left) - near(right));
-    this.until = options.runtime.now() + timeoutMilliseconds;
+    const zoneRank = (member: Member): number => (member.zone === options.zone ? 0 : 1);
+    this.unaskedMembers = [...record.members].sort(
+      (left, right) => zoneRank(left) - zoneRank(right),
+    );
+    this.deadline = options.runtime.now() + timeoutMilliseconds;
   }
 
   start(): void {
@@ -224,28 +234,28 @@
   }
 
   private askNext(): void {
-    const member = this.waiting.shift();
-    const left = this.until - this.options.runtime.now();
-    if (this.over || member === undefined || left <= 0) {
-      this.endIfDone();
+    const member = this.unaskedMembers.shift();
+    const remainingMilliseconds = this.deadline - this.options.runtime.now();
+    if (this.finished || member === undefined || remainingMilliseconds <= 0) {
+      this.finishIfExhausted();
       return;
     }
-    this.open += 1;
+    this.pendingCalls += 1;
     const { epoch } = this.record;
     const request = { type: 'chainUnder' as const, epoch, turn: this.turn };
-    this.options.caller.call(member, request, left, (reply) => {
-      this.open -= 1;
-      this.take(reply);
+    this.options.caller.call(member, request, remainingMilliseconds, (reply) => {
+      this.pendingCalls -= 1;
+      this.handleReply(reply);
     });
     this.options.runtime.setTimer(HEDGE_MILLISECONDS, () => {
-      if (!this.over && this.waiting.length > 0) {
+      if (!this.finished && this.unaskedMembers.length > 0) {
         this.askNext();
       }
     });
   }
 
-  private take(reply: ReplicaReply | undefined): void {
-    if (this.over) {
+  private handleReply(reply: ReplicaReply | undefined): void {
+    if (this.finished) {
       return;
     }
     if (reply?.type === 'chained' && reply.state === 'found') {
@@ -253,23 +263,23 @@
       return;
     }
     if (reply?.type === 'chained' && reply.state === 'missing') {
-      this.missing += 1;
+      this.missingReplies += 1;
     }
-    if (this.missing >= readQuorumOf(this.record)) {
+    if (this.missingReplies >= readQuorumOf(this.record)) {
       this.finish({ tag: 'missing' });
       return;
     }
     this.askNext();
   }
 
-  private endIfDone(): void {
-    if (!this.over && this.open === 0) {
+  private finishIfExhausted(): void {
+    if (!this.finished && this.pendingCalls === 0) {
       this.finish({ tag: 'unsure' });
     }
   }
 
   private finish(result: ChainResult): void {
-    this.over = true;
+    this.finished = true;
     this.done(result);
   }
 }
--- a/src/turns/turn-storage.ts
+++ b/src/turns/turn-storage.ts
@@ -1,6 +1,6 @@
 /** Durable storage of one replica, as its logic sees it. */
 import type { AccountEntry } from './messages.js';
-import type { KeptTurn } from './kept-turn.js';
+import type { ConversationTurn } from './conversation-turn.js';
 import type { JoinToken } from './membership.js';
 
 /** What a replica knows of itself. */
@@ -13,7 +13,7 @@
 
 /** A turn with the wall time at which it was stored, in milliseconds. */
 export interface StoredTurn {
-  readonly turn: KeptTurn;
+  readonly turn: ConversationTurn;
   readonly storedAt: number;
 }
 
