--- a/features/steps/configuration.steps.ts
+++ b/features/steps/configuration.steps.ts
@@ -3,7 +3,10 @@
 import { Then } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import * as E from 'fp-ts/lib/Either.js';
-import { applyChanges, ConfigurationSteps } from '../../src/configuration/configuration-steps.js';
+import {
+  applyChanges,
+  ConfigurationChangeLog,
+} from '../../src/configuration/configuration-change-log.js';
 import {
   buildConfiguration,
   EMPTY_CONFIGURATION,
@@ -43,16 +46,16 @@
   function () {
     fc.assert(
       fc.property(edits, (states) => {
-        const steps = new ConfigurationSteps();
+        const changeLog = new ConfigurationChangeLog();
         const seen = [EMPTY_CONFIGURATION];
         states.forEach((documents, index) => {
           const next = buildConfiguration(index + 1, documents);
-          steps.add(seen[seen.length - 1]!, next);
+          changeLog.add(seen[seen.length - 1]!, next);
           seen.push(next);
         });
         const newest = seen[seen.length - 1]!;
         for (const configuration of seen.slice(1, -1)) {
-          const changes = steps.since(configuration.revision)!;
+          const changes = changeLog.since(configuration.revision)!;
           const reached = buildConfiguration(
             changes.revision,
             applyChanges(configuration, changes),
--- a/features/steps/contention-requests.steps.ts
+++ b/features/steps/contention-requests.steps.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { ProgramShapes } from '../../src/relay/admission/program-shape.js';
 import { ServiceDemand } from '../../src/relay/admission/service-demand.js';
-import { TallyBoard } from '../../src/peers/tally-board.js';
+import { AggregateRegistry } from '../../src/peers/aggregate-registry.js';
 import type { RelayContext } from '../../src/relay/relay-context.js';
 import { parsePromptParts, parseTokenUsage } from '../../src/relay/request/relay-request.js';
 import type { RelayRequest } from '../../src/relay/request/relay-request.js';
@@ -18,7 +18,7 @@
 
 /** Whether a program of a rank begins at a service whose requests in flight are all known by rank. */
 function beginsAmong(rank: number, inFlight: number, ranks: readonly number[]): boolean {
-  const demand = new ServiceDemand(new TallyBoard());
+  const demand = new ServiceDemand(new AggregateRegistry());
   ranks.forEach((other) => demand.begin('s', other));
   const passage = passageWith('new', [], 0);
   const { context, request } = passage;
@@ -153,7 +153,7 @@
   function () {
     const MANY = 600;
     const NEXT_TENANT = 3;
-    const board = new TallyBoard();
+    const board = new AggregateRegistry();
     const demand = new ServiceDemand(board);
     const isNewLetIn = (): boolean => {
       const { context, request } = passageOfShape('new', 0, new ProgramShapes(), MANY);
@@ -165,7 +165,7 @@
     onTime.forEach((end) => end());
     const late = Array.from({ length: MANY }, () => demand.begin('s', NEXT_TENANT, 0));
     assert.ok(!isNewLetIn());
-    const told = board.own();
+    const told = board.collectOwn();
     late.forEach((end) => end());
     assert.equal(demand.late('s', 0), 0);
     board.ofOthers = (topic) =>
--- a/features/steps/contention.steps.ts
+++ b/features/steps/contention.steps.ts
@@ -11,8 +11,8 @@
 import { ProgramShapes } from '../../src/relay/admission/program-shape.js';
 import { pauseUntilRoom } from '../../src/relay/admission/return-pause.js';
 import { ServiceDemand } from '../../src/relay/admission/service-demand.js';
-import { TallyBoard } from '../../src/peers/tally-board.js';
-import { TALLY_TOPICS } from '../../src/peers/tallies.js';
+import { AggregateRegistry } from '../../src/peers/aggregate-registry.js';
+import { AGGREGATE_TOPICS } from '../../src/peers/aggregates.js';
 import { hashToNumber } from '../../src/runtime/hashing.js';
 import { parsePromptParts } from '../../src/relay/request/relay-request.js';
 import { ADMISSION_STAGE } from '../../src/relay/stages/admission-stage.js';
@@ -133,7 +133,7 @@
 Then(
   'requests of later ranks at all gateways are told apart from those of earlier ranks',
   function () {
-    const board = new TallyBoard();
+    const board = new AggregateRegistry();
     const others = new Map([[hashToNumber('s'), [1, 0, 4, 0, 0, 2, 0, 0]]]);
     board.ofOthers = () => others;
     const demand = new ServiceDemand(board);
@@ -142,14 +142,14 @@
     assert.equal(demand.behind('s', 2), 2 + 1);
     assert.equal(demand.at('s', 2), 4 + 2);
     assert.equal(demand.behind('s', -1), 1 + 1 + demand.behind('s', 0));
-    assert.deepEqual(board.own(), [
+    assert.deepEqual(board.collectOwn(), [
       {
-        topic: TALLY_TOPICS.serviceDemand,
+        topic: AGGREGATE_TOPICS.serviceDemand,
         rows: [{ key: hashToNumber('s'), amounts: [1, 0, 2, 0, 0, 0, 0, 1] }],
       },
     ]);
     ends.forEach((end) => end());
-    assert.deepEqual(board.own(), []);
+    assert.deepEqual(board.collectOwn(), []);
   },
 );
 
--- a/features/steps/cost.steps.ts
+++ b/features/steps/cost.steps.ts
@@ -16,18 +16,18 @@
 interface World {
   folder?: string;
   /** What the program said on its standard error. */
-  said?: string;
+  stderr?: string;
   clock?: VirtualClock;
   /** When a gateway told others of itself, in virtual milliseconds. */
-  toldAt?: number[];
+  sentAt?: number[];
   /** Whether it has a request to tell. */
   hasRequest?: boolean;
 }
 
 const MILLISECONDS_IN_SECOND = 1_000;
 
-function toldBetween({ toldAt }: World, from: number, until: number): number {
-  return toldAt!.filter((at) => at > from && at <= until).length;
+function sendsBetween({ sentAt }: World, from: number, until: number): number {
+  return sentAt!.filter((at) => at > from && at <= until).length;
 }
 
 /** The program says how it is used, and ends so, when no role is named. */
@@ -46,15 +46,15 @@
   const run = spawnSync(process.execPath, words, { encoding: 'utf8' });
   assert.equal(run.status, EXIT_WITHOUT_ROLE, run.stderr);
   assert.match(run.stderr, USAGE);
-  this.said = run.stderr;
+  this.stderr = run.stderr;
 });
 
 Then('it runs from its compiled code', function (this: World) {
-  assert.doesNotMatch(this.said!, REFUSED);
+  assert.doesNotMatch(this.stderr!, REFUSED);
 });
 
 Then('it runs from its text and says so', function (this: World) {
-  assert.match(this.said!, REFUSED);
+  assert.match(this.stderr!, REFUSED);
 });
 
 Then(
@@ -83,13 +83,13 @@
     const clock = new VirtualClock();
     const runtime = new SimulatedProcess('gateway', clock, createRandom(1)).begin();
     this.clock = clock;
-    this.toldAt = [];
+    this.sentAt = [];
     this.hasRequest = false;
     new GossipPace({
       runtime,
-      isReliedOn: () => does !== 'others add up',
-      tell: () => {
-        this.toldAt!.push(clock.now);
+      needsFullRate: () => does !== 'others add up',
+      send: () => {
+        this.sentAt!.push(clock.now);
         return this.hasRequest!;
       },
     });
@@ -104,8 +104,8 @@
   'it told {int} times in the first second and {int} times in the last {int}',
   function (this: World, first: number, last: number, seconds: number) {
     const until = (seconds + 1) * MILLISECONDS_IN_SECOND;
-    assert.equal(toldBetween(this, 0, MILLISECONDS_IN_SECOND), first);
-    assert.equal(toldBetween(this, MILLISECONDS_IN_SECOND, until), last);
+    assert.equal(sendsBetween(this, 0, MILLISECONDS_IN_SECOND), first);
+    assert.equal(sendsBetween(this, MILLISECONDS_IN_SECOND, until), last);
   },
 );
 
@@ -118,9 +118,9 @@
   function (this: World, milliseconds: number, count: number) {
     const begunAt = this.clock!.now;
     this.clock!.runUntil(begunAt + milliseconds + MILLISECONDS_IN_SECOND);
-    const told = this.toldAt!.find((at) => at > begunAt)!;
-    assert.ok(told - begunAt <= milliseconds, `told after ${told - begunAt} ms`);
-    assert.equal(toldBetween(this, told, told + MILLISECONDS_IN_SECOND), count);
+    const firstSent = this.sentAt!.find((at) => at > begunAt)!;
+    assert.ok(firstSent - begunAt <= milliseconds, `told after ${firstSent - begunAt} ms`);
+    assert.equal(sendsBetween(this, firstSent, firstSent + MILLISECONDS_IN_SECOND), count);
   },
 );
 
--- a/features/steps/followers.steps.ts
+++ b/features/steps/followers.steps.ts
@@ -1,8 +1,8 @@
 /** Steps about gateways of which few follow the store, in virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { decideFollowing } from '../../src/peers/store-followers.js';
-import { TALLY_TOPICS } from '../../src/peers/tallies.js';
+import { shouldFollow } from '../../src/peers/store-followers.js';
+import { AGGREGATE_TOPICS } from '../../src/peers/aggregates.js';
 import type { PromptPlace } from '../../src/peers/recent-places.js';
 import { promptKeyOf } from '../../src/relay/request/relay-request.js';
 import { hashToNumber } from '../../src/runtime/hashing.js';
@@ -10,7 +10,7 @@
   allKnow,
   changeKey,
   followersOf,
-  KEY,
+  CHANGED_KEY,
   running,
   startFleet,
   wait,
@@ -18,10 +18,10 @@
 } from '../support/gateway-fleet.js';
 import type { FleetGateway, FleetWorld } from '../support/gateway-fleet.js';
 
-const PATIENCE_MILLISECONDS = 1_200;
+const SILENCE_LIMIT_MILLISECONDS = 1_200;
 
 interface World extends FleetWorld {
-  view?: { rank: number; isFollowing: boolean; sinceChangeMilliseconds: number };
+  decision?: { rank: number; isFollowing: boolean; roleAgeMilliseconds: number };
   follows?: boolean;
 }
 
@@ -29,16 +29,16 @@
   /^a gateway of rank (\d+) that (doesn't ask|follows) the store since (\d+) milliseconds$/,
   function (this: World, rank: string, does: string, since: string) {
     const isFollowing = does === 'follows';
-    this.view = { rank: Number(rank), isFollowing, sinceChangeMilliseconds: Number(since) };
+    this.decision = { rank: Number(rank), isFollowing, roleAgeMilliseconds: Number(since) };
   },
 );
 
 When(
   'no other gateway is known to have heard from the store for {int} milliseconds',
   function (this: World, silenceMilliseconds: number) {
-    const view = { ...this.view!, silenceMilliseconds };
-    const patienceMilliseconds = PATIENCE_MILLISECONDS;
-    this.follows = decideFollowing({ ...view, patienceMilliseconds, behindMilliseconds: 0 });
+    const decision = { ...this.decision!, silenceMilliseconds };
+    const silenceLimitMilliseconds = SILENCE_LIMIT_MILLISECONDS;
+    this.follows = shouldFollow({ ...decision, silenceLimitMilliseconds, lagMilliseconds: 0 });
   },
 );
 
@@ -70,9 +70,9 @@
 When(
   'the store says nothing for {int} milliseconds, and a key is changed as it answers again',
   function (this: World, milliseconds: number) {
-    this.gateways.forEach(({ store }) => store.fallSilent());
+    this.gateways.forEach(({ store }) => store.stopAnswering());
     wait(this, milliseconds);
-    this.gateways.forEach(({ store }) => store.speakAgain());
+    this.gateways.forEach(({ store }) => store.resumeAnswering());
     changeKey(this);
   },
 );
@@ -98,7 +98,7 @@
   function (this: World) {
     followersOf(this).forEach(({ store }) => {
       store.mode = 'refusing';
-      store.cutWatches = true;
+      store.refuseWatches = true;
     });
     changeKey(this);
   },
@@ -108,7 +108,9 @@
   'within {int} milliseconds all that run know the change',
   function (this: World, milliseconds: number) {
     const known = this.clock.runUntil(this.clock.now + milliseconds, () => allKnow(this));
-    const count = running(this).filter(({ mirror }) => mirror.get(KEY)?.value === this.value);
+    const count = running(this).filter(
+      ({ mirror }) => mirror.get(CHANGED_KEY)?.value === this.value,
+    );
     assert.ok(known, `${count.length} of ${running(this).length} know it`);
   },
 );
@@ -119,11 +121,11 @@
     wait(this, 4_000);
     // All but the liar leave the store to others, so that they ask the liar.
     this.gateways.slice(1).forEach(({ store }) => (store.mode = 'unreachable'));
-    this.gateways.slice(1).forEach(({ mirror }) => mirror.rest());
-    this.lie = { host: this.gateways[0]!.host, revision };
+    this.gateways.slice(1).forEach(({ mirror }) => mirror.stopFollowing());
+    this.falseRevision = { host: this.gateways[0]!.host, revision };
     this.gateways.forEach((gateway) => (gateway.fetchesServed = 0));
     wait(this, milliseconds);
-    this.lie = undefined;
+    this.falseRevision = undefined;
   },
 );
 
@@ -186,9 +188,9 @@
 );
 
 When('the first of each zone dies', function (this: World) {
-  const firsts = new Set(running(this).filter(({ gossip }) => gossip.rank === 0));
-  assert.ok(firsts.size >= ZONES, `${firsts.size} come first`);
-  for (const { gossip, process } of firsts) {
+  const firstInZones = new Set(running(this).filter(({ gossip }) => gossip.rank === 0));
+  assert.ok(firstInZones.size >= ZONES, `${firstInZones.size} come first`);
+  for (const { gossip, process } of firstInZones) {
     gossip.close();
     process.kill();
   }
@@ -209,29 +211,30 @@
   },
 );
 
-const KNOWN_TOPIC = TALLY_TOPICS.serviceDemand;
+const KNOWN_TOPIC = AGGREGATE_TOPICS.serviceDemand;
 const UNKNOWN_TOPIC = 250;
-const TALLY_KEY = 77;
+const AGGREGATE_KEY = 77;
 
 /** Sums of others that a gateway knows under both topics. */
-function talliesKnownBy({ gossip }: FleetGateway): number[] {
-  const sumOf = (topic: number): number => gossip.talliesOfOthers(topic).get(TALLY_KEY)?.[0] ?? 0;
+function aggregatesKnownBy({ gossip }: FleetGateway): number[] {
+  const sumOf = (topic: number): number =>
+    gossip.aggregatesOfOthers(topic).get(AGGREGATE_KEY)?.[0] ?? 0;
   return [sumOf(KNOWN_TOPIC), sumOf(UNKNOWN_TOPIC)];
 }
 
 Given('every fourth of them is of a build that reads no figures', function (this: FleetWorld) {
   this.gateways.forEach((gateway, index) => {
-    gateway.isOlder = index % 4 === Math.floor(index / 4) % 4;
+    gateway.isOlderBuild = index % 4 === Math.floor(index / 4) % 4;
   });
 });
 
 When(
   'each tells {int} of a topic that all know and {int} of one that nobody knows',
   function (this: FleetWorld, known: number, unknown: number) {
-    for (const gateway of this.gateways.filter(({ isOlder }) => !isOlder)) {
-      gateway.tallies = [
-        { topic: KNOWN_TOPIC, rows: [{ key: TALLY_KEY, amounts: [known, 1] }] },
-        { topic: UNKNOWN_TOPIC, rows: [{ key: TALLY_KEY, amounts: [unknown] }] },
+    for (const gateway of this.gateways.filter(({ isOlderBuild }) => !isOlderBuild)) {
+      gateway.aggregates = [
+        { topic: KNOWN_TOPIC, rows: [{ key: AGGREGATE_KEY, amounts: [known, 1] }] },
+        { topic: UNKNOWN_TOPIC, rows: [{ key: AGGREGATE_KEY, amounts: [unknown] }] },
       ];
     }
   },
@@ -242,7 +245,7 @@
   function (this: FleetWorld, milliseconds: number, known: number, unknown: number) {
     wait(this, milliseconds);
     for (const gateway of running(this)) {
-      assert.deepEqual(talliesKnownBy(gateway), [known, unknown], gateway.host);
+      assert.deepEqual(aggregatesKnownBy(gateway), [known, unknown], gateway.host);
     }
   },
 );
@@ -251,10 +254,10 @@
   'after {int} milliseconds the older ones were never sent any figures',
   function (this: FleetWorld, milliseconds: number) {
     wait(this, milliseconds);
-    const older = this.gateways.filter(({ isOlder }) => isOlder);
+    const older = this.gateways.filter(({ isOlderBuild }) => isOlderBuild);
     assert.equal(older.length, this.gateways.length / 4);
     assert.deepEqual(
-      older.map(({ tailsRefused }) => tailsRefused),
+      older.map(({ extensionsRefused }) => extensionsRefused),
       older.map(() => 0),
     );
   },
@@ -263,8 +266,8 @@
 Then(
   'none of the newer ones counts more than {int}, and some count what newer ones told',
   function (this: FleetWorld, most: number) {
-    const newer = this.gateways.filter(({ isOlder }) => !isOlder);
-    const counted = newer.map((gateway) => talliesKnownBy(gateway)[0]!);
+    const newer = this.gateways.filter(({ isOlderBuild }) => !isOlderBuild);
+    const counted = newer.map((gateway) => aggregatesKnownBy(gateway)[0]!);
     assert.ok(Math.max(...counted) <= most, `${Math.max(...counted)} counted`);
     assert.ok(counted.some((count) => count > 0));
   },
--- a/features/steps/freshness.steps.ts
+++ b/features/steps/freshness.steps.ts
@@ -2,7 +2,10 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { freshnessTimingsFor, worstApplyMilliseconds } from '../../src/mirror/freshness-timings.js';
+import {
+  freshnessTimingsFor,
+  worstCaseApplyMilliseconds,
+} from '../../src/mirror/freshness-timings.js';
 import { RunnerBook } from '../../src/relay/runners/runner-book.js';
 import type { Runner } from '../../src/relay/runners/runner.js';
 import { createRandom } from '../../src/runtime/random.js';
@@ -25,8 +28,8 @@
   return { id, service: SERVICE, host: 'h', port: 1, zone: 'z', slots: 4, ready: true };
 }
 
-function worstOf(bound: number): number {
-  return worstApplyMilliseconds(freshnessTimingsFor(bound));
+function worstCaseOf(bound: number): number {
+  return worstCaseApplyMilliseconds(freshnessTimingsFor(bound));
 }
 
 function callsOf(world: FleetWorld): number {
@@ -41,11 +44,11 @@
 );
 
 Then('the worst path of a change takes at most that long', function (this: World) {
-  assert.ok(worstOf(this.bound) <= this.bound, `${worstOf(this.bound)} ms`);
+  assert.ok(worstCaseOf(this.bound) <= this.bound, `${worstCaseOf(this.bound)} ms`);
 });
 
 Then('the worst path of a change leaves a tenth of that', function (this: World) {
-  assert.ok(worstOf(this.bound) <= 0.9 * this.bound, `${worstOf(this.bound)} ms`);
+  assert.ok(worstCaseOf(this.bound) <= 0.9 * this.bound, `${worstCaseOf(this.bound)} ms`);
 });
 
 Then(
@@ -53,14 +56,14 @@
   function (least: number, most: number) {
     const bound = fc.integer({ min: least, max: most });
     fc.assert(
-      fc.property(bound, (drawn) => worstOf(drawn) <= drawn),
+      fc.property(bound, (drawn) => worstCaseOf(drawn) <= drawn),
       { numRuns: NUMBER_OF_RUNS },
     );
   },
 );
 
 Then('the worst path does not fit a bound of {int} milliseconds', function (bound: number) {
-  assert.ok(worstOf(bound) > bound);
+  assert.ok(worstCaseOf(bound) > bound);
 });
 
 Then(
@@ -76,7 +79,7 @@
 
 When('the store says nothing for {int} milliseconds', function (this: World, milliseconds: number) {
   const before = callsOf(this);
-  this.gateways.forEach(({ store }) => store.fallSilent());
+  this.gateways.forEach(({ store }) => store.stopAnswering());
   wait(this, milliseconds);
   this.callsMeanwhile = callsOf(this) - before;
 });
@@ -85,7 +88,7 @@
   'messages between gateways take {int} milliseconds more and the store says nothing for {int} milliseconds',
   function (this: World, delay: number, milliseconds: number) {
     this.delayMilliseconds = delay;
-    this.gateways.forEach(({ store }) => store.fallSilent());
+    this.gateways.forEach(({ store }) => store.stopAnswering());
     wait(this, milliseconds);
   },
 );
@@ -116,7 +119,7 @@
   );
   first.slice(0, count).forEach(({ store }) => {
     store.mode = 'refusing';
-    store.cutWatches = true;
+    store.refuseWatches = true;
   });
 });
 
@@ -167,7 +170,7 @@
 });
 
 When('the store answers again', function (this: World) {
-  this.gateways.forEach(({ store }) => store.speakAgain());
+  this.gateways.forEach(({ store }) => store.resumeAnswering());
 });
 
 Then(
@@ -175,8 +178,8 @@
   function (this: World, milliseconds: string | undefined, which: string) {
     wait(this, Number(milliseconds ?? 0));
     for (const { freshness, host } of running(this)) {
-      const counts = freshness.settlingMilliseconds > 0;
-      assert.equal(counts, which === 'every', `${host}: ${freshness.settlingMilliseconds} ms`);
+      const counts = freshness.expiryGraceMilliseconds > 0;
+      assert.equal(counts, which === 'every', `${host}: ${freshness.expiryGraceMilliseconds} ms`);
     }
   },
 );
--- a/features/steps/mirror.steps.ts
+++ b/features/steps/mirror.steps.ts
@@ -15,7 +15,7 @@
   clock: VirtualClock;
   store: SimulatedKeySpace;
   mirror: KeySpaceMirror;
-  reached: boolean[];
+  reachability: boolean[];
   calls: number;
 }
 
@@ -28,7 +28,7 @@
 function startMirror(this: World, keys: string, watchMilliseconds = WATCH_MILLISECONDS): void {
   this.clock = new VirtualClock();
   this.store = new SimulatedKeySpace(this.clock);
-  this.reached = [];
+  this.reachability = [];
   keys.split(' ').forEach((key) => this.store.put(key, 'first'));
   this.store.put('a', 'first');
   this.mirror = new KeySpaceMirror({
@@ -37,13 +37,13 @@
     prefix: '',
     timings: freshnessTimingsFor(2_000),
     awaitsProof: false,
-    verifyMilliseconds: 1_000,
-    watchMilliseconds,
+    verifyIntervalMilliseconds: 1_000,
+    watchTimeoutMilliseconds: watchMilliseconds,
     onPut: () => undefined,
-    onGone: () => undefined,
-    onReachable: (reachable) => this.reached.push(reachable),
+    onRemoved: () => undefined,
+    onReachable: (reachable) => this.reachability.push(reachable),
   });
-  this.mirror.follow();
+  this.mirror.startFollowing();
   wait(this, 500);
 }
 
@@ -61,9 +61,9 @@
 When(
   'the store says nothing for {int} milliseconds and {string} is changed as it answers again',
   function (this: World, milliseconds: number, key: string) {
-    this.store.fallSilent();
+    this.store.stopAnswering();
     wait(this, milliseconds);
-    this.store.speakAgain();
+    this.store.resumeAnswering();
     this.store.put(key, 'second');
   },
 );
@@ -72,31 +72,31 @@
   this.store.put('a', 'second');
   this.store.remove('b');
   wait(this, 500);
-  this.mirror.offer({ key: 'a', value: 'first', revision: 1 });
+  this.mirror.putIfNewer({ key: 'a', value: 'first', revision: 1 });
 });
 
 When(
   "the store's watches fall silent and {string} is changed",
   function (this: World, key: string) {
-    this.store.silentWatches = true;
+    this.store.hangWatches = true;
     this.store.put(key, 'second');
   },
 );
 
 When('stale lists fall behind', function (this: World) {
-  this.store.frozenList = { items: [...this.store.items.values()], revision: this.store.revision };
+  this.store.staleList = { items: [...this.store.items.values()], revision: this.store.revision };
 });
 
 When('a peer knows a change of {string}', function (this: World, key: string) {
-  this.mirror.heedRevision(this.store.items.get(key)!.revision);
+  this.mirror.noteStoreRevision(this.store.items.get(key)!.revision);
 });
 
 When('the store forgets its history while "b" is removed and "c" is added', function (this: World) {
-  this.store.silentWatches = true;
+  this.store.hangWatches = true;
   this.store.remove('b');
   this.store.put('c', 'first');
-  this.store.forget();
-  this.store.silentWatches = false;
+  this.store.compact();
+  this.store.hangWatches = false;
   wait(this, 500);
 });
 
@@ -104,11 +104,11 @@
   'the store is out of reach for {int} milliseconds while "a" is changed',
   function (this: World, milliseconds: number) {
     this.store.mode = 'unreachable';
-    this.store.silentWatches = true;
+    this.store.hangWatches = true;
     wait(this, milliseconds);
     this.store.put('a', 'second');
     this.store.mode = 'well';
-    this.store.silentWatches = false;
+    this.store.hangWatches = false;
   },
 );
 
@@ -122,13 +122,13 @@
 When(
   'peers offer {string} at revision {int} and {string} at revision {int}',
   function (this: World, first: string, older: number, second: string, newer: number) {
-    this.mirror.offer({ key: first, value: 'old', revision: older });
-    this.mirror.offer({ key: second, value: 'first', revision: newer });
+    this.mirror.putIfNewer({ key: first, value: 'old', revision: older });
+    this.mirror.putIfNewer({ key: second, value: 'first', revision: newer });
   },
 );
 
 When('the mirror rests for {int} milliseconds', function (this: World, milliseconds: number) {
-  this.mirror.rest();
+  this.mirror.stopFollowing();
   const before = this.store.callCount;
   wait(this, milliseconds);
   this.calls = this.store.callCount - before;
@@ -137,9 +137,9 @@
 When(
   'the mirror rests and a peer says that nothing is missing up to revision {int}',
   function (this: World, revision: number) {
-    this.mirror.rest();
+    this.mirror.stopFollowing();
     const since = this.mirror.completeRevision;
-    this.mirror.take({ since, revision, items: [], gone: [] });
+    this.mirror.applyChanges({ since, revision, items: [], gone: [] });
     assert.equal(this.mirror.completeRevision, revision);
   },
 );
@@ -153,7 +153,7 @@
 );
 
 When('the mirror follows again and {string} is changed', function (this: World, key: string) {
-  this.mirror.follow();
+  this.mirror.startFollowing();
   wait(this, 100);
   this.store.put(key, 'second');
 });
@@ -180,7 +180,7 @@
   }),
 );
 
-function playCopies(steps: readonly CopyStep[]): void {
+function checkCopiesConverge(steps: readonly CopyStep[]): void {
   const stored = new Map<string, StoredItem>();
   let revision = 0;
   const inForce = [0, 1, 2].map(() => new Map<string, number>());
@@ -191,11 +191,11 @@
           assert.ok(item.revision > (seen.get(item.key) ?? 0), 'an item went back');
           seen.set(item.key, item.revision);
         },
-        onGone: () => undefined,
+        onRemoved: () => undefined,
       }),
   );
   const take = (copy: KeySpaceCopy, from: KeySpaceCopy): void =>
-    copy.take(from.changesSince(copy.completeRevision));
+    copy.applyChanges(from.changesSince(copy.completeRevision));
   for (const step of steps) {
     switch (step.tag) {
       case 'put':
@@ -226,7 +226,9 @@
 Then(
   'copies that take changes from one another, in any order and with losses, agree with the store',
   function () {
-    fc.assert(fc.property(fc.array(copyStep, { maxLength: 40 }), playCopies), { numRuns: 3_000 });
+    fc.assert(fc.property(fc.array(copyStep, { maxLength: 40 }), checkCopiesConverge), {
+      numRuns: 3_000,
+    });
   },
 );
 
@@ -256,7 +258,7 @@
   'the mirror was told once that it is out of reach and once that it is back',
   function (this: World) {
     wait(this, 2_000);
-    assert.deepEqual(this.reached, [true, false, true]);
+    assert.deepEqual(this.reachability, [true, false, true]);
   },
 );
 
--- a/features/steps/peers.steps.ts
+++ b/features/steps/peers.steps.ts
@@ -6,19 +6,24 @@
 import type { StoreProof } from '../../src/mirror/store-freshness.js';
 import { openUdpPort } from '../../src/peers/datagram-port.js';
 import { LoadGossip } from '../../src/peers/load-gossip.js';
-import type { StoreNews } from '../../src/peers/load-gossip.js';
+import type { PeerStoreState } from '../../src/peers/load-gossip.js';
 import {
   decodeLoadMessage,
   encodeLoadMessage,
   LOAD_SCOPES,
-  withTail,
+  withExtensions,
 } from '../../src/peers/load-message.js';
 import type { LoadMessage } from '../../src/peers/load-message.js';
 import { PeerExchange } from '../../src/peers/peer-exchange.js';
 import type { PeerSnapshot } from '../../src/peers/peer-exchange.js';
 import type { PromptPlace } from '../../src/peers/recent-places.js';
-import { MAXIMUM_AMOUNTS, TALLY_TOPICS, sumTallies, tallyList } from '../../src/peers/tallies.js';
-import { encodeTallies } from '../../src/peers/tally-codec.js';
+import {
+  MAXIMUM_AMOUNTS,
+  AGGREGATE_TOPICS,
+  sumAggregates,
+  toAggregates,
+} from '../../src/peers/aggregates.js';
+import { encodeAggregates } from '../../src/peers/aggregate-codec.js';
 import { promptKeyOf } from '../../src/relay/request/relay-request.js';
 import { hashToNumber } from '../../src/runtime/hashing.js';
 import { createRealRuntime } from '../../src/runtime/real-runtime.js';
@@ -36,9 +41,9 @@
   gossips?: LoadGossip[];
   exchanges?: PeerExchange[];
   seed?: string;
-  learnt?: PeerSnapshot;
-  heardNews?: StoreNews[];
-  heardPlaces?: PromptPlace[];
+  receivedSnapshot?: PeerSnapshot;
+  peerStates?: PeerStoreState[];
+  receivedPlaces?: PromptPlace[];
 }
 
 function startGossip(
@@ -57,16 +62,16 @@
     ownLoads: () => loads,
     ownRevision: () => 7,
     proof: () => PROOF,
-    onStoreNews: (news) => (world.heardNews ??= []).push(news),
+    onPeerStoreState: (state) => (world.peerStates ??= []).push(state),
     reachesReplicas: () => place === 0,
     ownPlaces: () => places,
-    ownTallies: () => [],
-    onPlaces: (told) => (world.heardPlaces ??= []).push(...told),
+    ownAggregates: () => [],
+    onPlaces: (told) => (world.receivedPlaces ??= []).push(...told),
   });
   world.gossips!.push(gossip);
 }
 
-async function holdsWithin(milliseconds: number, holds: () => boolean): Promise<boolean> {
+async function becomesTrueWithin(milliseconds: number, holds: () => boolean): Promise<boolean> {
   const until = performance.now() + milliseconds;
   while (!holds() && performance.now() < until) {
     await new Promise((resolve) => setTimeout(resolve, 10));
@@ -91,7 +96,7 @@
 
 Then('the second alone knows that a peer reaches the replicas', async function (this: World) {
   const [first, second] = this.gossips!;
-  assert.ok(await holdsWithin(1_000, () => second!.somePeerReachesReplicas));
+  assert.ok(await becomesTrueWithin(1_000, () => second!.somePeerReachesReplicas));
   assert.equal(first!.somePeerReachesReplicas, false);
 });
 
@@ -100,13 +105,13 @@
 });
 
 Then('the second learns what the runner keeps', async function (this: World) {
-  assert.ok(await holdsWithin(1_000, () => this.heardPlaces !== undefined));
-  assert.deepEqual(this.heardPlaces![0], PLACE);
+  assert.ok(await becomesTrueWithin(1_000, () => this.receivedPlaces !== undefined));
+  assert.deepEqual(this.receivedPlaces![0], PLACE);
 });
 
 Then('they tell one another the newest revision they know', function (this: World) {
-  assert.deepEqual(new Set(this.heardNews!.map(({ revision }) => revision)), new Set([7]));
-  this.heardNews!.forEach(({ proof }) => assert.deepEqual(proof, PROOF));
+  assert.deepEqual(new Set(this.peerStates!.map(({ revision }) => revision)), new Set([7]));
+  this.peerStates!.forEach(({ proof }) => assert.deepEqual(proof, PROOF));
 });
 
 When('the first falls silent', function (this: World) {
@@ -114,7 +119,7 @@
 });
 
 When('a third gateway joins that knows only the second', async function (this: World) {
-  assert.ok(await holdsWithin(2_000, () => this.gossips![1]!.peerCount > 0));
+  assert.ok(await becomesTrueWithin(2_000, () => this.gossips![1]!.peerCount > 0));
   startGossip(this, 2, [HOSTS[1]], new Map());
 });
 
@@ -124,7 +129,7 @@
     const last = this.gossips!.at(-1)!;
     const hash = hashToNumber(runner);
     const holds = (): boolean => last.inFlightOfOthers(hash) === Number(count);
-    assert.ok(await holdsWithin(Number(within), holds), `${last.inFlightOfOthers(hash)}`);
+    assert.ok(await becomesTrueWithin(Number(within), holds), `${last.inFlightOfOthers(hash)}`);
   },
 );
 
@@ -161,9 +166,9 @@
     ownRevision: () => 3,
     snapshotSince: (since) => ({ since, revision: 3, items: [], gone: [], members: '' }),
     onSnapshot: (snapshot) => {
-      this.learnt = snapshot;
+      this.receivedSnapshot = snapshot;
     },
-    isNeeded: () => (this.learnt === undefined ? 'urgently' : 'no'),
+    isNeeded: () => (this.receivedSnapshot === undefined ? 'urgently' : 'no'),
   });
   exchange.start(HOSTS[1], this.port!);
   this.exchanges!.push(exchange);
@@ -172,12 +177,12 @@
 Then(
   'within {int} milliseconds it knows item {string} at revision {int} and the members',
   async function (this: World, within: number, key: string, revision: number) {
-    assert.ok(await holdsWithin(within, () => this.learnt !== undefined));
-    assert.deepEqual(this.learnt!.items, [{ key, value: 'value', revision }]);
-    assert.equal(this.learnt!.members, MEMBERS);
+    assert.ok(await becomesTrueWithin(within, () => this.receivedSnapshot !== undefined));
+    assert.deepEqual(this.receivedSnapshot!.items, [{ key, value: 'value', revision }]);
+    assert.equal(this.receivedSnapshot!.members, MEMBERS);
     // What it has already is not sent again.
-    assert.equal(this.learnt!.since, 3);
-    assert.ok(this.learnt!.peers.includes(this.seed!));
+    assert.equal(this.receivedSnapshot!.since, 3);
+    assert.ok(this.receivedSnapshot!.peers.includes(this.seed!));
   },
 );
 
@@ -197,7 +202,7 @@
   const amounts = fc.array(fc.float({ noNaN: true, noDefaultInfinity: true }), { maxLength: 8 });
   const row = fc.record({ key: fc.nat(0xffff_ffff), amounts }, plain);
   const rows = fc.array(row, { minLength: 1 });
-  const tally = fc.record({ topic: fc.nat(0xff), rows }, plain);
+  const aggregate = fc.record({ topic: fc.nat(0xff), rows }, plain);
   const message: fc.Arbitrary<LoadMessage> = fc.record(
     {
       sequence: fc.nat(),
@@ -210,7 +215,7 @@
       revision,
       places: fc.array(place),
       reachesReplicas: fc.boolean(),
-      tallies: fc.uniqueArray(tally, { selector: ({ topic }) => topic }),
+      aggregates: fc.uniqueArray(aggregate, { selector: ({ topic }) => topic }),
       proof: fc.record(
         {
           life: fc.nat(),
@@ -226,8 +231,8 @@
   fc.assert(
     fc.property(message, (value) => {
       const bytes = encodeLoadMessage(value);
-      assert.deepEqual(decodeLoadMessage(withTail(bytes, value)), value);
-      assert.deepEqual(decodeLoadMessage(bytes), { ...value, tallies: [] });
+      assert.deepEqual(decodeLoadMessage(withExtensions(bytes, value)), value);
+      assert.deepEqual(decodeLoadMessage(bytes), { ...value, aggregates: [] });
     }),
   );
 });
@@ -235,7 +240,7 @@
 Then(
   'whatever topics and rows peers tell, their sum fits in a section and has all topics that are known here',
   function () {
-    const known = Object.values(TALLY_TOPICS);
+    const known = Object.values(AGGREGATE_TOPICS);
     const counts = {
       topics: fc.integer({ min: 1, max: 255 }),
       rows: fc.integer({ min: 1, max: 60 }),
@@ -248,8 +253,8 @@
           rows: Array.from({ length: rows }, (_row, key) => ({ key, amounts })),
         }));
         const own = known.map((topic) => ({ topic, rows: [{ key: 1, amounts }] }));
-        const list = tallyList(sumTallies([told, own]));
-        const content = encodeTallies(list);
+        const list = toAggregates(sumAggregates([told, own]));
+        const content = encodeAggregates(list);
         assert.ok(content.length <= MAXIMUM_SECTION_BYTES, `${content.length} bytes`);
         const topicsTold = list.map(({ topic }) => topic);
         assert.deepEqual(
--- a/features/steps/two-builds.steps.ts
+++ b/features/steps/two-builds.steps.ts
@@ -9,7 +9,7 @@
 import {
   decodeLoadMessage,
   encodeLoadMessage,
-  FIRST_LIFE_WITH_TAIL,
+  FIRST_LIFE_WITH_EXTENSIONS,
 } from '../../src/peers/load-message.js';
 import type { LoadMessage } from '../../src/peers/load-message.js';
 import { createRandom } from '../../src/runtime/random.js';
@@ -116,7 +116,7 @@
     },
     load: ({ value, hex }) => {
       const message = decodeLoadMessage(Buffer.from(hex, 'hex'));
-      assert.deepEqual(plainOf(message), plainOf({ ...value, tallies: [] }));
+      assert.deepEqual(plainOf(message), plainOf({ ...value, aggregates: [] }));
       const encoded = encodeLoadMessage(message as LoadMessage);
       assert.equal(Buffer.from(encoded).toString('hex'), hex);
     },
@@ -255,7 +255,7 @@
     const sample = samplesOf('8a76974').find(({ form }) => form === 'load')!;
     const bytes = Buffer.from(sample.hex, 'hex');
     // Older builds draw their lives up to here, and refuse a tail.
-    assert.ok(FIRST_LIFE_WITH_TAIL > 2 ** 31);
+    assert.ok(FIRST_LIFE_WITH_EXTENSIONS > 2 ** 31);
     fc.assert(
       fc.property(fc.integer({ min: 2, max: 0xff }), fc.uint8Array(), (kind, content) => {
         const grown = Buffer.concat([bytes, encodeSections([{ kind, content }])]);
--- a/features/support/contention-passages.ts
+++ b/features/support/contention-passages.ts
@@ -2,7 +2,7 @@
 import { ProgramAdmission } from '../../src/relay/admission/program-admission.js';
 import { ProgramShapes } from '../../src/relay/admission/program-shape.js';
 import { ServiceDemand } from '../../src/relay/admission/service-demand.js';
-import { TallyBoard } from '../../src/peers/tally-board.js';
+import { AggregateRegistry } from '../../src/peers/aggregate-registry.js';
 import { createRandom } from '../../src/runtime/random.js';
 import type { RelayContext } from '../../src/relay/relay-context.js';
 import { RelayMetrics } from '../../src/relay/relay-metrics.js';
@@ -24,7 +24,7 @@
   const context = {
     admission: freshAdmission(),
     shapes: new ProgramShapes(),
-    demand: new ServiceDemand(new TallyBoard()),
+    demand: new ServiceDemand(new AggregateRegistry()),
     metrics: new RelayMetrics(),
     runtime: { now: () => 0, log: () => undefined },
     split: { pick: () => 's' },
--- a/features/support/gateway-fleet.ts
+++ b/features/support/gateway-fleet.ts
@@ -3,16 +3,16 @@
 import type { KeySpaceMirror } from '../../src/mirror/key-space-mirror.js';
 import type { StoreFreshness } from '../../src/mirror/store-freshness.js';
 import type { DatagramListener, DatagramPort } from '../../src/peers/datagram-port.js';
-import { followTogether } from '../../src/peers/follow-together.js';
-import type { StoreFollowing } from '../../src/peers/follow-together.js';
+import { startStoreSync } from '../../src/peers/store-sync.js';
+import type { StoreSync } from '../../src/peers/store-sync.js';
 import type { LoadGossip } from '../../src/peers/load-gossip.js';
 import {
   decodeLoadMessage,
   encodeLoadMessage,
-  FIRST_LIFE_WITH_TAIL,
+  FIRST_LIFE_WITH_EXTENSIONS,
 } from '../../src/peers/load-message.js';
 import type { PromptPlace } from '../../src/peers/recent-places.js';
-import type { Tally } from '../../src/peers/tallies.js';
+import type { Aggregate } from '../../src/peers/aggregates.js';
 import { createRandom } from '../../src/runtime/random.js';
 import type { RandomSource } from '../../src/runtime/random.js';
 import { SimulatedProcess } from '../../src/simulation/simulated-process.js';
@@ -22,10 +22,10 @@
 /** What gateways that gossip need of the network, in milliseconds one way. */
 export const LINK_MILLISECONDS = 1;
 const LOSS = 0.01;
-const FIRST_PATIENCE_MILLISECONDS = 2_500;
+const FIRST_START_DELAY_MILLISECONDS = 2_500;
 const APPLY_MILLISECONDS = 2_000;
 /** The key that is changed, and read as a proof. */
-export const KEY = 'a';
+export const CHANGED_KEY = 'a';
 /** Zones that gateways are spread over in turn. */
 export const ZONES = 4;
 
@@ -41,10 +41,10 @@
   /** Places of prompts told to it. */
   readonly placesHeard: Set<number>;
   places: readonly PromptPlace[];
-  tallies: readonly Tally[];
+  aggregates: readonly Aggregate[];
   /** Whether it is of a build that reads no tail: its life tells, and it refuses a message with one. */
-  isOlder: boolean;
-  tailsRefused: number;
+  isOlderBuild: boolean;
+  extensionsRefused: number;
   fetchesServed: number;
   messagesSent: number;
   bytesSent: number;
@@ -63,7 +63,7 @@
   /** While true, no gateway answers another's fetch. */
   fetchesFail: boolean;
   /** Revision that a lying gateway tells. */
-  lie: { readonly host: string; readonly revision: number } | undefined;
+  falseRevision: { readonly host: string; readonly revision: number } | undefined;
 }
 
 /** Those that were not killed. */
@@ -83,16 +83,16 @@
 }
 
 /** The message as a build without tails sends it. */
-function asOlder(bytes: Uint8Array): Uint8Array {
+function asOlderBuild(bytes: Uint8Array): Uint8Array {
   const message = decodeLoadMessage(bytes)!;
-  return encodeLoadMessage({ ...message, life: message.life - FIRST_LIFE_WITH_TAIL });
+  return encodeLoadMessage({ ...message, life: message.life - FIRST_LIFE_WITH_EXTENSIONS });
 }
 
 /** Hands a message over, unless its receiver is of a build that can't read it. */
 function deliver(world: FleetWorld, bytes: Uint8Array, from: string, target: string): void {
   const receiver = world.gateways.find((gateway) => gateway.host === target);
-  if (receiver?.isOlder === true && decodeLoadMessage(bytes)?.tallies.length !== 0) {
-    receiver.tailsRefused += 1;
+  if (receiver?.isOlderBuild === true && decodeLoadMessage(bytes)?.aggregates.length !== 0) {
+    receiver.extensionsRefused += 1;
     return;
   }
   world.listeners.get(target)?.(bytes, from);
@@ -101,17 +101,20 @@
 function datagramsOf(world: FleetWorld, host: string): DatagramPort {
   return {
     onDatagram: (listener) => world.listeners.set(host, listener),
-    send: (told, target) => {
+    send: (encoded, target) => {
       const sender = world.gateways.find((gateway) => gateway.host === host);
-      const spoken = sender?.isOlder === true ? asOlder(told) : told;
-      const bytes = world.lie?.host === host ? withRevision(spoken, world.lie.revision) : spoken;
+      const builtBytes = sender?.isOlderBuild === true ? asOlderBuild(encoded) : encoded;
+      const bytes =
+        world.falseRevision?.host === host
+          ? withRevision(builtBytes, world.falseRevision.revision)
+          : builtBytes;
       if (sender !== undefined) {
         sender.messagesSent += 1;
         sender.bytesSent += bytes.length;
       }
       if (world.random.uniform() >= LOSS) {
-        const way = LINK_MILLISECONDS + world.delayMilliseconds;
-        world.clock.schedule(way, () => deliver(world, bytes, host, target));
+        const delay = LINK_MILLISECONDS + world.delayMilliseconds;
+        world.clock.schedule(delay, () => deliver(world, bytes, host, target));
       }
     },
     close: () => world.listeners.delete(host),
@@ -129,7 +132,7 @@
   world.clock.schedule(LINK_MILLISECONDS, () => {
     const changes = peer.mirror.changesSince(since);
     world.clock.schedule(LINK_MILLISECONDS, () => {
-      own.take(changes);
+      own.applyChanges(changes);
       done();
     });
   });
@@ -140,17 +143,17 @@
   const process = new SimulatedProcess(host, world.clock, world.random);
   const runtime = process.begin();
   const store = new SimulatedKeySpace(world.clock);
-  store.put(KEY, 'first');
+  store.put(CHANGED_KEY, 'first');
   const loads = new Map<string, number>();
   const placesHeard = new Set<number>();
   const isSeed = index < 3;
-  const following: StoreFollowing = followTogether({
+  const storeSync: StoreSync = startStoreSync({
     runtime,
     port: store,
     timings: freshnessTimingsFor(APPLY_MILLISECONDS),
-    proofKey: KEY,
+    proofKey: CHANGED_KEY,
     onPut: () => undefined,
-    onGone: () => undefined,
+    onRemoved: () => undefined,
     gossip: {
       host,
       zone: `z${index % ZONES}`,
@@ -159,15 +162,17 @@
       ownLoads: () => loads,
       reachesReplicas: () => true,
       ownPlaces: () => world.gateways[index]?.places ?? [],
-      ownTallies: () => world.gateways[index]?.tallies ?? [],
+      ownAggregates: () => world.gateways[index]?.aggregates ?? [],
       onPlaces: (places) => places.forEach(({ part }) => placesHeard.add(part)),
     },
-    fetch: (target, done) => fetchFrom(world, following.mirror, target, done),
-    patienceMilliseconds: isSeed ? 0 : FIRST_PATIENCE_MILLISECONDS * (1 + world.random.uniform()),
+    fetch: (target, done) => fetchFrom(world, storeSync.mirror, target, done),
+    startDelayMilliseconds: isSeed
+      ? 0
+      : FIRST_START_DELAY_MILLISECONDS * (1 + world.random.uniform()),
   });
   const counts = { fetchesServed: 0, messagesSent: 0, bytesSent: 0, places: [] };
-  const build = { tallies: [], isOlder: false, tailsRefused: 0 };
-  const { mirror, gossip, freshness } = following;
+  const build = { aggregates: [], isOlderBuild: false, extensionsRefused: 0 };
+  const { mirror, gossip, freshness } = storeSync;
   const parts = { mirror, gossip, freshness, loads, placesHeard };
   world.gateways.push({ host, process, store, ...parts, ...counts, ...build });
 }
@@ -180,12 +185,12 @@
 /** Changes the key in the store. */
 export function changeKey(world: FleetWorld): void {
   world.value = `changed at ${world.clock.now}`;
-  world.gateways.forEach(({ store }) => store.put(KEY, world.value));
+  world.gateways.forEach(({ store }) => store.put(CHANGED_KEY, world.value));
 }
 
 /** Whether all that run know the newest value of the key. */
 export function allKnow(world: FleetWorld): boolean {
-  return running(world).every(({ mirror }) => mirror.get(KEY)?.value === world.value);
+  return running(world).every(({ mirror }) => mirror.get(CHANGED_KEY)?.value === world.value);
 }
 
 /** Starts gateways that know three seeds. */
--- a/features/support/simulated-key-space.ts
+++ b/features/support/simulated-key-space.ts
@@ -11,23 +11,23 @@
 import type { VirtualClock } from '../../src/simulation/virtual-clock.js';
 
 const ANSWER_MILLISECONDS = 4;
-const GIVE_UP_MILLISECONDS = 1_000;
+const TIMEOUT_MILLISECONDS = 1_000;
 /** Time after which a caller gives up a short call that is owed an answer, as the real client does. */
-const SHORT_CALL_MILLISECONDS = 1_500;
+const SHORT_CALL_TIMEOUT_MILLISECONDS = 1_500;
 
 /** A store in virtual time. */
 export class SimulatedKeySpace implements KeySpacePort {
   mode: 'well' | 'unreachable' | 'refusing' = 'well';
-  silentWatches = false;
+  hangWatches = false;
   /** While true, watches that wait end with a refusal. */
-  cutWatches = false;
+  refuseWatches = false;
   /** What stale lists answer while they are behind; undefined when they are not. */
-  frozenList: { items: StoredItem[]; revision: number } | undefined;
+  staleList: { items: StoredItem[]; revision: number } | undefined;
   callCount = 0;
   /** Lists of less than all keys. */
   keyReadCount = 0;
   /** While true, calls are neither answered nor refused. */
-  private silent = false;
+  private isSilent = false;
   /** Rises when open connections go silent for good: calls sent before are never answered. */
   private connections = 0;
   private readonly store: HistoryStore;
@@ -52,19 +52,19 @@
     this.store.remove(key);
   }
 
-  forget(): void {
+  compact(): void {
     this.store.forget();
   }
 
   /** Says nothing from now on; what it owes is never answered, not even after its return. */
-  fallSilent(): void {
-    this.silent = true;
+  stopAnswering(): void {
+    this.isSilent = true;
     this.loseConnections();
   }
 
   /** Answers again what is sent from now on. */
-  speakAgain(): void {
-    this.silent = false;
+  resumeAnswering(): void {
+    this.isSilent = false;
   }
 
   /** All open connections go silent for good, while new ones work. */
@@ -85,12 +85,12 @@
   ): void {
     const until = this.clock.now + wait;
     const { connections } = this;
-    const look = (): void => {
+    const poll = (): void => {
       if (connections !== this.connections) {
-        this.giveUpAt(until + GIVE_UP_MILLISECONDS, listener);
+        this.timeOutAt(until + TIMEOUT_MILLISECONDS, listener);
         return;
       }
-      if (this.cutWatches) {
+      if (this.refuseWatches) {
         listener(E.left({ tag: 'Refused', detail: 'status 503' }));
         return;
       }
@@ -99,48 +99,48 @@
         listener(E.left({ tag: 'HistoryLost' }));
         return;
       }
-      if (!this.silentWatches && (changes.length > 0 || this.clock.now >= until)) {
+      if (!this.hangWatches && (changes.length > 0 || this.clock.now >= until)) {
         listener(E.right({ changes, revision: this.revision }));
-      } else if (this.clock.now >= until + GIVE_UP_MILLISECONDS) {
+      } else if (this.clock.now >= until + TIMEOUT_MILLISECONDS) {
         listener(E.left({ tag: 'Unreachable', detail: 'no answer in time' }));
       } else {
-        this.clock.schedule(20, look);
+        this.clock.schedule(20, poll);
       }
     };
-    this.answer(listener, () => undefined, look, wait + GIVE_UP_MILLISECONDS);
+    this.answer(listener, () => undefined, poll, wait + TIMEOUT_MILLISECONDS);
   }
 
   listStale(prefix: string, listener: KeySpaceListener<ItemList>): void {
-    if (this.frozenList === undefined) {
+    if (this.staleList === undefined) {
       this.list(prefix, listener);
     } else {
-      const frozen = this.frozenList;
-      this.answer(listener, () => E.right(frozen));
+      const staleList = this.staleList;
+      this.answer(listener, () => E.right(staleList));
     }
   }
 
   private answer<Result>(
     listener: KeySpaceListener<Result>,
     result: () => E.Either<never, Result> | undefined,
-    otherwise: () => void = () => undefined,
-    deadline = SHORT_CALL_MILLISECONDS,
+    ifNotReady: () => void = () => undefined,
+    deadline = SHORT_CALL_TIMEOUT_MILLISECONDS,
   ): void {
     this.callCount += 1;
     const { connections } = this;
     const sentAt = this.clock.now;
-    if (this.silent) {
-      this.giveUpAt(sentAt + deadline, listener);
+    if (this.isSilent) {
+      this.timeOutAt(sentAt + deadline, listener);
       return;
     }
     if (this.mode === 'unreachable') {
-      this.clock.schedule(GIVE_UP_MILLISECONDS, () =>
+      this.clock.schedule(TIMEOUT_MILLISECONDS, () =>
         listener(E.left({ tag: 'Unreachable', detail: 'no answer in time' })),
       );
       return;
     }
     this.clock.schedule(ANSWER_MILLISECONDS, () => {
       if (connections !== this.connections) {
-        this.giveUpAt(sentAt + deadline, listener);
+        this.timeOutAt(sentAt + deadline, listener);
         return;
       }
       if (this.mode === 'refusing') {
@@ -149,14 +149,14 @@
       }
       const ready = result();
       if (ready === undefined) {
-        otherwise();
+        ifNotReady();
       } else {
         listener(ready);
       }
     });
   }
 
-  private giveUpAt<Result>(time: number, listener: KeySpaceListener<Result>): void {
+  private timeOutAt<Result>(time: number, listener: KeySpaceListener<Result>): void {
     this.clock.schedule(Math.max(0, time - this.clock.now), () =>
       listener(E.left({ tag: 'Unreachable', detail: 'no answer in time' })),
     );
--- a/soak/cost/hollow-gateways.ts
+++ b/soak/cost/hollow-gateways.ts
@@ -72,14 +72,14 @@
         zone,
         datagrams: openUdpPort(host, ports.peer),
         seeds: () => seeds,
-        onStoreNews: () => undefined,
+        onPeerStoreState: () => undefined,
         onPlaces: () => undefined,
         ownLoads: () => new Map(),
         ownRevision: revision,
         proof: () => (index === 0 ? proofOf(host) : undefined),
         reachesReplicas: () => true,
         ownPlaces: () => [],
-        ownTallies: () => [],
+        ownAggregates: () => [],
       }),
   );
   const endProofs = answerProofs(options);
--- a/src/configuration/configuration-steps.ts
+++ b/src/configuration/configuration-change-log.ts
@@ -7,34 +7,39 @@
 import type { ClusterConfiguration, ConfigurationDocument, DocumentKind } from './documents.js';
 
 /** Steps kept; a node that is further behind is sent everything. */
-const STEPS_KEPT = 256;
+const MAXIMUM_DIFFS = 256;
 
 /** Kind and name of a document. */
-export interface DocumentName {
+export interface DocumentReference {
   readonly kind: DocumentKind;
   readonly name: string;
 }
 
-interface Step {
+interface ConfigurationDiff {
   readonly fromRevision: number;
   readonly revision: number;
   readonly documents: readonly ConfigurationDocument[];
-  readonly removed: readonly DocumentName[];
+  readonly removed: readonly DocumentReference[];
 }
 
-function keyOf(entry: ConfigurationDocument): string {
+function documentId(entry: ConfigurationDocument): string {
   return `${entry.kind}/${entry.document.name}`;
 }
 
-function byKey(documents: readonly ConfigurationDocument[]): Map<string, ConfigurationDocument> {
-  return new Map(documents.map((entry) => [keyOf(entry), entry]));
+function byDocumentId(
+  documents: readonly ConfigurationDocument[],
+): Map<string, ConfigurationDocument> {
+  return new Map(documents.map((entry) => [documentId(entry), entry]));
 }
 
 /** What changed between two configurations. */
-function compare(before: ClusterConfiguration, after: ClusterConfiguration): Step {
+function diffConfigurations(
+  before: ClusterConfiguration,
+  after: ClusterConfiguration,
+): ConfigurationDiff {
   const documents: ConfigurationDocument[] = [];
-  const removed: DocumentName[] = [];
-  for (const { kind, from, to } of pairTables(before, after)) {
+  const removed: DocumentReference[] = [];
+  for (const { kind, from, to } of pairDocumentMaps(before, after)) {
     for (const [key, document] of to) {
       if (!isSame(from.get(key), document)) {
         documents.push({ kind, document } as ConfigurationDocument);
@@ -47,17 +52,17 @@
     }
   }
   // A key that was replaced under its name is found by another hash, and is not gone.
-  const kept = new Set(documents.map(keyOf));
+  const kept = new Set(documents.map(documentId));
   const gone = removed.filter(({ kind, name }) => !kept.has(`${kind}/${name}`));
   return { fromRevision: before.revision, revision: after.revision, documents, removed: gone };
 }
 
-type Documents = ReadonlyMap<string, ConfigurationDocument['document']>;
+type DocumentMap = ReadonlyMap<string, ConfigurationDocument['document']>;
 
-function pairTables(
+function pairDocumentMaps(
   before: ClusterConfiguration,
   after: ClusterConfiguration,
-): { readonly kind: DocumentKind; readonly from: Documents; readonly to: Documents }[] {
+): { readonly kind: DocumentKind; readonly from: DocumentMap; readonly to: DocumentMap }[] {
   return [
     { kind: 'group', from: before.groups, to: after.groups },
     { kind: 'service', from: before.services, to: after.services },
@@ -76,47 +81,47 @@
   configuration: ClusterConfiguration,
   changes: ConfigurationChanges,
 ): ConfigurationDocument[] {
-  const documents = byKey(listDocuments(configuration));
-  for (const { kind, name } of JSON.parse(changes.removed) as DocumentName[]) {
+  const documents = byDocumentId(listDocuments(configuration));
+  for (const { kind, name } of JSON.parse(changes.removed) as DocumentReference[]) {
     documents.delete(`${kind}/${name}`);
   }
   for (const entry of JSON.parse(changes.documents) as ConfigurationDocument[]) {
-    documents.set(keyOf(entry), entry);
+    documents.set(documentId(entry), entry);
   }
   return [...documents.values()];
 }
 
 /** See the head of this file. */
-export class ConfigurationSteps {
-  private readonly steps: Step[] = [];
+export class ConfigurationChangeLog {
+  private readonly diffs: ConfigurationDiff[] = [];
 
   /** Notes a step. The first one, from nothing, is everything and is not kept. */
   add(before: ClusterConfiguration, after: ClusterConfiguration): void {
     if (before.revision === 0) {
       return;
     }
-    this.steps.push(compare(before, after));
-    if (this.steps.length > STEPS_KEPT) {
-      this.steps.shift();
+    this.diffs.push(diffConfigurations(before, after));
+    if (this.diffs.length > MAXIMUM_DIFFS) {
+      this.diffs.shift();
     }
   }
 
   /** What changed since a revision; undefined when the steps kept do not reach back to it. */
   since(revision: number): ConfigurationChanges | undefined {
-    const newer = this.steps.filter((step) => step.revision > revision);
+    const newer = this.diffs.filter((diff) => diff.revision > revision);
     const first = newer[0];
     const last = newer[newer.length - 1];
     if (first === undefined || last === undefined || first.fromRevision > revision) {
       return undefined;
     }
     const documents = new Map<string, ConfigurationDocument>();
-    const removed = new Map<string, DocumentName>();
-    for (const step of newer) {
-      for (const entry of step.documents) {
-        documents.set(keyOf(entry), entry);
-        removed.delete(keyOf(entry));
+    const removed = new Map<string, DocumentReference>();
+    for (const diff of newer) {
+      for (const entry of diff.documents) {
+        documents.set(documentId(entry), entry);
+        removed.delete(documentId(entry));
       }
-      for (const gone of step.removed) {
+      for (const gone of diff.removed) {
         documents.delete(`${gone.kind}/${gone.name}`);
         removed.set(`${gone.kind}/${gone.name}`, gone);
       }
--- a/src/configuration/configuration-follower.ts
+++ b/src/configuration/configuration-follower.ts
@@ -14,7 +14,7 @@
   ConfigurationTransfer,
   Message,
 } from '../wire/messages.js';
-import { applyChanges, ConfigurationSteps } from './configuration-steps.js';
+import { applyChanges, ConfigurationChangeLog } from './configuration-change-log.js';
 import { buildConfiguration, EMPTY_CONFIGURATION, listDocuments } from './documents.js';
 import type { ClusterConfiguration, ConfigurationDocument } from './documents.js';
 import { CONFIGURATION_PREFIX, decodePairs } from './stored-documents.js';
@@ -49,7 +49,7 @@
   private configuration: ClusterConfiguration = EMPTY_CONFIGURATION;
   private readonly acknowledged = new Map<NodeId, number>();
   private readonly cancels: (() => void)[] = [];
-  private readonly steps = new ConfigurationSteps();
+  private readonly changeLog = new ConfigurationChangeLog();
   private reading = false;
 
   constructor(private readonly options: ConfigurationFollowerOptions) {}
@@ -65,19 +65,19 @@
   }
 
   /** Begins to follow, from what was kept over the restart if anything was. */
-  start(kept?: { readonly revision: number; readonly documents: string }): void {
+  start(saved?: { readonly revision: number; readonly documents: string }): void {
     const { runtime, keyValue } = this.options;
-    if (kept !== undefined) {
-      this.adopt(kept.revision, JSON.parse(kept.documents) as ConfigurationDocument[]);
+    if (saved !== undefined) {
+      this.adopt(saved.revision, JSON.parse(saved.documents) as ConfigurationDocument[]);
     }
-    const refresh = (): void => {
+    const readIfDesignated = (): void => {
       if (this.options.readsService()) {
         this.read();
       }
     };
-    refresh();
-    this.cancels.push(keyValue.watch(CONFIGURATION_PREFIX, 0, refresh));
-    this.cancels.push(setRepeatingTimer(runtime, POLL_MILLISECONDS, refresh));
+    readIfDesignated();
+    this.cancels.push(keyValue.watch(CONFIGURATION_PREFIX, 0, readIfDesignated));
+    this.cancels.push(setRepeatingTimer(runtime, POLL_MILLISECONDS, readIfDesignated));
     this.cancels.push(setRepeatingTimer(runtime, ANNOUNCE_MILLISECONDS, () => this.announce()));
     this.announce();
   }
@@ -129,7 +129,7 @@
   /** Answers a peer that is behind: with what changed, or with everything. */
   receiveFetch(from: NodeId, message: ConfigurationFetch): void {
     if (message.revision < this.configuration.revision) {
-      this.options.send(from, this.steps.since(message.revision) ?? this.transfer());
+      this.options.send(from, this.changeLog.since(message.revision) ?? this.transfer());
     }
   }
 
@@ -178,7 +178,7 @@
     }
     const before = this.configuration;
     this.configuration = buildConfiguration(revision, documents);
-    this.steps.add(before, this.configuration);
+    this.changeLog.add(before, this.configuration);
     this.acknowledged.set(this.options.self, revision);
     this.options.store?.save(revision, JSON.stringify(documents));
     this.options.onChange(this.configuration);
--- a/src/configuration/configuration-writer.ts
+++ b/src/configuration/configuration-writer.ts
@@ -16,7 +16,7 @@
   encodeDocument,
   REVISION_KEY,
 } from './stored-documents.js';
-import type { ChangeMark, StoredDocument } from './stored-documents.js';
+import type { ChangeMetadata, StoredDocument } from './stored-documents.js';
 
 /** Pause between tries to find out what became of a change, in milliseconds. */
 const RESOLVE_PAUSE_MILLISECONDS = 500;
@@ -82,16 +82,16 @@
 
   /** Writes documents without looking at what is there; for first set-ups. */
   replace(change: DocumentChange, listener: ChangeListener): void {
-    const mark = this.markOf(change);
+    const metadata = this.metadataOf(change);
     const puts = change.puts.map((entry) => ({
       key: documentKey(entry.kind, entry.document.name),
-      value: encodeDocument(entry, mark),
+      value: encodeDocument(entry, metadata),
     }));
     const deletes = change.deletes.map(({ kind, name }) => documentKey(kind, name));
-    this.write({ id: change.id, puts, deletes, guards: [] }, mark, listener);
+    this.write({ id: change.id, puts, deletes, guards: [] }, metadata, listener);
   }
 
-  private markOf(change: { id: string; by: string; statement: string }): ChangeMark {
+  private metadataOf(change: { id: string; by: string; statement: string }): ChangeMetadata {
     const { id, by, statement } = change;
     return { id, by, statement, at: this.options.runtime.wallTime() };
   }
@@ -108,28 +108,28 @@
       listener(edited);
       return;
     }
-    const mark = this.markOf(request);
+    const metadata = this.metadataOf(request);
     const { put, remove } = edited.right;
-    const puts = put === undefined ? [] : [{ key, value: encodeDocument(put, mark) }];
+    const puts = put === undefined ? [] : [{ key, value: encodeDocument(put, metadata) }];
     const deletes = remove === true ? [key] : [];
     const guards = [{ key, modRevision: pair?.modRevision ?? 0 }];
-    this.write({ id: request.id, puts, deletes, guards }, mark, listener);
+    this.write({ id: request.id, puts, deletes, guards }, metadata, listener);
   }
 
-  private write(change: PreparedChange, mark: ChangeMark, listener: ChangeListener): void {
+  private write(change: PreparedChange, metadata: ChangeMetadata, listener: ChangeListener): void {
     const changeKey = CHANGE_PREFIX + change.id;
     const guarded = {
       guards: [...change.guards, { key: changeKey, modRevision: 0 }],
       puts: [
         ...change.puts,
         { key: REVISION_KEY, value: change.id },
-        { key: changeKey, value: JSON.stringify(mark) },
+        { key: changeKey, value: JSON.stringify(metadata) },
       ],
       deletes: change.deletes,
     };
     this.options.keyValue.change(guarded, (result) => {
       if (E.isLeft(result)) {
-        this.afterError(change, result.left, listener);
+        this.handleWriteError(change, result.left, listener);
       } else if (result.right.applied) {
         listener(E.right(result.right.revision));
       } else {
@@ -138,7 +138,11 @@
     });
   }
 
-  private afterError(change: PreparedChange, error: KeyValueError, listener: ChangeListener): void {
+  private handleWriteError(
+    change: PreparedChange,
+    error: KeyValueError,
+    listener: ChangeListener,
+  ): void {
     if (error.mayHaveApplied) {
       this.resolve(change, RESOLVE_TRIES, false, listener);
     } else {
@@ -150,7 +154,7 @@
   private resolve(
     change: PreparedChange,
     tries: number,
-    refused: boolean,
+    wasRejected: boolean,
     listener: ChangeListener,
   ): void {
     const { keyValue, runtime } = this.options;
@@ -160,10 +164,10 @@
         const found = result.right.pairs.find((pair) => pair.key === changeKey);
         if (found !== undefined) {
           listener(E.right(found.modRevision));
-        } else if (refused) {
-          this.tellWhoWon(change, listener);
+        } else if (wasRejected) {
+          this.reportConflict(change, listener);
         } else {
-          this.settleUnapplied(change, tries, listener);
+          this.writeTombstone(change, tries, listener);
         }
         return;
       }
@@ -173,7 +177,7 @@
         return;
       }
       runtime.setTimer(RESOLVE_PAUSE_MILLISECONDS, () =>
-        this.resolve(change, tries - 1, refused, listener),
+        this.resolve(change, tries - 1, wasRejected, listener),
       );
     });
   }
@@ -182,7 +186,7 @@
    * The change is not there, yet its request may still be on its way. Taking its id with a guarded
    * write makes sure that it can never take effect later.
    */
-  private settleUnapplied(change: PreparedChange, tries: number, listener: ChangeListener): void {
+  private writeTombstone(change: PreparedChange, tries: number, listener: ChangeListener): void {
     const changeKey = CHANGE_PREFIX + change.id;
     const tombstone = {
       guards: [{ key: changeKey, modRevision: 0 }],
@@ -216,7 +220,7 @@
           : undefined;
         if (found === undefined) {
           if (tries > 1) {
-            this.settleUnapplied(change, tries, listener);
+            this.writeTombstone(change, tries, listener);
           } else {
             const detail = 'The key-value service did not say whether the change took effect.';
             listener(E.left(mayHaveRun('Unavailable', detail)));
@@ -231,14 +235,15 @@
     });
   }
 
-  private tellWhoWon(change: PreparedChange, listener: ChangeListener): void {
+  private reportConflict(change: PreparedChange, listener: ChangeListener): void {
     const key = change.guards[0]?.key ?? CONFIGURATION_PREFIX;
     this.options.keyValue.range(key, (result) => {
       const pair = E.isRight(result)
         ? result.right.pairs.find((candidate) => candidate.key === key)
         : undefined;
-      const mark = pair === undefined ? undefined : readMark(pair);
-      const what = mark === undefined ? 'it was deleted' : `${mark.by} ran: ${mark.statement}`;
+      const metadata = pair === undefined ? undefined : readChangeMetadata(pair);
+      const what =
+        metadata === undefined ? 'it was deleted' : `${metadata.by} ran: ${metadata.statement}`;
       const detail = `The document changed in the meantime (${what}); nothing was changed.`;
       listener(E.left(notRun('Conflict', detail, 1)));
     });
@@ -259,7 +264,7 @@
   }
 }
 
-function readMark(pair: KeyValue): ChangeMark | undefined {
+function readChangeMetadata(pair: KeyValue): ChangeMetadata | undefined {
   try {
     return (JSON.parse(pair.value) as StoredDocument).change;
   } catch {
--- a/src/configuration/documents.ts
+++ b/src/configuration/documents.ts
@@ -2,7 +2,7 @@
 import * as t from 'io-ts';
 import type { EngineId, GroupName, ServiceName } from '../model/identifiers.js';
 
-const finite = t.refinement(
+const nonNegativeNumber = t.refinement(
   t.number,
   (value) => Number.isFinite(value) && value >= 0,
   'number >= 0',
@@ -17,9 +17,9 @@
 export const groupCodec = t.strict({
   name,
   /** Weight of the group when back ends are short. */
-  share: finite,
+  share: nonNegativeNumber,
   /** Tokens the group may use, all told. */
-  budget: finite,
+  budget: nonNegativeNumber,
 });
 
 /** A service: interchangeable back ends. */
@@ -38,9 +38,9 @@
   /** Base URL of the back end, `http://address:port`. */
   url: t.string,
   /** Most calls it may be given at a time. */
-  concurrency: finite,
+  concurrency: nonNegativeNumber,
   /** Tokens of prompt memory it has; 0 for a tool. */
-  cacheTokens: finite,
+  cacheTokens: nonNegativeNumber,
   /** True when it is leaving: no new work. */
   draining: t.boolean,
 });
--- a/src/configuration/settings.ts
+++ b/src/configuration/settings.ts
@@ -8,7 +8,7 @@
 import { POLICY_NAMES } from '../scheduling/create-policy.js';
 
 /** A checked form with the words that describe it. */
-function form<Type>(name: string, is: (value: unknown) => value is Type): t.Type<Type> {
+function refinedType<Type>(name: string, is: (value: unknown) => value is Type): t.Type<Type> {
   return new t.Type<Type>(
     name,
     is,
@@ -17,29 +17,29 @@
   );
 }
 
-const LARGEST_PORT = 65_535;
-const LARGEST_SHARD_COUNT = 65_536;
+const MAXIMUM_PORT = 65_535;
+const MAXIMUM_SHARD_COUNT = 65_536;
 
-function isWhole(value: unknown, low: number, high: number): value is number {
+function isIntegerBetween(value: unknown, low: number, high: number): value is number {
   return Number.isInteger(value) && (value as number) >= low && (value as number) <= high;
 }
 
-const nodeName = form(
+const nodeName = refinedType(
   'a name of letters, digits, dots and dashes',
   (value): value is string =>
     typeof value === 'string' && /^[A-Za-z0-9][A-Za-z0-9.-]{0,62}$/.test(value),
 );
-const ipNumber = form(
+const ipAddress = refinedType(
   'an IP number',
   (value): value is string => typeof value === 'string' && isIP(value) !== 0,
 );
-const port = form('a port from 0 to 65535', (value): value is number =>
-  isWhole(value, 0, LARGEST_PORT),
+const port = refinedType('a port from 0 to 65535', (value): value is number =>
+  isIntegerBetween(value, 0, MAXIMUM_PORT),
 );
-const shardCount = form('a whole number from 1 to 65536', (value): value is number =>
-  isWhole(value, 1, LARGEST_SHARD_COUNT),
+const shardCount = refinedType('a whole number from 1 to 65536', (value): value is number =>
+  isIntegerBetween(value, 1, MAXIMUM_SHARD_COUNT),
 );
-const webAddress = form('a URL http://IP:PORT', (value): value is string => {
+const httpUrl = refinedType('a URL http://IP:PORT', (value): value is string => {
   if (typeof value !== 'string' || !URL.canParse(value)) {
     return false;
   }
@@ -47,11 +47,11 @@
   return protocol === 'http:' && isIP(hostname.replace(/^\[|\]$/g, '')) !== 0;
 });
 const oneOf = (names: readonly string[]): t.Type<string> =>
-  form(`one of ${names.join(', ')}`, (value): value is string =>
+  refinedType(`one of ${names.join(', ')}`, (value): value is string =>
     names.some((name) => name === value),
   );
 
-const peer = t.exact(t.type({ node: nodeName, zone: nodeName, host: ipNumber, port }));
+const peer = t.exact(t.type({ node: nodeName, zone: nodeName, host: ipAddress, port }));
 
 const settingsCodec = t.exact(
   t.intersection([
@@ -63,7 +63,7 @@
       /** Zone of this machine. */
       zone: nodeName,
       /** Address this node listens on. */
-      host: ipNumber,
+      host: ipAddress,
       /** Port for other nodes. */
       peerPort: port,
       /** Port for callers and operators. */
@@ -71,7 +71,7 @@
       /** Every node of the region, this one among them. */
       peers: t.array(peer),
       /** Base URL of the key-value service. */
-      keyValueUrl: webAddress,
+      keyValueUrl: httpUrl,
     }),
     t.partial({
       /** Number of shards of the region; never changed once set. @default 16 */
@@ -112,10 +112,10 @@
     .map((step) => step.key)
     .join('.');
   const expected = error.context[error.context.length - 1]?.type.name ?? 'another form';
-  const given = error.value === undefined ? 'nothing' : JSON.stringify(error.value);
+  const found = error.value === undefined ? 'nothing' : JSON.stringify(error.value);
   // The first step inside an intersection is the number of its part.
   const place = indexed.replace(/^[01]\.?/, '') || 'settings';
-  return `${place}: expected ${expected}, found ${given}`;
+  return `${place}: expected ${expected}, found ${found}`;
 }
 
 function checkOwnEntry(settings: Settings): E.Either<string[], Settings> {
@@ -174,11 +174,11 @@
           readText(path),
           E.chain((text) => parseYaml(path, text)),
         );
-  const given = Object.fromEntries(
+  const flagValues = Object.fromEntries(
     Object.entries(flags).filter(([, value]) => value !== undefined),
   );
   return pipe(
     file,
-    E.chain((raw) => checkSettings({ ...(raw as object), ...given })),
+    E.chain((raw) => checkSettings({ ...(raw as object), ...flagValues })),
   );
 }
--- a/src/configuration/stored-documents.ts
+++ b/src/configuration/stored-documents.ts
@@ -14,7 +14,7 @@
 export const CHANGE_PREFIX = '/ivyloom/change/';
 
 /** Who made a change, kept beside the document it made. */
-export interface ChangeMark {
+export interface ChangeMetadata {
   readonly id: string;
   readonly by: string;
   /** Milliseconds since 1970. */
@@ -25,7 +25,7 @@
 /** A document as it is stored. */
 export interface StoredDocument {
   readonly document: unknown;
-  readonly change: ChangeMark;
+  readonly change: ChangeMetadata;
 }
 
 /** Key of a document. */
@@ -34,7 +34,7 @@
 }
 
 /** Text of a document with the mark of the change that wrote it. */
-export function encodeDocument(entry: ConfigurationDocument, change: ChangeMark): string {
+export function encodeDocument(entry: ConfigurationDocument, change: ChangeMetadata): string {
   const stored: StoredDocument = { document: entry.document, change };
   return JSON.stringify(stored);
 }
--- a/src/histories/configuration-history.ts
+++ b/src/histories/configuration-history.ts
@@ -65,9 +65,9 @@
 const PAST_MILLISECONDS = 4_000;
 /** Times that ignore the bound. */
 const SLOW_TIMINGS: FreshnessTimings = {
-  proofMilliseconds: 4_000,
-  behindMilliseconds: 2_000,
-  overdueMilliseconds: 3_000,
+  proofIntervalMilliseconds: 4_000,
+  watchDeadlineMilliseconds: 2_000,
+  hedgeDelayMilliseconds: 3_000,
 };
 
 /** A change that the store acknowledged. */
--- a/src/histories/history-gateway.ts
+++ b/src/histories/history-gateway.ts
@@ -6,8 +6,8 @@
 import type { FreshnessTimings } from '../mirror/freshness-timings.js';
 import type { KeySpacePort, StoredItem } from '../mirror/key-space-port.js';
 import type { DatagramListener, DatagramPort } from '../peers/datagram-port.js';
-import { followTogether } from '../peers/follow-together.js';
-import type { StoreFollowing } from '../peers/follow-together.js';
+import { startStoreSync } from '../peers/store-sync.js';
+import type { StoreSync } from '../peers/store-sync.js';
 import type { RandomSource } from '../runtime/random.js';
 import type { LogFunction, Runtime } from '../runtime/runtime.js';
 import { SimulatedProcess } from '../simulation/simulated-process.js';
@@ -57,7 +57,7 @@
   readonly regressions: string[] = [];
   /** Whether it reads no proofs; a planted fault. */
   believesWatches = false;
-  private following: StoreFollowing | undefined;
+  private following: StoreSync | undefined;
   private listener: DatagramListener = () => undefined;
 
   constructor(private readonly options: HistoryGatewayOptions) {
@@ -76,13 +76,13 @@
     const { host, zone, seeds, timings, links } = this.options;
     const runtime = this.process.begin();
     this.version = 0;
-    this.following = followTogether({
+    this.following = startStoreSync({
       runtime,
       port: this.portOf(runtime),
       timings,
       proofKey: CONFIGURATION_KEY,
       onPut: (item) => this.takeItem(item),
-      onGone: () => undefined,
+      onRemoved: () => undefined,
       gossip: {
         host,
         zone,
@@ -91,19 +91,19 @@
         ownLoads: () => new Map(),
         reachesReplicas: () => true,
         ownPlaces: () => [],
-        ownTallies: () => [],
+        ownAggregates: () => [],
         onPlaces: () => undefined,
       },
       fetch: (target, done) =>
         links.fetchChanges(host, target, this.following!.mirror.completeRevision, (changes) =>
           runtime.setTimer(0, () => {
             if (changes !== undefined) {
-              this.following!.mirror.take(changes);
+              this.following!.mirror.applyChanges(changes);
             }
             done();
           }),
         ),
-      patienceMilliseconds,
+      startDelayMilliseconds: patienceMilliseconds,
     });
     if (this.believesWatches) {
       this.following.freshness.close();
--- a/src/mirror/key-space-copy.ts
+++ b/src/mirror/key-space-copy.ts
@@ -27,26 +27,26 @@
   /** An item is new or changed. */
   readonly onPut: (item: StoredItem) => void;
   /** An item is gone. */
-  readonly onGone: (key: string) => void;
+  readonly onRemoved: (key: string) => void;
 }
 
 /** Removed keys that are remembered; older ones are told by sending all items. */
-const REMEMBERED_REMOVALS = 1_000;
+const MAXIMUM_REMEMBERED_REMOVALS = 1_000;
 
 /** See the head of this file. */
 export class KeySpaceCopy {
   private readonly items = new Map<string, StoredItem>();
   /** Revisions at which keys were removed; all removals after `forgottenRevision` are among them. */
-  private readonly goneAt = new Map<string, number>();
+  private readonly removedAt = new Map<string, number>();
   /** What is older and not in `items` was gone by then. */
-  private forgottenRevision = 0;
-  private complete = 0;
+  private compactedRevision = 0;
+  private completeUpTo = 0;
 
   constructor(private readonly listener: KeySpaceCopyListener) {}
 
   /** Revision up to which nothing is missing here; 0 before the first list. */
   get completeRevision(): number {
-    return this.complete;
+    return this.completeUpTo;
   }
 
   /** An item as last seen. */
@@ -60,34 +60,34 @@
   }
 
   /** Takes one item, unless something newer is known of its key. */
-  offer(item: StoredItem): void {
+  putIfNewer(item: StoredItem): void {
     if (item.revision > this.knownRevision(item.key)) {
       this.items.set(item.key, item);
-      this.goneAt.delete(item.key);
+      this.removedAt.delete(item.key);
       this.listener.onPut(item);
     }
   }
 
   /** Takes word that a key was gone at a revision. */
-  drop(key: string, revision: number): void {
+  removeIfNewer(key: string, revision: number): void {
     if (revision <= this.knownRevision(key)) {
       return;
     }
     // Remembered even if the key was never seen here: a peer that has it may ask.
-    this.goneAt.set(key, revision);
+    this.removedAt.set(key, revision);
     if (this.items.delete(key)) {
-      this.listener.onGone(key);
+      this.listener.onRemoved(key);
     }
-    this.forgetOldRemovals();
+    this.compactRemovals();
   }
 
   /** Takes all items as the store had them at a revision. */
   replaceAll(items: readonly StoredItem[], revision: number): void {
-    this.goneAt.clear();
-    this.forgottenRevision = 0;
+    this.removedAt.clear();
+    this.compactedRevision = 0;
     this.merge(items, revision);
-    this.forgottenRevision = revision;
-    this.complete = revision;
+    this.compactedRevision = revision;
+    this.completeUpTo = revision;
   }
 
   /** Takes all items as they were at a revision that may be old: only what is newer counts. */
@@ -95,65 +95,65 @@
     const present = new Set(items.map((item) => item.key));
     for (const key of [...this.items.keys()]) {
       if (!present.has(key)) {
-        this.drop(key, revision);
+        this.removeIfNewer(key, revision);
       }
     }
-    items.forEach((item) => this.offer(item));
+    items.forEach((item) => this.putIfNewer(item));
   }
 
   /** Notes that every change up to a revision has been taken. */
-  completeTo(revision: number): void {
-    this.complete = Math.max(this.complete, revision);
+  raiseCompleteRevision(revision: number): void {
+    this.completeUpTo = Math.max(this.completeUpTo, revision);
   }
 
   /** Notes that nothing is known for sure after a revision: peers may have told more than there is. */
-  trustOnlyTo(revision: number): void {
-    this.complete = Math.min(this.complete, revision);
+  lowerCompleteRevision(revision: number): void {
+    this.completeUpTo = Math.min(this.completeUpTo, revision);
   }
 
   /** What one that is complete up to a revision lacks. */
   changesSince(revision: number): KeySpaceChanges {
-    const isKnown = revision > 0 && revision >= this.forgottenRevision;
+    const isKnown = revision > 0 && revision >= this.compactedRevision;
     const since = isKnown ? revision : 0;
     const items = this.list().filter((item) => item.revision > since);
-    const removed = [...this.goneAt].map(([key, goneRevision]) => ({
+    const removed = [...this.removedAt].map(([key, removedRevision]) => ({
       key,
-      revision: goneRevision,
+      revision: removedRevision,
     }));
     const gone = removed.filter((each) => each.revision > since);
-    return { since, revision: this.complete, items, gone };
+    return { since, revision: this.completeUpTo, items, gone };
   }
 
   /** Takes what a peer has. */
-  take(changes: KeySpaceChanges): void {
+  applyChanges(changes: KeySpaceChanges): void {
     const { since, revision, items, gone } = changes;
     if (since === 0 && revision > 0) {
       this.merge(items, revision);
-      this.forgottenRevision = Math.max(this.forgottenRevision, revision);
+      this.compactedRevision = Math.max(this.compactedRevision, revision);
     } else {
-      items.forEach((item) => this.offer(item));
+      items.forEach((item) => this.putIfNewer(item));
     }
-    gone.forEach((each) => this.drop(each.key, each.revision));
-    if (since <= this.complete) {
-      this.completeTo(revision);
+    gone.forEach((each) => this.removeIfNewer(each.key, each.revision));
+    if (since <= this.completeUpTo) {
+      this.raiseCompleteRevision(revision);
     }
   }
 
   /** Revision of what is known of a key, be it that it is there or that it is not. */
   private knownRevision(key: string): number {
-    return this.items.get(key)?.revision ?? this.goneAt.get(key) ?? this.forgottenRevision;
+    return this.items.get(key)?.revision ?? this.removedAt.get(key) ?? this.compactedRevision;
   }
 
-  private forgetOldRemovals(): void {
-    if (this.goneAt.size <= REMEMBERED_REMOVALS) {
+  private compactRemovals(): void {
+    if (this.removedAt.size <= MAXIMUM_REMEMBERED_REMOVALS) {
       return;
     }
-    const oldestFirst = [...this.goneAt]
-      .filter(([, revision]) => revision <= this.complete)
+    const oldestFirst = [...this.removedAt]
+      .filter(([, revision]) => revision <= this.completeUpTo)
       .sort((left, right) => left[1] - right[1]);
-    for (const [key, revision] of oldestFirst.slice(0, REMEMBERED_REMOVALS / 2)) {
-      this.goneAt.delete(key);
-      this.forgottenRevision = Math.max(this.forgottenRevision, revision);
+    for (const [key, revision] of oldestFirst.slice(0, MAXIMUM_REMEMBERED_REMOVALS / 2)) {
+      this.removedAt.delete(key);
+      this.compactedRevision = Math.max(this.compactedRevision, revision);
     }
   }
 }
--- a/src/mirror/key-space-mirror.ts
+++ b/src/mirror/key-space-mirror.ts
@@ -22,15 +22,15 @@
   readonly prefix: string;
   readonly timings: FreshnessTimings;
   /** Pause between cheap lists, read since a watch can be silent, in milliseconds. */
-  readonly verifyMilliseconds: number;
+  readonly verifyIntervalMilliseconds: number;
   /** Longest wait of one watch call, in milliseconds. */
-  readonly watchMilliseconds: number;
+  readonly watchTimeoutMilliseconds: number;
   /** Whether others say by `heedRevision` when the store answers them. */
   readonly awaitsProof: boolean;
   /** An item is new or changed. */
   readonly onPut: (item: StoredItem) => void;
   /** An item is gone. */
-  readonly onGone: (key: string) => void;
+  readonly onRemoved: (key: string) => void;
   /** The store was reached again, or is out of reach. */
   readonly onReachable: (reachable: boolean) => void;
   /** The store answered a whole list that was asked for at a local time: it was at that revision. */
@@ -38,9 +38,9 @@
 }
 
 /** Pause after changes before the next watch, so that changes in quick succession come in one call. */
-const GATHER_MILLISECONDS = 100;
+const BATCH_DELAY_MILLISECONDS = 100;
 /** Cheap lists of a resting mirror are that many times as far apart. */
-const RESTING_VERIFY_FACTOR = 5;
+const NON_FOLLOWING_VERIFY_FACTOR = 5;
 
 /** See the head of this file. */
 export class KeySpaceMirror {
@@ -50,7 +50,7 @@
   private generation = 0;
   private following = false;
   private watching = false;
-  private checkingBehind = false;
+  private isLagCheckPending = false;
   private failures = 0;
   private reachable: boolean | undefined;
   /** Local time of the store's last answer, in milliseconds; undefined before the first. */
@@ -61,26 +61,26 @@
   constructor(private readonly options: KeySpaceMirrorOptions) {
     this.copy = new KeySpaceCopy(options);
     const { runtime, port, prefix, awaitsProof, timings } = options;
-    const { overdueMilliseconds } = timings;
+    const { hedgeDelayMilliseconds } = timings;
     this.lists = new ListAttempts({
       runtime,
       port,
       prefix,
-      overdueMilliseconds,
+      hedgeDelayMilliseconds,
       awaitsProof,
-      onAnswer: (list, sentAt) => this.takeList(list, sentAt),
+      onAnswer: (list, sentAt) => this.handleList(list, sentAt),
       onFailure: (call, error) => this.noteFailure(call, error),
     });
   }
 
   /** Begins to follow the store: with a list, or after the last change that is known for sure. */
-  follow(): void {
+  startFollowing(): void {
     if (this.following) {
       return;
     }
     this.following = true;
-    this.verifyLater();
-    if (this.listed && !this.lists.running) {
+    this.scheduleVerify();
+    if (this.hasListed && !this.lists.running) {
       this.watch();
     } else {
       this.readList();
@@ -88,16 +88,16 @@
   }
 
   /** Leaves the store to others; their word is taken by `take`. */
-  rest(): void {
+  stopFollowing(): void {
     this.following = false;
     this.watching = false;
     this.generation += 1;
     this.lists.stop();
-    this.verifyLater();
+    this.scheduleVerify();
   }
 
   /** Whether it follows the store and hears from it. */
-  get hearsStore(): boolean {
+  get isFollowingReachableStore(): boolean {
     return this.following && this.reachable === true;
   }
 
@@ -131,39 +131,39 @@
   }
 
   /** Takes what a peer has. */
-  take(changes: KeySpaceChanges): void {
-    this.copy.take(changes);
+  applyChanges(changes: KeySpaceChanges): void {
+    this.copy.applyChanges(changes);
   }
 
   /** Takes items that the store has told this process outside of the mirror's own calls. */
-  takeRead({ items }: ItemList): void {
-    items.forEach((item) => this.copy.offer(item));
+  applyRead({ items }: ItemList): void {
+    items.forEach((item) => this.copy.putIfNewer(item));
   }
 
   /** Takes word that the store is at a revision: if the watch does not bring it, the watch hangs. */
-  heedRevision(revision: number): void {
-    this.lists.heedProof();
+  noteStoreRevision(revision: number): void {
+    this.lists.noteProof();
     if (this.watching) {
-      this.checkBehind(revision, () => this.watching);
+      this.relistIfBehind(revision, () => this.watching);
     }
   }
 
   /** The same, where the store told this process itself: also one that rests lists what it lacks. */
-  heedOwnRead(revision: number): void {
-    this.heedRevision(revision);
+  noteOwnReadRevision(revision: number): void {
+    this.noteStoreRevision(revision);
     if (!this.following) {
-      this.checkBehind(revision, () => !this.following);
+      this.relistIfBehind(revision, () => !this.following);
     }
   }
 
   /** Whether a whole list was ever taken. */
-  get listed(): boolean {
+  get hasListed(): boolean {
     return this.completeRevision > 0;
   }
 
   /** Takes an item that another source has, such as a change of our own. */
-  offer(item: StoredItem): void {
-    this.copy.offer(item);
+  putIfNewer(item: StoredItem): void {
+    this.copy.putIfNewer(item);
   }
 
   /** Stops following. */
@@ -174,15 +174,15 @@
   }
 
   /** Lists anew if the copy still lacks a revision after the time that a watch or peers have for it. */
-  private checkBehind(revision: number, isStillMeant: () => boolean): void {
-    if (revision <= this.completeRevision || this.checkingBehind) {
+  private relistIfBehind(revision: number, isStillRelevant: () => boolean): void {
+    if (revision <= this.completeRevision || this.isLagCheckPending) {
       return;
     }
-    this.checkingBehind = true;
+    this.isLagCheckPending = true;
     const { runtime, timings } = this.options;
-    runtime.setTimer(timings.behindMilliseconds, () => {
-      this.checkingBehind = false;
-      if (revision > this.completeRevision && isStillMeant() && !this.closed) {
+    runtime.setTimer(timings.watchDeadlineMilliseconds, () => {
+      this.isLagCheckPending = false;
+      if (revision > this.completeRevision && isStillRelevant() && !this.closed) {
         const { following, completeRevision: known } = this;
         const fields = { event: 'mirror.behind', known, elsewhere: revision, following };
         runtime.log('warn', 'changes of the store are missing here', fields);
@@ -197,7 +197,7 @@
     this.lists.start();
   }
 
-  private takeList({ items, revision }: ItemList, sentAt: number): void {
+  private handleList({ items, revision }: ItemList, sentAt: number): void {
     this.noteReached();
     this.copy.replaceAll(items, Math.max(1, revision));
     this.options.onListed?.(revision, sentAt);
@@ -207,12 +207,12 @@
   }
 
   private watch(): void {
-    const { port, prefix, watchMilliseconds, runtime } = this.options;
+    const { port, prefix, watchTimeoutMilliseconds, runtime } = this.options;
     const { generation } = this;
     this.watching = true;
     const sentAt = runtime.now();
-    port.watch(prefix, this.completeRevision, watchMilliseconds, (result) => {
-      if (this.isOver(generation)) {
+    port.watch(prefix, this.completeRevision, watchTimeoutMilliseconds, (result) => {
+      if (this.isSuperseded(generation)) {
         return;
       }
       this.watching = false;
@@ -227,39 +227,39 @@
       const { changes, revision } = result.right;
       for (const change of changes) {
         if (change.tag === 'Put') {
-          this.copy.offer(change.item);
+          this.copy.putIfNewer(change.item);
         } else {
-          this.copy.drop(change.key, change.revision);
+          this.copy.removeIfNewer(change.key, change.revision);
         }
       }
-      this.copy.completeTo(revision);
+      this.copy.raiseCompleteRevision(revision);
       if (changes.length === 0) {
         this.watch();
       } else {
-        runtime.setTimer(GATHER_MILLISECONDS, () =>
-          this.unlessOver(generation, () => this.watch()),
+        runtime.setTimer(BATCH_DELAY_MILLISECONDS, () =>
+          this.unlessSuperseded(generation, () => this.watch()),
         );
       }
     });
   }
 
-  private isOver(generation: number): boolean {
+  private isSuperseded(generation: number): boolean {
     return this.closed || generation !== this.generation;
   }
 
-  private unlessOver(generation: number, action: () => void): void {
-    if (!this.isOver(generation)) {
+  private unlessSuperseded(generation: number, action: () => void): void {
+    if (!this.isSuperseded(generation)) {
       action();
     }
   }
 
-  private verifyLater(): void {
-    const { runtime, verifyMilliseconds } = this.options;
+  private scheduleVerify(): void {
+    const { runtime, verifyIntervalMilliseconds } = this.options;
     this.cancelVerify?.();
-    const period = verifyMilliseconds * (this.following ? 1 : RESTING_VERIFY_FACTOR);
+    const period = verifyIntervalMilliseconds * (this.following ? 1 : NON_FOLLOWING_VERIFY_FACTOR);
     const pause = period * (0.8 + 0.4 * runtime.random.uniform());
     this.cancelVerify = runtime.setTimer(pause, () => {
-      this.verifyLater();
+      this.scheduleVerify();
       this.verify();
     });
   }
@@ -286,7 +286,7 @@
       this.copy.merge(items, revision);
       if (!this.following) {
         // Heals what a peer told wrongly: what came after this list is asked for once more.
-        this.copy.trustOnlyTo(revision);
+        this.copy.lowerCompleteRevision(revision);
       }
     });
   }
--- a/src/mirror/list-attempts.ts
+++ b/src/mirror/list-attempts.ts
@@ -21,7 +21,7 @@
   readonly port: Pick<KeySpacePort, 'list'>;
   readonly prefix: string;
   /** Time after which a call without an answer counts as lost, in milliseconds. */
-  readonly overdueMilliseconds: number;
+  readonly hedgeDelayMilliseconds: number;
   /** Whether `heedProof` is called when the store answers somebody. */
   readonly awaitsProof: boolean;
   /** The first answer; the attempts are over. */
@@ -29,24 +29,24 @@
   readonly onFailure: (call: StoreCall, error: KeySpaceError) => void;
 }
 
-const FIRST_PAUSE_MILLISECONDS = 60;
-const LONGEST_PAUSE_MILLISECONDS = 800;
+const INITIAL_BACKOFF_MILLISECONDS = 60;
+const MAXIMUM_BACKOFF_MILLISECONDS = 800;
 /** Longest pause without a proof where proofs are awaited, in milliseconds. */
-const UNPROVEN_PAUSE_MILLISECONDS = 3_000;
+const MAXIMUM_WAIT_FOR_PROOF_MILLISECONDS = 3_000;
 /** After a proof all that wait ask again within this time, in milliseconds. */
-const SPREAD_MILLISECONDS = 120;
-const CALLS_UNDER_WAY = 4;
+const RETRY_JITTER_MILLISECONDS = 120;
+const MAXIMUM_CALLS_IN_FLIGHT = 4;
 const OVERDUE: KeySpaceError = { tag: 'Unreachable', detail: 'overdue' };
 
 /** See the head of this file. */
 export class ListAttempts {
   /** Names the attempts since the last start; 0 while none are made. */
-  private current = 0;
-  private starts = 0;
+  private currentRun = 0;
+  private runCount = 0;
   private failures = 0;
-  private underWay = 0;
+  private inFlight = 0;
   private cancelNext: CancelTimer = () => undefined;
-  private waiting = false;
+  private isWaiting = false;
   /** Local time before which no call is sent, in milliseconds. */
   private notBefore = 0;
 
@@ -54,7 +54,7 @@
 
   /** Whether a list is asked for and not yet there. */
   get running(): boolean {
-    return this.current !== 0;
+    return this.currentRun !== 0;
   }
 
   /** Asks until an answer comes. */
@@ -62,79 +62,79 @@
     if (this.running) {
       return;
     }
-    this.starts += 1;
-    this.current = this.starts;
+    this.runCount += 1;
+    this.currentRun = this.runCount;
     this.failures = 0;
-    this.underWay = 0;
+    this.inFlight = 0;
     this.send();
   }
 
   /** Leaves it; what comes later is not heeded. */
   stop(): void {
-    this.current = 0;
-    this.waiting = false;
+    this.currentRun = 0;
+    this.isWaiting = false;
     this.cancelNext();
   }
 
   /** The store has answered somebody: a call that waits for that is sent soon. */
-  heedProof(): void {
-    if (this.waiting) {
+  noteProof(): void {
+    if (this.isWaiting) {
       const { runtime } = this.options;
-      const pause = SPREAD_MILLISECONDS * runtime.random.uniform();
-      this.sendIn(Math.max(pause, this.notBefore - runtime.now()));
+      const pause = RETRY_JITTER_MILLISECONDS * runtime.random.uniform();
+      this.sendAfter(Math.max(pause, this.notBefore - runtime.now()));
     }
   }
 
   private send(): void {
-    const { runtime, port, prefix, overdueMilliseconds, onAnswer } = this.options;
-    const { current } = this;
+    const { runtime, port, prefix, hedgeDelayMilliseconds, onAnswer } = this.options;
+    const { currentRun } = this;
     const call: StoreCall = { kind: 'list', sentAt: runtime.now() };
-    let open = true;
-    this.waiting = false;
-    this.underWay += 1;
-    const cancelOverdue = runtime.setTimer(overdueMilliseconds, () => {
-      if (current === this.current && open) {
-        open = false;
-        this.failed(call, OVERDUE);
+    let isPending = true;
+    this.isWaiting = false;
+    this.inFlight += 1;
+    const cancelHedge = runtime.setTimer(hedgeDelayMilliseconds, () => {
+      if (currentRun === this.currentRun && isPending) {
+        isPending = false;
+        this.handleFailure(call, OVERDUE);
       }
     });
     port.list(prefix, (result) => {
-      cancelOverdue();
-      if (current !== this.current) {
+      cancelHedge();
+      if (currentRun !== this.currentRun) {
         return;
       }
-      this.underWay -= 1;
+      this.inFlight -= 1;
       if (isRight(result)) {
         this.stop();
         onAnswer(result.right, call.sentAt);
-      } else if (open) {
-        open = false;
-        this.failed(call, result.left);
+      } else if (isPending) {
+        isPending = false;
+        this.handleFailure(call, result.left);
       }
     });
   }
 
-  private failed(call: StoreCall, error: KeySpaceError): void {
+  private handleFailure(call: StoreCall, error: KeySpaceError): void {
     const { runtime, awaitsProof, onFailure } = this.options;
     this.failures += 1;
-    const longest = Math.min(
-      LONGEST_PAUSE_MILLISECONDS,
-      FIRST_PAUSE_MILLISECONDS * 2 ** (this.failures - 1),
+    const backoff = Math.min(
+      MAXIMUM_BACKOFF_MILLISECONDS,
+      INITIAL_BACKOFF_MILLISECONDS * 2 ** (this.failures - 1),
     );
-    const pause = longest * (0.5 + 0.5 * runtime.random.uniform());
+    const pause = backoff * (0.5 + 0.5 * runtime.random.uniform());
     this.notBefore = runtime.now() + pause;
-    this.sendIn(awaitsProof ? UNPROVEN_PAUSE_MILLISECONDS : pause);
+    this.sendAfter(awaitsProof ? MAXIMUM_WAIT_FOR_PROOF_MILLISECONDS : pause);
     onFailure(call, error);
   }
 
-  private sendIn(pause: number): void {
+  private sendAfter(pause: number): void {
     this.cancelNext();
-    this.waiting = true;
+    this.isWaiting = true;
     this.cancelNext = this.options.runtime.setTimer(pause, () => {
-      if (this.underWay < CALLS_UNDER_WAY) {
+      if (this.inFlight < MAXIMUM_CALLS_IN_FLIGHT) {
         this.send();
       } else {
-        this.sendIn(this.options.overdueMilliseconds);
+        this.sendAfter(this.options.hedgeDelayMilliseconds);
       }
     });
   }
--- a/src/mirror/store-freshness.ts
+++ b/src/mirror/store-freshness.ts
@@ -7,7 +7,7 @@
  */
 import { isRight } from 'fp-ts/lib/Either.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
-import { PROOF_JITTER, RANK_MILLISECONDS } from './freshness-timings.js';
+import { PROOF_JITTER, RANK_DELAY_MILLISECONDS } from './freshness-timings.js';
 import type { FreshnessTimings } from './freshness-timings.js';
 import type { ItemList, KeySpacePort } from './key-space-port.js';
 
@@ -32,14 +32,14 @@
 }
 
 /** What of the mirror is read and driven from here. */
-export interface ProvenMirror {
+export interface FreshnessMirror {
   readonly completeRevision: number;
   /** Takes the answer of a short read. */
-  takeRead(list: ItemList): void;
+  applyRead(list: ItemList): void;
   /** Takes word that the store has answered somebody, at a revision. */
-  heedRevision(revision: number): void;
+  noteStoreRevision(revision: number): void;
   /** The same, where this gateway itself was answered: it lists what it lacks. */
-  heedOwnRead(revision: number): void;
+  noteOwnReadRevision(revision: number): void;
 }
 
 /** What it is made with. */
@@ -48,11 +48,11 @@
   readonly port: Pick<KeySpacePort, 'list'>;
   /** The key that is read; its value is taken too. */
   readonly key: string;
-  readonly mirror: ProvenMirror;
+  readonly mirror: FreshnessMirror;
   readonly timings: FreshnessTimings;
   readonly rank: () => ProofRank;
   /** Time after the start in which others may read first, in milliseconds. */
-  readonly patienceMilliseconds: number;
+  readonly startDelayMilliseconds: number;
   /** The key was read: what was taken then was the newest at a local time. */
   readonly onRead?: (sentAt: number) => void;
 }
@@ -60,19 +60,19 @@
 /** Gateways that wait for one another; those beyond draw a time, so that not all read at once. */
 const RANKED_GATEWAYS = 4;
 /** Time over which those beyond spread, for each gateway known, in milliseconds. */
-const SPREAD_MILLISECONDS = 25;
-const LONGEST_SPREAD_MILLISECONDS = 1_000;
+const SPREAD_PER_GATEWAY_MILLISECONDS = 25;
+const MAXIMUM_SPREAD_MILLISECONDS = 1_000;
 /** Reads that all gateways together send each period while none is answered. */
-const READS_AT_ONCE = 4;
-const LARGEST_LIFE = 2 ** 31;
+const SHARED_READS_PER_INTERVAL = 4;
+const MAXIMUM_LIFE = 2 ** 31;
 /** Time without a proof in which entries may have lapsed that their owners could not renew, in milliseconds. */
 const OUTAGE_MILLISECONDS = 2_000;
 /** Time after the store's return within which those entries are back, in milliseconds: the platform's 2 s and some way. */
-const SETTLE_MILLISECONDS = 2_400;
+const EXPIRY_GRACE_MILLISECONDS = 2_400;
 /** Lives of which the newest proof is remembered. */
-const REMEMBERED_LIVES = 1_000;
+const MAXIMUM_REMEMBERED_LIVES = 1_000;
 /** Reads without an answer that one gateway has under way at most. */
-const READS_UNDER_WAY = 4;
+const MAXIMUM_READS_IN_FLIGHT = 4;
 
 /** See the head of this file. */
 export class StoreFreshness {
@@ -81,24 +81,24 @@
   /** Newest proof known, be it an own one or another's, with the local time that it holds for. */
   private newest: (StoreProof & { readonly provenAt: number }) | undefined;
   /** Numbers of the newest proofs by life: one that comes back over others isn't taken as newer. */
-  private readonly heardNumbers = new Map<number, number>();
+  private readonly newestNumbers = new Map<number, number>();
   /** Local time as of which the copy misses nothing, in milliseconds. */
   private freshAt = -Infinity;
   private readonly startedAt: number;
   /** Local time at which the first proof after an outage came, in milliseconds. */
-  private returnedAt = -Infinity;
+  private recoveredAt = -Infinity;
   private sentAt = -Infinity;
-  private underWay = 0;
-  private drawn: number;
+  private readsInFlight = 0;
+  private jitter: number;
   private cancelTimer: CancelTimer = () => undefined;
   private closed = false;
 
   constructor(private readonly options: StoreFreshnessOptions) {
-    const { runtime, patienceMilliseconds } = options;
-    this.life = runtime.random.integer(1, LARGEST_LIFE);
-    this.startedAt = runtime.now() + patienceMilliseconds;
-    this.drawn = runtime.random.uniform();
-    this.arm();
+    const { runtime, startDelayMilliseconds } = options;
+    this.life = runtime.random.integer(1, MAXIMUM_LIFE);
+    this.startedAt = runtime.now() + startDelayMilliseconds;
+    this.jitter = runtime.random.uniform();
+    this.scheduleRead();
   }
 
   /** Time since the newest proof known, in milliseconds; infinite before the first. */
@@ -109,7 +109,7 @@
 
   /** Time as of which the copy is known to miss nothing, as an age in milliseconds. */
   get ageMilliseconds(): number {
-    this.noteFresh();
+    this.updateFreshness();
     return this.options.runtime.now() - this.freshAt;
   }
 
@@ -117,11 +117,11 @@
    * Time left in which entries that lapsed while the store was away may still be written again, in
    * milliseconds; 0 when an entry that is missing is gone.
    */
-  get settlingMilliseconds(): number {
+  get expiryGraceMilliseconds(): number {
     if (this.newest !== undefined && this.proofAgeMilliseconds > OUTAGE_MILLISECONDS) {
-      return SETTLE_MILLISECONDS;
+      return EXPIRY_GRACE_MILLISECONDS;
     }
-    return Math.max(0, this.returnedAt + SETTLE_MILLISECONDS - this.options.runtime.now());
+    return Math.max(0, this.recoveredAt + EXPIRY_GRACE_MILLISECONDS - this.options.runtime.now());
   }
 
   /** The newest proof as it is told to others; undefined before the first. */
@@ -135,21 +135,21 @@
   }
 
   /** Takes the word of another gateway. */
-  hear(proof: StoreProof): void {
+  receiveProof(proof: StoreProof): void {
     const { life, number, revision, ageMilliseconds } = proof;
-    if (life === this.life || number <= (this.heardNumbers.get(life) ?? 0)) {
+    if (life === this.life || number <= (this.newestNumbers.get(life) ?? 0)) {
       return;
     }
-    this.remember(life, number);
-    this.take({ ...proof, provenAt: this.options.runtime.now() - ageMilliseconds });
-    this.options.mirror.heedRevision(revision);
+    this.rememberNumber(life, number);
+    this.acceptProof({ ...proof, provenAt: this.options.runtime.now() - ageMilliseconds });
+    this.options.mirror.noteStoreRevision(revision);
   }
 
   /** Notes that the store answered this gateway a list that was asked for at a local time. */
   noteRead(revision: number, sentAt: number): void {
     this.number += 1;
     const { life, number } = this;
-    this.take({ life, number, revision, ageMilliseconds: 0, provenAt: sentAt });
+    this.acceptProof({ life, number, revision, ageMilliseconds: 0, provenAt: sentAt });
   }
 
   /** Stops reading. */
@@ -158,33 +158,33 @@
     this.cancelTimer();
   }
 
-  private take(proof: StoreProof & { readonly provenAt: number }): void {
+  private acceptProof(proof: StoreProof & { readonly provenAt: number }): void {
     if (proof.provenAt <= (this.newest?.provenAt ?? -Infinity)) {
       return;
     }
     if (this.newest !== undefined && proof.provenAt - this.newest.provenAt > OUTAGE_MILLISECONDS) {
-      this.returnedAt = this.options.runtime.now();
+      this.recoveredAt = this.options.runtime.now();
     }
-    this.noteFresh();
+    this.updateFreshness();
     this.newest = proof;
-    this.drawn = this.options.runtime.random.uniform();
-    this.noteFresh();
-    this.arm();
+    this.jitter = this.options.runtime.random.uniform();
+    this.updateFreshness();
+    this.scheduleRead();
   }
 
-  private noteFresh(): void {
+  private updateFreshness(): void {
     const { newest, options } = this;
     if (newest !== undefined && options.mirror.completeRevision >= newest.revision) {
       this.freshAt = Math.max(this.freshAt, newest.provenAt);
     }
   }
 
-  private remember(life: number, number: number): void {
-    this.heardNumbers.delete(life);
-    this.heardNumbers.set(life, number);
-    if (this.heardNumbers.size > REMEMBERED_LIVES) {
-      const [oldest] = this.heardNumbers.keys();
-      this.heardNumbers.delete(oldest!);
+  private rememberNumber(life: number, number: number): void {
+    this.newestNumbers.delete(life);
+    this.newestNumbers.set(life, number);
+    if (this.newestNumbers.size > MAXIMUM_REMEMBERED_LIVES) {
+      const [oldest] = this.newestNumbers.keys();
+      this.newestNumbers.delete(oldest!);
     }
   }
 
@@ -192,28 +192,32 @@
   private dueAt(): number {
     const { timings, rank: rankOf } = this.options;
     const { rank, gateways } = rankOf();
-    const { proofMilliseconds } = timings;
+    const { proofIntervalMilliseconds } = timings;
     const provenAt = Math.max(this.newest?.provenAt ?? -Infinity, this.startedAt);
-    const afterProof = provenAt + proofMilliseconds + this.turnMilliseconds(rank, gateways);
+    const afterProof =
+      provenAt + proofIntervalMilliseconds + this.rankDelayMilliseconds(rank, gateways);
     if (provenAt >= this.sentAt) {
       return afterProof;
     }
     // The last read is not answered: while the store is silent all gateways share a few reads.
-    const periods = Math.max(1, gateways / READS_AT_ONCE);
-    return Math.max(afterProof, this.sentAt + proofMilliseconds * periods);
+    const periods = Math.max(1, gateways / SHARED_READS_PER_INTERVAL);
+    return Math.max(afterProof, this.sentAt + proofIntervalMilliseconds * periods);
   }
 
   /** Time that is left to those that come before. */
-  private turnMilliseconds(rank: number, gateways: number): number {
+  private rankDelayMilliseconds(rank: number, gateways: number): number {
     if (rank < RANKED_GATEWAYS) {
-      const jitter = PROOF_JITTER * this.options.timings.proofMilliseconds;
-      return rank * RANK_MILLISECONDS + jitter * this.drawn;
+      const jitter = PROOF_JITTER * this.options.timings.proofIntervalMilliseconds;
+      return rank * RANK_DELAY_MILLISECONDS + jitter * this.jitter;
     }
-    const spread = Math.min(LONGEST_SPREAD_MILLISECONDS, gateways * SPREAD_MILLISECONDS);
-    return RANKED_GATEWAYS * RANK_MILLISECONDS + spread * this.drawn;
+    const spread = Math.min(
+      MAXIMUM_SPREAD_MILLISECONDS,
+      gateways * SPREAD_PER_GATEWAY_MILLISECONDS,
+    );
+    return RANKED_GATEWAYS * RANK_DELAY_MILLISECONDS + spread * this.jitter;
   }
 
-  private arm(): void {
+  private scheduleRead(): void {
     if (this.closed) {
       return;
     }
@@ -224,34 +228,39 @@
       if (runtime.now() >= this.dueAt()) {
         this.read();
       }
-      this.arm();
+      this.scheduleRead();
     });
   }
 
   private read(): void {
     const { runtime, port, key, mirror } = this.options;
     this.sentAt = runtime.now();
-    if (this.underWay >= READS_UNDER_WAY) {
+    if (this.readsInFlight >= MAXIMUM_READS_IN_FLIGHT) {
       return;
     }
     const { sentAt } = this;
-    this.underWay += 1;
+    this.readsInFlight += 1;
     port.list(key, (result) => {
-      this.underWay -= 1;
+      this.readsInFlight -= 1;
       if (this.closed) {
         return;
       }
       if (!isRight(result)) {
         // The next read is due soon.
-        const owed = Math.round(runtime.now() - sentAt);
-        const fields = { event: 'store.failed', call: 'proof', owed, tag: result.left.tag };
+        const waitedMilliseconds = Math.round(runtime.now() - sentAt);
+        const fields = {
+          event: 'store.failed',
+          call: 'proof',
+          owed: waitedMilliseconds,
+          tag: result.left.tag,
+        };
         runtime.log('info', 'store call failed', fields);
         return;
       }
-      mirror.takeRead(result.right);
+      mirror.applyRead(result.right);
       this.options.onRead?.(sentAt);
       this.noteRead(result.right.revision, sentAt);
-      mirror.heedOwnRead(result.right.revision);
+      mirror.noteOwnReadRevision(result.right.revision);
     });
   }
 }
--- a/src/peers/tally-codec.ts
+++ b/src/peers/aggregate-codec.ts
@@ -1,16 +1,16 @@
 /** Bytes of tallies: a section of the messages between gateways. */
 import * as r from 'restructure';
 import { WireError } from '../wire/fields.js';
-import { MAXIMUM_AMOUNTS } from './tallies.js';
-import type { Tally, TallyRow, TallyTopic } from './tallies.js';
+import { MAXIMUM_AMOUNTS } from './aggregates.js';
+import type { Aggregate, AggregateRow, AggregateTopic } from './aggregates.js';
 
 /** Bytes of a row without its amounts: topic, key, number of amounts. */
 const ROW_HEAD_BYTES = 6;
 const AMOUNT_BYTES = 4;
 
-function sizeOf(tallies: readonly Tally[]): number {
+function sizeOf(aggregates: readonly Aggregate[]): number {
   let size = 0;
-  for (const { rows } of tallies) {
+  for (const { rows } of aggregates) {
     for (const { amounts } of rows) {
       size += ROW_HEAD_BYTES + AMOUNT_BYTES * Math.min(MAXIMUM_AMOUNTS, amounts.length);
     }
@@ -19,25 +19,25 @@
 }
 
 /** Tallies as bytes; amounts as 32-bit floating point numbers. */
-export function encodeTallies(tallies: readonly Tally[]): Uint8Array {
-  const bytes = new Uint8Array(sizeOf(tallies));
+export function encodeAggregates(aggregates: readonly Aggregate[]): Uint8Array {
+  const bytes = new Uint8Array(sizeOf(aggregates));
   const stream = new r.EncodeStream(bytes);
-  for (const { topic, rows } of tallies) {
+  for (const { topic, rows } of aggregates) {
     for (const { key, amounts } of rows) {
-      const told = amounts.slice(0, MAXIMUM_AMOUNTS);
+      const sent = amounts.slice(0, MAXIMUM_AMOUNTS);
       stream.writeUInt8(topic);
       stream.writeUInt32BE(key);
-      stream.writeUInt8(told.length);
-      told.forEach((amount) => stream.writeFloatBE(amount));
+      stream.writeUInt8(sent.length);
+      sent.forEach((amount) => stream.writeFloatBE(amount));
     }
   }
   return bytes;
 }
 
 /** Tallies of a section. Throws on bytes that are none, and on amounts that are no numbers. */
-export function decodeTallies(bytes: Uint8Array): Tally[] {
+export function decodeAggregates(bytes: Uint8Array): Aggregate[] {
   const stream = new r.DecodeStream(bytes);
-  const byTopic = new Map<TallyTopic, TallyRow[]>();
+  const byTopic = new Map<AggregateTopic, AggregateRow[]>();
   while (stream.pos < bytes.length) {
     const topic = stream.readUInt8();
     const rows = byTopic.get(topic) ?? [];
@@ -47,11 +47,11 @@
   return [...byTopic].map(([topic, rows]) => ({ topic, rows }));
 }
 
-function decodeRow(stream: r.DecodeStream): TallyRow {
+function decodeRow(stream: r.DecodeStream): AggregateRow {
   const key = stream.readUInt32BE();
   const length = stream.readUInt8();
   const amounts: number[] = [];
-  for (let place = 0; place < length; place += 1) {
+  for (let index = 0; index < length; index += 1) {
     const amount = stream.readFloatBE();
     if (!Number.isFinite(amount)) {
       throw new WireError('an amount that is no number');
--- a/src/peers/tallies.ts
+++ b/src/peers/aggregates.ts
@@ -5,7 +5,7 @@
  */
 
 /** Topics known here, by their number on the wire: append only, a number is never used again. */
-export const TALLY_TOPICS = {
+export const AGGREGATE_TOPICS = {
   // 1 is that of what requests showed of runners, which nobody tells.
   /** What is asked of a service; the key is the hash of its name. */
   serviceDemand: 2,
@@ -15,28 +15,28 @@
 } as const;
 
 /** Number of a topic. */
-export type TallyTopic = number;
+export type AggregateTopic = number;
 
 /** Amounts under one key. What each place of the row means is the topic's; places are only ever appended. */
-export interface TallyRow {
+export interface AggregateRow {
   /** Hash of a name, 32 bits. */
   readonly key: number;
   readonly amounts: readonly number[];
 }
 
 /** The rows of one topic. */
-export interface Tally {
-  readonly topic: TallyTopic;
-  readonly rows: readonly TallyRow[];
+export interface Aggregate {
+  readonly topic: AggregateTopic;
+  readonly rows: readonly AggregateRow[];
 }
 
 /** Amounts by key. */
-export type TallyAmounts = ReadonlyMap<number, readonly number[]>;
+export type AmountsByKey = ReadonlyMap<number, readonly number[]>;
 /** Amounts by topic and key. */
-export type TallySums = ReadonlyMap<TallyTopic, TallyAmounts>;
+export type AmountsByTopic = ReadonlyMap<AggregateTopic, AmountsByKey>;
 
 /** Rows of one topic in a message: bounds the bytes whatever the number of runners or tenants. */
-const MAXIMUM_ROWS = 48;
+const MAXIMUM_ROWS_PER_TOPIC = 48;
 /**
  * Topics in a message, the lowest numbers first: more than builds that run side by side know, and with all their
  * rows a message stays a quarter of what a section holds.
@@ -45,58 +45,61 @@
 /** Amounts in a row. */
 export const MAXIMUM_AMOUNTS = 8;
 
-function addTo(sums: number[], amounts: readonly number[], factor: number): void {
-  amounts.forEach((amount, place) => {
-    sums[place] = (sums[place] ?? 0) + amount * factor;
+function addAmounts(sums: number[], amounts: readonly number[], factor: number): void {
+  amounts.forEach((amount, index) => {
+    sums[index] = (sums[index] ?? 0) + amount * factor;
   });
 }
 
-function addAll(
-  sums: Map<TallyTopic, Map<number, number[]>>,
-  tallies: readonly Tally[],
+function addAggregates(
+  sums: Map<AggregateTopic, Map<number, number[]>>,
+  aggregates: readonly Aggregate[],
   factor: number,
 ): void {
-  for (const { topic, rows } of tallies) {
+  for (const { topic, rows } of aggregates) {
     const ofTopic = sums.get(topic) ?? new Map<number, number[]>();
     sums.set(topic, ofTopic);
     for (const { key, amounts } of rows) {
       const row = ofTopic.get(key) ?? [];
       ofTopic.set(key, row);
-      addTo(row, amounts, factor);
+      addAmounts(row, amounts, factor);
     }
   }
 }
 
 /**
  * Adds up what several messages tell.
- * @param without is taken off the sum: what of it is one's own
+ * @param own is taken off the sum: what of it is one's own
  */
-export function sumTallies(
-  lists: Iterable<readonly Tally[]>,
-  without: readonly Tally[] = [],
-): TallySums {
-  const sums = new Map<TallyTopic, Map<number, number[]>>();
-  for (const tallies of lists) {
-    addAll(sums, tallies, 1);
+export function sumAggregates(
+  lists: Iterable<readonly Aggregate[]>,
+  own: readonly Aggregate[] = [],
+): AmountsByTopic {
+  const sums = new Map<AggregateTopic, Map<number, number[]>>();
+  for (const aggregates of lists) {
+    addAggregates(sums, aggregates, 1);
   }
-  addAll(sums, without, -1);
+  addAggregates(sums, own, -1);
   return sums;
 }
 
 /** Sums as a message tells them: the topics of the lowest numbers, and of each the rows of the largest sums. */
-export function tallyList(sums: TallySums): Tally[] {
+export function toAggregates(sums: AmountsByTopic): Aggregate[] {
   const topics = [...sums].sort(([left], [right]) => left - right).slice(0, MAXIMUM_TOPICS);
   return topics.map(([topic, byKey]) => {
     const rows = [...byKey].map(([key, amounts]) => ({ key, amounts }));
-    return { topic, rows: boundedRows(rows) };
+    return { topic, rows: largestRows(rows) };
   });
 }
 
 /** The rows of the largest sums of amounts, as many as a message takes. */
-export function boundedRows(rows: readonly TallyRow[]): readonly TallyRow[] {
-  if (rows.length <= MAXIMUM_ROWS) {
+export function largestRows(rows: readonly AggregateRow[]): readonly AggregateRow[] {
+  if (rows.length <= MAXIMUM_ROWS_PER_TOPIC) {
     return rows;
   }
-  const weight = ({ amounts }: TallyRow): number => amounts.reduce((sum, each) => sum + each, 0);
-  return [...rows].sort((left, right) => weight(right) - weight(left)).slice(0, MAXIMUM_ROWS);
+  const totalOf = ({ amounts }: AggregateRow): number =>
+    amounts.reduce((sum, each) => sum + each, 0);
+  return [...rows]
+    .sort((left, right) => totalOf(right) - totalOf(left))
+    .slice(0, MAXIMUM_ROWS_PER_TOPIC);
 }
--- a/src/peers/datagram-port.ts
+++ b/src/peers/datagram-port.ts
@@ -18,11 +18,11 @@
  * Hands a host back as it is: hosts are IPv4 addresses, and Node's own look-up for each datagram costs more than
  * sending it.
  */
-const lookUpNothing: SocketOptions['lookup'] = (host, _options, done) => done(null, host, IPV4);
+const resolveIpAddress: SocketOptions['lookup'] = (host, _options, done) => done(null, host, IPV4);
 
 /** Sends and receives over UDP; all gateways listen on the same port. */
 export function openUdpPort(host: string, port: number): DatagramPort {
-  const socket = createSocket({ type: 'udp4', lookup: lookUpNothing });
+  const socket = createSocket({ type: 'udp4', lookup: resolveIpAddress });
   // A datagram that could not be sent is a datagram lost.
   socket.on('error', () => undefined);
   socket.bind(port, host);
--- a/src/peers/gossip-pace.ts
+++ b/src/peers/gossip-pace.ts
@@ -5,31 +5,31 @@
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 
 /** Time between two messages of a gateway with requests, in milliseconds. */
-export const PERIOD_MILLISECONDS = 100;
+export const GOSSIP_PERIOD_MILLISECONDS = 100;
 /** The same of a quiet one; shorter than reports are remembered, so that it goes on to be counted. */
-const QUIET_PERIOD_MILLISECONDS = 200;
+const IDLE_PERIOD_MILLISECONDS = 200;
 /** Time without anything of its own to tell after which a gateway is quiet, in milliseconds. */
-const QUIET_AFTER_MILLISECONDS = 1_000;
+const IDLE_AFTER_MILLISECONDS = 1_000;
 
 /** What the pace is made with. */
 export interface GossipPaceOptions {
   readonly runtime: Runtime;
   /** Whether others rely on this gateway's word at each period: it adds up, or is told of directly. */
-  readonly isReliedOn: () => boolean;
+  readonly needsFullRate: () => boolean;
   /** Tells; true when there was something of its own to tell. */
-  readonly tell: () => boolean;
+  readonly send: () => boolean;
 }
 
 /** See the head of this file. */
 export class GossipPace {
   private cancelTimer: CancelTimer = () => undefined;
   /** Local time at which there last was something to tell, in milliseconds. */
-  private busyAt: number;
+  private lastBusyAt: number;
   private closed = false;
 
   constructor(private readonly options: GossipPaceOptions) {
-    this.busyAt = options.runtime.now();
-    this.tellLater();
+    this.lastBusyAt = options.runtime.now();
+    this.scheduleNext();
   }
 
   /** Tells no more. */
@@ -38,22 +38,22 @@
     this.cancelTimer();
   }
 
-  private tellLater(): void {
+  private scheduleNext(): void {
     if (this.closed) {
       return;
     }
-    const pause = this.isQuiet ? QUIET_PERIOD_MILLISECONDS : PERIOD_MILLISECONDS;
+    const pause = this.isIdle ? IDLE_PERIOD_MILLISECONDS : GOSSIP_PERIOD_MILLISECONDS;
     this.cancelTimer = this.options.runtime.setTimer(pause, () => {
       try {
-        this.busyAt = this.options.tell() ? this.options.runtime.now() : this.busyAt;
+        this.lastBusyAt = this.options.send() ? this.options.runtime.now() : this.lastBusyAt;
       } finally {
-        this.tellLater();
+        this.scheduleNext();
       }
     });
   }
 
-  private get isQuiet(): boolean {
-    const { runtime, isReliedOn } = this.options;
-    return runtime.now() - this.busyAt > QUIET_AFTER_MILLISECONDS && !isReliedOn();
+  private get isIdle(): boolean {
+    const { runtime, needsFullRate } = this.options;
+    return runtime.now() - this.lastBusyAt > IDLE_AFTER_MILLISECONDS && !needsFullRate();
   }
 }
--- a/src/peers/load-gossip.ts
+++ b/src/peers/load-gossip.ts
@@ -10,27 +10,27 @@
 import { hashToNumber } from '../runtime/hashing.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { DatagramPort } from './datagram-port.js';
-import { GossipPace, PERIOD_MILLISECONDS } from './gossip-pace.js';
+import { GossipPace, GOSSIP_PERIOD_MILLISECONDS } from './gossip-pace.js';
 import {
   decodeLoadMessage,
   encodeLoadMessage,
   NO_PROOF,
-  readsTail,
-  withTail,
+  supportsExtensions,
+  withExtensions,
 } from './load-message.js';
 import type { LoadMessage, LoadScope, RunnerLoad } from './load-message.js';
-import { sumLoads, ToldLoads } from './load-sums.js';
-import { MessageWriter, NAMED_MILLISECONDS } from './message-writer.js';
-import type { OwnNews } from './message-writer.js';
+import { sumLoads, LatestMessages } from './load-sums.js';
+import { MessageWriter, NAMED_PEER_MILLISECONDS } from './message-writer.js';
+import type { OwnState } from './message-writer.js';
 import { PeerTable } from './peer-table.js';
 import { PlaceRelay } from './recent-places.js';
 import type { PromptPlace } from './recent-places.js';
-import { sumTallies } from './tallies.js';
-import { NO_AMOUNTS } from './tally-board.js';
-import type { Tally, TallyAmounts, TallySums, TallyTopic } from './tallies.js';
+import { sumAggregates } from './aggregates.js';
+import { NO_AMOUNTS } from './aggregate-registry.js';
+import type { Aggregate, AmountsByKey, AmountsByTopic, AggregateTopic } from './aggregates.js';
 
 /** What the gossip is made with. */
-export interface LoadGossipOptions extends OwnNews {
+export interface LoadGossipOptions extends OwnState {
   readonly runtime: Runtime;
   readonly host: string;
   readonly zone: string;
@@ -38,13 +38,13 @@
   /** Hosts to begin with. */
   readonly seeds: () => readonly string[];
   /** A peer told what it knows of the store. */
-  readonly onStoreNews: (news: StoreNews) => void;
+  readonly onPeerStoreState: (state: PeerStoreState) => void;
   /** A peer told what runners have begun to keep. */
   readonly onPlaces: (places: readonly PromptPlace[]) => void;
 }
 
 /** What a peer knows of the store. */
-export interface StoreNews {
+export interface PeerStoreState {
   /** Host of the peer. */
   readonly from: string;
   /** Revision up to which it misses nothing. */
@@ -54,36 +54,36 @@
 }
 
 /** Gateways up to which each tells others directly: beyond, sums by zone cost fewer messages. */
-const DIRECT_GATEWAYS = 16;
+const MAXIMUM_DIRECT_GATEWAYS = 16;
 /** Most peers told directly in a period. */
 const FAN_OUT = 8;
 /** Gateways of a zone that collect what it tells: the first announces the sum, the next stands in. */
-const COLLECTORS = 2;
+const AGGREGATORS_PER_ZONE = 2;
 /** Periods between two direct messages to any peer where sums are told: they join parted groups. */
-const GREETING_PERIODS = 3;
+const DISCOVERY_PERIODS = 3;
 /** Least time after which what a silent peer told is forgotten, in milliseconds. */
 const STALE_MILLISECONDS = 500;
 /** The same for what is told each period to the same gateway: two lost messages of a busy one, none of a quiet one. */
 const STALE_REPORT_MILLISECONDS = 350;
 /** The same in mean times between two direct messages of a peer: with more peers these are longer. */
-const STALE_MESSAGES = 2.5;
+const STALE_MESSAGE_INTERVALS = 2.5;
 /** Silence of the first of a zone after which the next announces, in milliseconds. */
-const STAND_IN_MILLISECONDS = 300;
+const TAKEOVER_MILLISECONDS = 300;
 /** Times that each place is told to the same gateway, since datagrams are lost now and then. */
 const PLACE_REPEATS = 3;
 /** Periods until a request counts in a sum of all. */
-const SUM_PERIODS = 3;
+const SUM_DELAY_PERIODS = 3;
 /** Periods until this gateway's own requests come back to it in a sum of all. */
-const ECHO_PERIODS = 2;
+const OWN_ECHO_PERIODS = 2;
 
 /** What this gateway told of itself in one period. */
-interface OwnPeriod {
+interface OwnReport {
   readonly loads: readonly RunnerLoad[];
-  readonly tallies: readonly Tally[];
+  readonly aggregates: readonly Aggregate[];
 }
 
 /** A sum holds this gateway's own requests as they were when it reported them. */
-function withoutOwn(sums: Map<number, number>, own: readonly RunnerLoad[]): Map<number, number> {
+function subtractOwn(sums: Map<number, number>, own: readonly RunnerLoad[]): Map<number, number> {
   for (const { runnerHash, inFlight } of own) {
     sums.set(runnerHash, Math.max(0, (sums.get(runnerHash) ?? 0) - inFlight));
   }
@@ -93,11 +93,11 @@
 /** See the head of this file. */
 export class LoadGossip {
   private readonly table: PeerTable;
-  private readonly told: Readonly<Record<LoadScope, ToldLoads>> = {
-    gateway: new ToldLoads(),
-    zone: new ToldLoads(),
-    all: new ToldLoads(),
-    answer: new ToldLoads(),
+  private readonly received: Readonly<Record<LoadScope, LatestMessages>> = {
+    gateway: new LatestMessages(),
+    zone: new LatestMessages(),
+    all: new LatestMessages(),
+    answer: new LatestMessages(),
   };
   private readonly zoneHash: number;
   private readonly pace: GossipPace;
@@ -105,13 +105,13 @@
   private readonly zonePlaces: PlaceRelay;
   private readonly otherPlaces: PlaceRelay;
   private period = 0;
-  private announcing = false;
+  private isAggregating = false;
   /** What was told of itself in the last periods, the newest last. */
-  private ownHistory: OwnPeriod[] = [];
+  private ownHistory: OwnReport[] = [];
   /** Requests of all other gateways by the hash of their runner. */
   private totals = new Map<number, number>();
   /** Figures of all other gateways. */
-  private tallies: TallySums = new Map();
+  private aggregateSums: AmountsByTopic = new Map();
 
   constructor(private readonly options: LoadGossipOptions) {
     const { runtime, host, zone, datagrams } = options;
@@ -120,11 +120,11 @@
     this.writer = new MessageWriter(options, this.table, this.zoneHash);
     this.zonePlaces = new PlaceRelay(runtime);
     this.otherPlaces = new PlaceRelay(runtime);
-    datagrams.onDatagram((bytes, from) => this.take(bytes, from));
+    datagrams.onDatagram((bytes, from) => this.receive(bytes, from));
     this.pace = new GossipPace({
       runtime,
-      isReliedOn: () => this.announcing || !this.usesSums,
-      tell: () => this.tell(),
+      needsFullRate: () => this.isAggregating || !this.usesAggregation,
+      send: () => this.sendRound(),
     });
   }
 
@@ -134,18 +134,20 @@
   }
 
   /** Figures of all other gateways under a topic, added up by key. */
-  talliesOfOthers(topic: TallyTopic): TallyAmounts {
-    return this.tallies.get(topic) ?? NO_AMOUNTS;
+  aggregatesOfOthers(topic: AggregateTopic): AmountsByKey {
+    return this.aggregateSums.get(topic) ?? NO_AMOUNTS;
   }
 
   /** Age of what is known of other gateways' requests, in milliseconds: reports, sums of zones, sums of all. */
   get loadAgeMilliseconds(): number {
-    return this.usesSums ? SUM_PERIODS * PERIOD_MILLISECONDS : this.messageMilliseconds;
+    return this.usesAggregation
+      ? SUM_DELAY_PERIODS * GOSSIP_PERIOD_MILLISECONDS
+      : this.messageMilliseconds;
   }
 
   /** Whether a gateway that was heard or counted lately reaches the replicas. */
   get somePeerReachesReplicas(): boolean {
-    const { gateway, zone, all } = this.told;
+    const { gateway, zone, all } = this.received;
     const heard = [
       ...gateway.since(this.since(this.staleMilliseconds)),
       ...zone.since(this.since(STALE_MILLISECONDS)),
@@ -156,30 +158,30 @@
 
   /** Other gateways, as far as they are known or counted. */
   get peerCount(): number {
-    const counted = this.newestSum()?.gateways ?? 0;
+    const counted = this.newestGlobalSum()?.gateways ?? 0;
     return Math.max(this.table.size, counted - 1);
   }
 
   /** Gateways of this zone that come before this one; none while all tell one another directly. */
   get rank(): number {
-    return this.usesSums ? this.table.rank() : 0;
+    return this.usesAggregation ? this.table.rankInZone() : 0;
   }
 
   /** Where this gateway stands among those of all zones that may read the store. */
   get proofRank(): ProofRank {
-    const alive = this.usesSums ? this.peerCount : this.table.aliveCount;
-    return { rank: this.table.rankOfAll(), gateways: alive + 1 };
+    const alive = this.usesAggregation ? this.peerCount : this.table.aliveCount;
+    return { rank: this.table.globalRank(), gateways: alive + 1 };
   }
 
   /** Hosts of the gateways of this zone that come first. */
-  firstOfZone(count: number): string[] {
-    const peers = this.table.aliveIn(this.zoneHash);
+  firstInZone(count: number): string[] {
+    const peers = this.table.aliveInZone(this.zoneHash);
     return peers.slice(0, count).map(({ host }) => host);
   }
 
   /** Hosts of some gateways, drawn anew each time. */
-  somePeers(count: number): string[] {
-    return [...this.withSeed(this.randomHosts(count))];
+  randomPeers(count: number): string[] {
+    return [...this.withSilentSeed(this.randomHosts(count))];
   }
 
   /** Ends. */
@@ -188,8 +190,8 @@
     this.options.datagrams.close();
   }
 
-  private get usesSums(): boolean {
-    return this.peerCount + 1 > DIRECT_GATEWAYS;
+  private get usesAggregation(): boolean {
+    return this.peerCount + 1 > MAXIMUM_DIRECT_GATEWAYS;
   }
 
   private since(milliseconds: number): number {
@@ -197,72 +199,72 @@
   }
 
   /** True when there was something of its own to tell. */
-  private tell(): boolean {
+  private sendRound(): boolean {
     this.table.forgetSilent();
     this.period += 1;
-    const own = this.writer.own(PLACE_REPEATS * this.messageMilliseconds);
-    const { loads, tallies } = own;
-    this.ownHistory = [...this.ownHistory, { loads, tallies }].slice(-1 - ECHO_PERIODS);
-    if (this.usesSums) {
-      this.reportTo(own);
-      this.sumUpZone(own);
+    const own = this.writer.report(PLACE_REPEATS * this.messageMilliseconds);
+    const { loads, aggregates } = own;
+    this.ownHistory = [...this.ownHistory, { loads, aggregates }].slice(-1 - OWN_ECHO_PERIODS);
+    if (this.usesAggregation) {
+      this.sendReport(own);
+      this.exchangeSums(own);
     } else {
-      this.send(own, this.withSeed(this.randomHosts(FAN_OUT)));
-      this.takeTotals(this.directlyTold());
+      this.send(own, this.withSilentSeed(this.randomHosts(FAN_OUT)));
+      this.updateTotals(this.directMessages());
     }
-    return loads.length + tallies.length + own.places.length > 0;
+    return loads.length + aggregates.length + own.places.length > 0;
   }
 
-  private takeTotals(messages: readonly LoadMessage[], own?: OwnPeriod): void {
+  private updateTotals(messages: readonly LoadMessage[], own?: OwnReport): void {
     const sums = sumLoads(messages.map(({ loads }) => loads));
-    this.totals = own === undefined ? sums : withoutOwn(sums, own.loads);
-    this.tallies = sumTallies(
-      messages.map(({ tallies }) => tallies),
-      own?.tallies,
+    this.totals = own === undefined ? sums : subtractOwn(sums, own.loads);
+    this.aggregateSums = sumAggregates(
+      messages.map(({ aggregates }) => aggregates),
+      own?.aggregates,
     );
   }
 
   /** Tells the collectors of the zone, and now and then any other gateway. */
-  private reportTo(own: LoadMessage): void {
-    const collectors = new Set(this.firstOfZone(COLLECTORS));
-    const greets = this.period % GREETING_PERIODS === 0;
-    const others = greets ? this.withSeed(this.randomHosts(1)) : [];
-    this.send(own, new Set([...collectors, ...others]));
+  private sendReport(own: LoadMessage): void {
+    const aggregators = new Set(this.firstInZone(AGGREGATORS_PER_ZONE));
+    const isDiscoveryPeriod = this.period % DISCOVERY_PERIODS === 0;
+    const others = isDiscoveryPeriod ? this.withSilentSeed(this.randomHosts(1)) : [];
+    this.send(own, new Set([...aggregators, ...others]));
   }
 
   /** Announces the sums if that falls to this gateway, and takes what is told of all load. */
-  private sumUpZone(own: LoadMessage): void {
-    this.noteAnnouncing(this.announces());
-    if (!this.announcing) {
-      const sum = this.newestSum();
+  private exchangeSums(own: LoadMessage): void {
+    this.setAggregating(this.shouldAggregate());
+    if (!this.isAggregating) {
+      const sum = this.newestGlobalSum();
       if (sum === undefined) {
-        this.takeTotals(this.directlyTold());
+        this.updateTotals(this.directMessages());
       } else {
-        this.takeTotals([sum], this.ownHistory[0]);
+        this.updateTotals([sum], this.ownHistory[0]);
       }
       return;
     }
     const reports = this.reports();
-    const zones = this.otherZones();
-    this.takeTotals([...reports, ...zones]);
+    const zones = this.otherZoneSums();
+    this.updateTotals([...reports, ...zones]);
     const ofZone = this.writer.sum('zone', own, reports, this.zonePlaces.take());
-    this.send(ofZone, this.firstOfOtherZones());
+    this.send(ofZone, this.aggregatorsOfOtherZones());
     const ofAll = this.writer.sum('all', ofZone, zones, this.otherPlaces.take());
     this.send(ofAll, this.reporters());
   }
 
-  private noteAnnouncing(announcing: boolean): void {
-    if (announcing === this.announcing) {
+  private setAggregating(isAggregating: boolean): void {
+    if (isAggregating === this.isAggregating) {
       return;
     }
-    this.announcing = announcing;
+    this.isAggregating = isAggregating;
     const { log } = this.options.runtime;
     const inputs = {
-      rank: this.table.rank(),
+      rank: this.table.rankInZone(),
       reporters: this.reporters().length,
       gateways: this.peerCount + 1,
     };
-    if (announcing) {
+    if (isAggregating) {
       log('info', 'tells its zone the sums', { event: 'sums.announced', ...inputs });
     } else {
       log('info', 'leaves the sums to another', { event: 'sums.left', ...inputs });
@@ -280,21 +282,21 @@
   }
 
   /** With one seed that was not heard, so that parted groups find one another again. */
-  private withSeed(hosts: Set<string>): Set<string> {
+  private withSilentSeed(hosts: Set<string>): Set<string> {
     const { seeds, host, runtime } = this.options;
     const silent = seeds().filter((seed) => seed !== host && !this.table.has(seed));
     return silent.length > 0 ? hosts.add(runtime.random.pick(silent)) : hosts;
   }
 
   private send(message: LoadMessage, hosts: Iterable<string>): void {
-    const plain = encodeLoadMessage(message);
-    const whole = withTail(plain, message);
+    const base = encodeLoadMessage(message);
+    const extended = withExtensions(base, message);
     for (const host of hosts) {
-      this.options.datagrams.send(this.table.readsTail(host) ? whole : plain, host);
+      this.options.datagrams.send(this.table.supportsExtensions(host) ? extended : base, host);
     }
   }
 
-  private take(bytes: Uint8Array, from: string): void {
+  private receive(bytes: Uint8Array, from: string): void {
     const message = decodeLoadMessage(bytes);
     if (message === undefined || from === this.options.host) {
       return;
@@ -302,14 +304,14 @@
     const { scope, zoneHash, revision } = message;
     const proof = message.proof.life === NO_PROOF.life ? undefined : message.proof;
     const now = this.options.runtime.now();
-    if (!this.told[scope].take(from, message, now)) {
+    if (!this.received[scope].accept(from, message, now)) {
       return;
     }
-    this.table.noteHeard({ host: from, zoneHash }, readsTail(message));
+    this.table.noteHeard({ host: from, zoneHash }, supportsExtensions(message));
     message.peers.forEach((peer) => this.table.noteNamed(peer));
-    this.options.onStoreNews({ from, revision, proof });
+    this.options.onPeerStoreState({ from, revision, proof });
     this.options.onPlaces(message.places);
-    if (scope === 'gateway' && this.usesSums && !this.collectsFor(zoneHash)) {
+    if (scope === 'gateway' && this.usesAggregation && !this.aggregatesFor(zoneHash)) {
       this.answer(from, zoneHash);
     }
     if (scope === 'gateway' || scope === 'zone') {
@@ -318,8 +320,8 @@
     }
   }
 
-  private collectsFor(zoneHash: number): boolean {
-    return zoneHash === this.zoneHash && this.table.rank() < COLLECTORS;
+  private aggregatesFor(zoneHash: number): boolean {
+    return zoneHash === this.zoneHash && this.table.rankInZone() < AGGREGATORS_PER_ZONE;
   }
 
   /** Names to a gateway who comes first in its zone: it greets, or does not know whom to report to. */
@@ -328,29 +330,29 @@
   }
 
   /** Whether this gateway tells its zone the sums: it comes first, or stands in for who does. */
-  private announces(): boolean {
-    const rank = this.table.rank();
-    const heard = this.told.all.since(this.since(STAND_IN_MILLISECONDS));
-    return rank === 0 || (rank < COLLECTORS && heard.length === 0);
+  private shouldAggregate(): boolean {
+    const rank = this.table.rankInZone();
+    const heard = this.received.all.since(this.since(TAKEOVER_MILLISECONDS));
+    return rank === 0 || (rank < AGGREGATORS_PER_ZONE && heard.length === 0);
   }
 
   /** What the gateways of the zone reported to this one as a collector. */
   private reports(): LoadMessage[] {
-    return this.told.gateway
+    return this.received.gateway
       .since(this.since(STALE_REPORT_MILLISECONDS))
       .filter((message) => message.zoneHash === this.zoneHash);
   }
 
   private reporters(): string[] {
     return this.table
-      .heardWithin(NAMED_MILLISECONDS)
+      .heardWithin(NAMED_PEER_MILLISECONDS)
       .flatMap(({ host, zoneHash }) => (zoneHash === this.zoneHash ? [host] : []));
   }
 
   /** The newest sum of each other zone. */
-  private otherZones(): LoadMessage[] {
+  private otherZoneSums(): LoadMessage[] {
     const newest = new Map<number, LoadMessage>();
-    for (const message of this.told.zone.since(this.since(STALE_REPORT_MILLISECONDS))) {
+    for (const message of this.received.zone.since(this.since(STALE_REPORT_MILLISECONDS))) {
       if (message.zoneHash !== this.zoneHash) {
         newest.set(message.zoneHash, message);
       }
@@ -358,33 +360,33 @@
     return [...newest.values()];
   }
 
-  private firstOfOtherZones(): string[] {
+  private aggregatorsOfOtherZones(): string[] {
     const zones = [...this.table.zones()].filter((zoneHash) => zoneHash !== this.zoneHash);
     return zones.flatMap((zoneHash) =>
       this.table
-        .aliveIn(zoneHash)
-        .slice(0, COLLECTORS)
+        .aliveInZone(zoneHash)
+        .slice(0, AGGREGATORS_PER_ZONE)
         .map(({ host }) => host),
     );
   }
 
   /** The newest sum of all that was told here. */
-  private newestSum(): LoadMessage | undefined {
-    return this.told.all.since(this.since(STALE_MILLISECONDS)).at(-1);
+  private newestGlobalSum(): LoadMessage | undefined {
+    return this.received.all.since(this.since(STALE_MILLISECONDS)).at(-1);
   }
 
-  private directlyTold(): LoadMessage[] {
-    return this.told.gateway.since(this.since(this.staleMilliseconds));
+  private directMessages(): LoadMessage[] {
+    return this.received.gateway.since(this.since(this.staleMilliseconds));
   }
 
   /** Time after which what a silent peer told directly is forgotten, in milliseconds. */
   private get staleMilliseconds(): number {
-    return Math.max(STALE_MILLISECONDS, STALE_MESSAGES * this.messageMilliseconds);
+    return Math.max(STALE_MILLISECONDS, STALE_MESSAGE_INTERVALS * this.messageMilliseconds);
   }
 
   /** Mean time between two messages to the same gateway, in milliseconds. */
   private get messageMilliseconds(): number {
-    const told = this.usesSums ? 1 : this.table.size / FAN_OUT;
-    return PERIOD_MILLISECONDS * Math.max(1, told);
+    const told = this.usesAggregation ? 1 : this.table.size / FAN_OUT;
+    return GOSSIP_PERIOD_MILLISECONDS * Math.max(1, told);
   }
 }
--- a/src/peers/load-message.ts
+++ b/src/peers/load-message.ts
@@ -15,8 +15,8 @@
 import type { StoreProof } from '../mirror/store-freshness.js';
 import type { NamedPeer } from './peer-table.js';
 import type { PromptPlace } from './recent-places.js';
-import type { Tally } from './tallies.js';
-import { decodeTallies, encodeTallies } from './tally-codec.js';
+import type { Aggregate } from './aggregates.js';
+import { decodeAggregates, encodeAggregates } from './aggregate-codec.js';
 
 /** Requests at one runner. */
 export interface RunnerLoad {
@@ -58,14 +58,14 @@
   /** Newest proof of the store's revision that the sender knows, its age bounded; none has the life 0. */
   readonly proof: StoreProof;
   /** Figures beside the loads; only told to who reads them. */
-  readonly tallies: readonly Tally[];
+  readonly aggregates: readonly Aggregate[];
 }
 
 /** What stands for no proof. */
 export const NO_PROOF: StoreProof = { life: 0, number: 0, revision: 0, ageMilliseconds: 0 };
 
 /** Largest age that a message tells, in milliseconds; older proofs are told as none. */
-export const LARGEST_PROOF_AGE_MILLISECONDS = 0xffff;
+export const MAXIMUM_PROOF_AGE_MILLISECONDS = 0xffff;
 
 const load = record({ runnerHash: count, inFlight: shortCount });
 const place = record({ runnerHash: count, part: count, tokens: count });
@@ -93,45 +93,49 @@
  * Lives from here on are of processes that read a tail of sections behind the fields above; earlier builds
  * drew theirs below, up to 2^31, and refuse a datagram with a tail.
  */
-export const FIRST_LIFE_WITH_TAIL = 2 ** 31 + 1;
+export const FIRST_LIFE_WITH_EXTENSIONS = 2 ** 31 + 1;
 
 /** Kinds of sections in the tail: append only, a number is never used again. */
-const TALLIES_SECTION = 1;
+const AGGREGATES_SECTION = 1;
 
 /** Whether the sender of a message reads a tail. */
-export function readsTail({ life }: LoadMessage): boolean {
-  return life >= FIRST_LIFE_WITH_TAIL;
+export function supportsExtensions({ life }: LoadMessage): boolean {
+  return life >= FIRST_LIFE_WITH_EXTENSIONS;
 }
 
 /** Encodes a datagram as every build reads it: without a tail. */
-export function encodeLoadMessage(value: LoadMessage): Uint8Array {
-  return encodeField(message, value);
+export function encodeLoadMessage(loadMessage: LoadMessage): Uint8Array {
+  return encodeField(message, loadMessage);
 }
 
 /** Puts the tail behind an encoded datagram. */
-export function withTail(encoded: Uint8Array, { tallies }: LoadMessage): Uint8Array {
-  if (tallies.length === 0) {
+export function withExtensions(encoded: Uint8Array, { aggregates }: LoadMessage): Uint8Array {
+  if (aggregates.length === 0) {
     return encoded;
   }
-  const tail = encodeSections([{ kind: TALLIES_SECTION, content: encodeTallies(tallies) }]);
-  const bytes = new Uint8Array(encoded.length + tail.length);
+  const extensions = encodeSections([
+    { kind: AGGREGATES_SECTION, content: encodeAggregates(aggregates) },
+  ]);
+  const bytes = new Uint8Array(encoded.length + extensions.length);
   bytes.set(encoded);
-  bytes.set(tail, encoded.length);
+  bytes.set(extensions, encoded.length);
   return bytes;
 }
 
-function talliesOf(tail: Uint8Array): readonly Tally[] {
-  const sections = decodeSections(tail).filter(({ kind }) => kind === TALLIES_SECTION);
-  return sections.flatMap(({ content }) => decodeTallies(content));
+function aggregatesOf(extensions: Uint8Array): readonly Aggregate[] {
+  const sections = decodeSections(extensions).filter(({ kind }) => kind === AGGREGATES_SECTION);
+  return sections.flatMap(({ content }) => decodeAggregates(content));
 }
 
 /** Decodes a datagram with or without a tail; undefined when it is none. */
 export function decodeLoadMessage(bytes: Uint8Array): LoadMessage | undefined {
   try {
     const stream = new r.DecodeStream(bytes);
-    const decoded = message.decode(stream) as Omit<LoadMessage, 'tallies'>;
+    const decoded = message.decode(stream) as Omit<LoadMessage, 'aggregates'>;
     const isWhole = stream.pos <= bytes.length && LOAD_SCOPES.includes(decoded.scope);
-    return isWhole ? { ...decoded, tallies: talliesOf(bytes.subarray(stream.pos)) } : undefined;
+    return isWhole
+      ? { ...decoded, aggregates: aggregatesOf(bytes.subarray(stream.pos)) }
+      : undefined;
   } catch {
     return undefined;
   }
--- a/src/peers/load-sums.ts
+++ b/src/peers/load-sums.ts
@@ -8,7 +8,7 @@
 export type LoadVector = ReadonlyMap<number, number>;
 
 /** What one sender told last. */
-export interface ToldLoad {
+export interface ReceivedMessage {
   readonly message: LoadMessage;
   /** Local time at which it was heard, in milliseconds. */
   readonly heardAt: number;
@@ -26,48 +26,48 @@
 }
 
 /** Loads as a list for a message. */
-export function loadList(sums: LoadVector): RunnerLoad[] {
+export function toRunnerLoads(sums: LoadVector): RunnerLoad[] {
   return [...sums].flatMap(([runnerHash, inFlight]) =>
-    inFlight > 0 ? [{ runnerHash, inFlight: Math.min(inFlight, LARGEST_LOAD) }] : [],
+    inFlight > 0 ? [{ runnerHash, inFlight: Math.min(inFlight, MAXIMUM_LOAD) }] : [],
   );
 }
 
 /** Largest number of requests that a message tells of one runner. */
-const LARGEST_LOAD = 0xffff;
+const MAXIMUM_LOAD = 0xffff;
 
 /** Time after which a message is of no use to anybody, in milliseconds. */
-const FORGET_MILLISECONDS = 10_000;
+const RETENTION_MILLISECONDS = 10_000;
 
 /** The newest message of each sender, dropped when it has been silent for too long. */
-export class ToldLoads {
-  private readonly told = new Map<string, ToldLoad>();
+export class LatestMessages {
+  private readonly bySender = new Map<string, ReceivedMessage>();
 
   /** Takes a message; false when a newer one of the same life of its sender was taken before. */
-  take(sender: string, message: LoadMessage, heardAt: number): boolean {
-    const known = this.told.get(sender)?.message;
+  accept(sender: string, message: LoadMessage, heardAt: number): boolean {
+    const known = this.bySender.get(sender)?.message;
     if (known?.life === message.life && message.sequence <= known.sequence) {
       return false;
     }
     // Put at the end: messages stay in the order in which they were heard.
-    this.told.delete(sender);
-    this.told.set(sender, { message, heardAt });
-    this.forgetBefore(heardAt - FORGET_MILLISECONDS);
+    this.bySender.delete(sender);
+    this.bySender.set(sender, { message, heardAt });
+    this.forgetBefore(heardAt - RETENTION_MILLISECONDS);
     return true;
   }
 
   /** Messages heard since a local time, the newest last. */
   since(time: number): LoadMessage[] {
-    return [...this.told.values()].flatMap(({ message, heardAt }) =>
+    return [...this.bySender.values()].flatMap(({ message, heardAt }) =>
       heardAt >= time ? [message] : [],
     );
   }
 
   private forgetBefore(time: number): void {
-    for (const [sender, { heardAt }] of this.told) {
+    for (const [sender, { heardAt }] of this.bySender) {
       if (heardAt >= time) {
         return;
       }
-      this.told.delete(sender);
+      this.bySender.delete(sender);
     }
   }
 }
--- a/src/peers/message-writer.ts
+++ b/src/peers/message-writer.ts
@@ -2,16 +2,20 @@
 import { hashToNumber } from '../runtime/hashing.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StoreProof } from '../mirror/store-freshness.js';
-import { FIRST_LIFE_WITH_TAIL, LARGEST_PROOF_AGE_MILLISECONDS, NO_PROOF } from './load-message.js';
+import {
+  FIRST_LIFE_WITH_EXTENSIONS,
+  MAXIMUM_PROOF_AGE_MILLISECONDS,
+  NO_PROOF,
+} from './load-message.js';
 import type { LoadMessage, LoadScope, RunnerLoad } from './load-message.js';
-import { loadList, sumLoads } from './load-sums.js';
+import { toRunnerLoads, sumLoads } from './load-sums.js';
 import type { NamedPeer, PeerTable } from './peer-table.js';
 import type { PromptPlace } from './recent-places.js';
-import { sumTallies, tallyList } from './tallies.js';
-import type { Tally } from './tallies.js';
+import { sumAggregates, toAggregates } from './aggregates.js';
+import type { Aggregate } from './aggregates.js';
 
 /** What this gateway has to tell of itself. */
-export interface OwnNews {
+export interface OwnState {
   readonly runtime: Runtime;
   /** Requests of this gateway by runner. */
   readonly ownLoads: () => ReadonlyMap<string, number>;
@@ -24,15 +28,15 @@
   /** What this gateway's requests have put into runners' memory within the last milliseconds. */
   readonly ownPlaces: (milliseconds: number) => readonly PromptPlace[];
   /** This gateway's own figures, to be added up over all. */
-  readonly ownTallies: () => readonly Tally[];
+  readonly ownAggregates: () => readonly Aggregate[];
 }
 
 /** Time within which a peer was heard that is named to others, in milliseconds. */
-export const NAMED_MILLISECONDS = 1_000;
+export const NAMED_PEER_MILLISECONDS = 1_000;
 /** Peers named in a message. */
 const NAMED_PEERS = 4;
 /** Lives that are told apart: of so many two hardly ever fall together. */
-const LIVES = 2 ** 31 - 1;
+const LIFE_COUNT = 2 ** 31 - 1;
 
 /** See the head of this file. */
 export class MessageWriter {
@@ -40,19 +44,19 @@
   private sequence = 0;
 
   constructor(
-    private readonly news: OwnNews,
+    private readonly ownState: OwnState,
     private readonly table: PeerTable,
     private readonly zoneHash: number,
   ) {
-    this.life = FIRST_LIFE_WITH_TAIL + news.runtime.random.integer(0, LIVES - 1);
+    this.life = FIRST_LIFE_WITH_EXTENSIONS + ownState.runtime.random.integer(0, LIFE_COUNT - 1);
   }
 
   /** This gateway's own requests, and what they put into memory within the last milliseconds. */
-  own(placesMilliseconds: number): LoadMessage {
-    const places = this.news.ownPlaces(placesMilliseconds);
-    const tallies = this.news.ownTallies();
-    const counted = { gateways: 1, loads: this.hashedLoads(), places, tallies };
-    return { ...this.head('gateway', this.namedPeers()), ...counted };
+  report(placesMilliseconds: number): LoadMessage {
+    const places = this.ownState.ownPlaces(placesMilliseconds);
+    const aggregates = this.ownState.ownAggregates();
+    const counted = { gateways: 1, loads: this.hashedLoads(), places, aggregates };
+    return { ...this.header('gateway', this.namedPeers()), ...counted };
   }
 
   /** What a message counts and what others told beside it. */
@@ -67,26 +71,28 @@
       scope,
       sequence: this.nextSequence(),
       gateways: parts.reduce((sum, part) => sum + part.gateways, base.gateways),
-      loads: loadList(sumLoads([base.loads, ...parts.map(({ loads }) => loads)])),
+      loads: toRunnerLoads(sumLoads([base.loads, ...parts.map(({ loads }) => loads)])),
       places: [...base.places, ...places],
-      tallies: tallyList(sumTallies([base.tallies, ...parts.map(({ tallies }) => tallies)])),
+      aggregates: toAggregates(
+        sumAggregates([base.aggregates, ...parts.map(({ aggregates }) => aggregates)]),
+      ),
       reachesReplicas: base.reachesReplicas || parts.some((part) => part.reachesReplicas),
     };
   }
 
   /** Names to a gateway who comes first in its zone, and counts nothing. */
   answer(host: string, zoneHash: number): LoadMessage {
-    const first = this.table.aliveIn(zoneHash).slice(0, NAMED_PEERS);
+    const first = this.table.aliveInZone(zoneHash).slice(0, NAMED_PEERS);
     const peers = first.filter((peer) => peer.host !== host);
-    return { ...this.head('answer', peers), gateways: 0, loads: [], places: [], tallies: [] };
+    return { ...this.header('answer', peers), gateways: 0, loads: [], places: [], aggregates: [] };
   }
 
   /** What every message says of its sender. */
-  private head(
+  private header(
     scope: LoadScope,
     peers: readonly NamedPeer[],
-  ): Omit<LoadMessage, 'gateways' | 'loads' | 'places' | 'tallies'> {
-    const { ownRevision, reachesReplicas } = this.news;
+  ): Omit<LoadMessage, 'gateways' | 'loads' | 'places' | 'aggregates'> {
+    const { ownRevision, reachesReplicas } = this.ownState;
     return {
       sequence: this.nextSequence(),
       life: this.life,
@@ -95,13 +101,13 @@
       peers: peers.map(({ host, zoneHash }) => ({ host, zoneHash })),
       revision: ownRevision(),
       reachesReplicas: reachesReplicas(),
-      proof: this.toldProof(),
+      proof: this.boundedProof(),
     };
   }
 
-  private toldProof(): StoreProof {
-    const proof = this.news.proof();
-    if (proof === undefined || proof.ageMilliseconds > LARGEST_PROOF_AGE_MILLISECONDS) {
+  private boundedProof(): StoreProof {
+    const proof = this.ownState.proof();
+    if (proof === undefined || proof.ageMilliseconds > MAXIMUM_PROOF_AGE_MILLISECONDS) {
       return NO_PROOF;
     }
     return { ...proof, ageMilliseconds: Math.ceil(proof.ageMilliseconds) };
@@ -114,15 +120,15 @@
 
   /** The first of the own zone among those heard lately, so that all agree on who they are. */
   private namedPeers(): NamedPeer[] {
-    const heard = this.table.heardWithin(NAMED_MILLISECONDS);
-    const near = heard.filter((peer) => peer.zoneHash === this.zoneHash);
-    const first = near.sort((left, right) => left.hash - right.hash).slice(0, NAMED_PEERS - 1);
-    const any = heard.length > 0 ? [this.news.runtime.random.pick(heard)] : [];
-    return [...new Set([...first, ...any])];
+    const heard = this.table.heardWithin(NAMED_PEER_MILLISECONDS);
+    const zonePeers = heard.filter((peer) => peer.zoneHash === this.zoneHash);
+    const first = zonePeers.sort((left, right) => left.hash - right.hash).slice(0, NAMED_PEERS - 1);
+    const anyPeer = heard.length > 0 ? [this.ownState.runtime.random.pick(heard)] : [];
+    return [...new Set([...first, ...anyPeer])];
   }
 
   private hashedLoads(): RunnerLoad[] {
-    return [...this.news.ownLoads()].map(([runner, inFlight]) => ({
+    return [...this.ownState.ownLoads()].map(([runner, inFlight]) => ({
       runnerHash: hashToNumber(runner),
       inFlight,
     }));
--- a/src/peers/peer-exchange.ts
+++ b/src/peers/peer-exchange.ts
@@ -45,9 +45,9 @@
 const PATH = '/ivyloom/snapshot';
 const FROM_PARAMETER = 'from';
 const SINCE_PARAMETER = 'since';
-const URGENT_MILLISECONDS = 150;
-const CALM_MILLISECONDS = 500;
-const CALL_MILLISECONDS = 600;
+const URGENT_INTERVAL_MILLISECONDS = 150;
+const NORMAL_INTERVAL_MILLISECONDS = 500;
+const CALL_TIMEOUT_MILLISECONDS = 600;
 const MAXIMUM_PEERS = 400;
 /** Peers named in an answer. */
 const NAMED_PEERS = 8;
@@ -66,7 +66,7 @@
         response.writeHead(404).end();
         return;
       }
-      this.note(url.searchParams.get(FROM_PARAMETER) ?? '');
+      this.addPeer(url.searchParams.get(FROM_PARAMETER) ?? '');
       const since = Number(url.searchParams.get(SINCE_PARAMETER) ?? 0);
       const changes = options.snapshotSince(Number.isFinite(since) ? since : 0);
       const snapshot = { ...changes, peers: this.namedPeers() };
@@ -78,7 +78,7 @@
   /** Serves snapshots and asks for them when they are needed. */
   start(host: string, port: number): void {
     this.server.listen({ host, port });
-    this.askLater(0);
+    this.scheduleAsk(0);
   }
 
   /** Asks one gateway for what is missing here; calls back when that is over, well or not. */
@@ -97,24 +97,26 @@
     return [...newest, this.options.ownAddress];
   }
 
-  private note(address: string): void {
+  private addPeer(address: string): void {
     if (address !== '' && address !== this.options.ownAddress && this.known.size < MAXIMUM_PEERS) {
       this.known.add(address);
     }
   }
 
-  private askLater(pause: number): void {
+  private scheduleAsk(pause: number): void {
     const { runtime, isNeeded } = this.options;
     runtime.setTimer(pause, () => {
       const need = isNeeded();
       if (need !== 'no') {
-        this.askSome();
+        this.askRandomPeers();
       }
-      this.askLater(need === 'urgently' ? URGENT_MILLISECONDS : CALM_MILLISECONDS);
+      this.scheduleAsk(
+        need === 'urgently' ? URGENT_INTERVAL_MILLISECONDS : NORMAL_INTERVAL_MILLISECONDS,
+      );
     });
   }
 
-  private askSome(): void {
+  private askRandomPeers(): void {
     const { seeds, ownAddress, runtime } = this.options;
     const all = [...new Set([...seeds(), ...this.known])].filter((peer) => peer !== ownAddress);
     for (let asked = 0; asked < FAN_OUT && all.length > 0; asked += 1) {
@@ -136,9 +138,9 @@
       const chunks: Buffer[] = [];
       response.on('data', (chunk: Buffer) => chunks.push(chunk));
       response.on('error', () => undefined);
-      response.on('end', () => this.take(Buffer.concat(chunks).toString('utf8'), peer));
+      response.on('end', () => this.handleSnapshot(Buffer.concat(chunks).toString('utf8'), peer));
     });
-    const cancel = this.options.runtime.setTimer(CALL_MILLISECONDS, () => client.destroy());
+    const cancel = this.options.runtime.setTimer(CALL_TIMEOUT_MILLISECONDS, () => client.destroy());
     client.on('close', () => {
       cancel();
       done();
@@ -147,7 +149,7 @@
     client.end();
   }
 
-  private take(text: string, from: string): void {
+  private handleSnapshot(text: string, from: string): void {
     let parsed: unknown;
     try {
       parsed = JSON.parse(text);
@@ -156,7 +158,7 @@
     }
     const snapshot = SnapshotType.decode(parsed);
     if (!isLeft(snapshot)) {
-      snapshot.right.peers.forEach((peer) => this.note(peer));
+      snapshot.right.peers.forEach((peer) => this.addPeer(peer));
       this.options.onSnapshot(snapshot.right, from);
     }
   }
--- a/src/peers/peer-table.ts
+++ b/src/peers/peer-table.ts
@@ -16,7 +16,7 @@
 /** What is known of a gateway. */
 export interface Peer extends NamedPeer {
   /** Whether its process reads messages with a tail, as its own messages tell. */
-  readsTail: boolean;
+  supportsExtensions: boolean;
   /** Rank of the host: lower ones come first. */
   readonly hash: number;
   /** Local time of its last message here, in milliseconds. */
@@ -33,9 +33,9 @@
 }
 
 /** Time after which a gateway that nobody hears counts as gone from its rank, in milliseconds. */
-const ALIVE_MILLISECONDS = 1_500;
+const ALIVE_TIMEOUT_MILLISECONDS = 1_500;
 /** Time after which it is no longer sent to, in milliseconds. */
-const FORGET_MILLISECONDS = 10_000;
+const RETENTION_MILLISECONDS = 10_000;
 
 /** See the head of this file. */
 export class PeerTable {
@@ -61,27 +61,27 @@
   }
 
   /** Whether a gateway is known to read messages with a tail. */
-  readsTail(host: string): boolean {
-    return this.peers.get(host)?.readsTail ?? false;
+  supportsExtensions(host: string): boolean {
+    return this.peers.get(host)?.supportsExtensions ?? false;
   }
 
   /** Notes a message of a gateway. */
-  noteHeard(named: NamedPeer, readsTail: boolean): void {
+  noteHeard(named: NamedPeer, supportsExtensions: boolean): void {
     const now = this.options.runtime.now();
-    this.put(named, now, now).readsTail = readsTail;
+    this.upsert(named, now, now).supportsExtensions = supportsExtensions;
   }
 
   /** Notes that another gateway named one that it had heard just now. */
   noteNamed(named: NamedPeer): void {
     if (named.host !== this.options.host) {
       const heardAt = this.peers.get(named.host)?.heardAt ?? -Infinity;
-      this.put(named, heardAt, this.options.runtime.now());
+      this.upsert(named, heardAt, this.options.runtime.now());
     }
   }
 
   /** Gateways of a zone that are alive, without this one, the first ranked first. */
-  aliveIn(zoneHash: number): Peer[] {
-    const since = this.options.runtime.now() - ALIVE_MILLISECONDS;
+  aliveInZone(zoneHash: number): Peer[] {
+    const since = this.options.runtime.now() - ALIVE_TIMEOUT_MILLISECONDS;
     return [...this.peers.values()]
       .filter((peer) => peer.zoneHash === zoneHash && peer.aliveAt >= since)
       .sort((left, right) => left.hash - right.hash);
@@ -100,19 +100,20 @@
   }
 
   /** Gateways alive in the own zone that come before this one. */
-  rank(): number {
-    return this.aliveIn(this.options.zoneHash).filter((peer) => peer.hash < this.ownHash).length;
+  rankInZone(): number {
+    return this.aliveInZone(this.options.zoneHash).filter((peer) => peer.hash < this.ownHash)
+      .length;
   }
 
   /** Gateways of all zones that are alive and come before this one: the first of each zone, then the next. */
-  rankOfAll(): number {
+  globalRank(): number {
     const zones = [...this.zones()].sort((left, right) => left - right);
-    return this.rank() * zones.length + zones.indexOf(this.options.zoneHash);
+    return this.rankInZone() * zones.length + zones.indexOf(this.options.zoneHash);
   }
 
   /** Gateways that are alive, as far as they are known, without this one. */
   get aliveCount(): number {
-    const since = this.options.runtime.now() - ALIVE_MILLISECONDS;
+    const since = this.options.runtime.now() - ALIVE_TIMEOUT_MILLISECONDS;
     let count = 0;
     for (const { aliveAt } of this.peers.values()) {
       count += aliveAt >= since ? 1 : 0;
@@ -122,7 +123,7 @@
 
   /** Drops those that nobody has heard for long. */
   forgetSilent(): void {
-    const since = this.options.runtime.now() - FORGET_MILLISECONDS;
+    const since = this.options.runtime.now() - RETENTION_MILLISECONDS;
     for (const [host, { aliveAt }] of this.peers) {
       if (aliveAt < since) {
         this.peers.delete(host);
@@ -130,11 +131,11 @@
     }
   }
 
-  private put({ host, zoneHash }: NamedPeer, heardAt: number, aliveAt: number): Peer {
+  private upsert({ host, zoneHash }: NamedPeer, heardAt: number, aliveAt: number): Peer {
     const known = this.peers.get(host);
     if (known === undefined || known.zoneHash !== zoneHash) {
       const hash = hashToNumber(host);
-      const peer: Peer = { host, zoneHash, readsTail: false, hash, heardAt, aliveAt };
+      const peer: Peer = { host, zoneHash, supportsExtensions: false, hash, heardAt, aliveAt };
       this.peers.set(host, peer);
       return peer;
     }
--- a/src/peers/proof-exchange.ts
+++ b/src/peers/proof-exchange.ts
@@ -48,10 +48,10 @@
 }
 
 /** Time between two rounds of questions, in milliseconds. */
-const ROUND_MILLISECONDS = 400;
+const ASK_INTERVAL_MILLISECONDS = 400;
 /** Age of a proof below which nobody is asked, in milliseconds. */
-const YOUNG_MILLISECONDS = 300;
-const LARGEST_LIFE = 2 ** 31;
+const FRESH_PROOF_MILLISECONDS = 300;
+const MAXIMUM_LIFE = 2 ** 31;
 
 /** See the head of this file. */
 export class ProofExchange {
@@ -61,9 +61,9 @@
 
   constructor(private readonly options: ProofExchangeOptions) {
     const { runtime, datagrams } = options;
-    this.life = runtime.random.integer(1, LARGEST_LIFE);
-    datagrams.onDatagram((bytes, from) => this.take(bytes, from));
-    this.cancelTimer = setRepeatingTimer(runtime, ROUND_MILLISECONDS, () => this.ask());
+    this.life = runtime.random.integer(1, MAXIMUM_LIFE);
+    datagrams.onDatagram((bytes, from) => this.receive(bytes, from));
+    this.cancelTimer = setRepeatingTimer(runtime, ASK_INTERVAL_MILLISECONDS, () => this.ask());
   }
 
   /** Ends. */
@@ -74,7 +74,7 @@
 
   private ask(): void {
     const { runtime, datagrams, proof, hostsToAsk, isNeeded } = this.options;
-    if (!isNeeded() || proof.ageMilliseconds < YOUNG_MILLISECONDS) {
+    if (!isNeeded() || proof.ageMilliseconds < FRESH_PROOF_MILLISECONDS) {
       return;
     }
     const question = encodeField(message, {
@@ -85,16 +85,16 @@
     new Set(hostsToAsk()).forEach((host) => datagrams.send(question, host));
   }
 
-  private take(bytes: Uint8Array, from: string): void {
-    const taken = decode(bytes);
-    if (taken?.type === 'question') {
-      this.answer(taken, from);
-    } else if (taken?.type === 'answer') {
-      this.learn(taken);
+  private receive(bytes: Uint8Array, from: string): void {
+    const received = decode(bytes);
+    if (received?.type === 'question') {
+      this.handleQuestion(received, from);
+    } else if (received?.type === 'answer') {
+      this.handleAnswer(received);
     }
   }
 
-  private answer({ life, askedAt }: ProofQuestion, asker: string): void {
+  private handleQuestion({ life, askedAt }: ProofQuestion, asker: string): void {
     const { proof, datagrams } = this.options;
     const { proven, ageMilliseconds } = proof;
     if (proven !== undefined) {
@@ -106,7 +106,7 @@
     }
   }
 
-  private learn({ life, askedAt, revision, ageMilliseconds }: ProofAnswer): void {
+  private handleAnswer({ life, askedAt, revision, ageMilliseconds }: ProofAnswer): void {
     const { proof, runtime } = this.options;
     // One to an earlier life or with a broken time would prove too much.
     if (life === this.life && askedAt <= runtime.now() && ageMilliseconds >= 0) {
--- a/src/peers/recent-places.ts
+++ b/src/peers/recent-places.ts
@@ -12,15 +12,15 @@
 }
 
 /** Most places told in one message: the newest are told, the others are found out by reading again. */
-const MAXIMUM_TOLD = 64;
+const MAXIMUM_SENT = 64;
 
-interface NotedPlace extends PromptPlace {
+interface TimedPlace extends PromptPlace {
   readonly notedAt: number;
 }
 
 /** See the head of this file. */
 export class RecentPlaces {
-  private noted: NotedPlace[] = [];
+  private noted: TimedPlace[] = [];
 
   constructor(private readonly runtime: Runtime) {}
 
@@ -35,7 +35,7 @@
   /** Places noted within the last milliseconds; older ones are dropped. */
   within(milliseconds: number): readonly PromptPlace[] {
     const since = this.runtime.now() - milliseconds;
-    this.noted = this.noted.filter((place) => place.notedAt >= since).slice(-MAXIMUM_TOLD);
+    this.noted = this.noted.filter((place) => place.notedAt >= since).slice(-MAXIMUM_SENT);
     return this.noted;
   }
 }
@@ -45,12 +45,12 @@
 /** Times that each is relayed, since datagrams are lost now and then. */
 const RELAY_REPEATS = 2;
 /** Time for which a place that was relayed is not taken again: its own gateway repeats it. */
-const REMEMBERED_MILLISECONDS = 1_000;
+const RETENTION_MILLISECONDS = 1_000;
 /** Most places that wait to be relayed; the oldest are dropped. */
-const MAXIMUM_WAITING = 2_048;
+const MAXIMUM_REMEMBERED = 2_048;
 
-interface RelayedPlace extends NotedPlace {
-  told: number;
+interface RelayedPlace extends TimedPlace {
+  sendCount: number;
 }
 
 /** Places that other gateways have told lately, to be told on a few times, the newest first. */
@@ -63,31 +63,31 @@
   note(places: readonly PromptPlace[]): void {
     const notedAt = this.runtime.now();
     for (const place of places) {
-      const name = `${place.runnerHash} ${place.part}`;
-      if (this.noted.get(name)?.tokens !== place.tokens) {
-        this.noted.delete(name);
-        this.noted.set(name, { ...place, notedAt, told: 0 });
+      const id = `${place.runnerHash} ${place.part}`;
+      if (this.noted.get(id)?.tokens !== place.tokens) {
+        this.noted.delete(id);
+        this.noted.set(id, { ...place, notedAt, sendCount: 0 });
       }
     }
   }
 
   /** Places for the next message. */
   take(): readonly PromptPlace[] {
-    this.forget();
-    const waiting = [...this.noted.values()].filter(({ told }) => told < RELAY_REPEATS);
+    this.evict();
+    const waiting = [...this.noted.values()].filter(({ sendCount }) => sendCount < RELAY_REPEATS);
     const taken = waiting.slice(-MAXIMUM_RELAYED);
     return taken.map((place) => {
-      place.told += 1;
+      place.sendCount += 1;
       const { runnerHash, part, tokens } = place;
       return { runnerHash, part, tokens };
     });
   }
 
-  private forget(): void {
-    const since = this.runtime.now() - REMEMBERED_MILLISECONDS;
-    for (const [name, { told, notedAt }] of this.noted) {
-      if (this.noted.size > MAXIMUM_WAITING || (told >= RELAY_REPEATS && notedAt < since)) {
-        this.noted.delete(name);
+  private evict(): void {
+    const since = this.runtime.now() - RETENTION_MILLISECONDS;
+    for (const [id, { sendCount, notedAt }] of this.noted) {
+      if (this.noted.size > MAXIMUM_REMEMBERED || (sendCount >= RELAY_REPEATS && notedAt < since)) {
+        this.noted.delete(id);
       }
     }
   }
--- a/src/peers/store-catch-up.ts
+++ b/src/peers/store-catch-up.ts
@@ -4,15 +4,15 @@
  * time, and not for long.
  */
 import type { Runtime } from '../runtime/runtime.js';
-import type { StoreNews } from './load-gossip.js';
+import type { PeerStoreState } from './load-gossip.js';
 
 /** What of the mirror is read and told from here. */
 export interface CatchUpMirror {
   /** Whether it follows the store and hears from it. */
-  readonly hearsStore: boolean;
+  readonly isFollowingReachableStore: boolean;
   /** Revision up to which nothing is missing here. */
   readonly completeRevision: number;
-  heedRevision(revision: number): void;
+  noteStoreRevision(revision: number): void;
 }
 
 /** What the catching up is made with. */
@@ -26,77 +26,79 @@
 }
 
 /** Pause after a peer had nothing new although it had said so, in milliseconds. */
-const FRUITLESS_MILLISECONDS = 300;
+const EMPTY_FETCH_PAUSE_MILLISECONDS = 300;
 /** Time after which a fetch no longer keeps others back: the peer asked may be gone or stand still. */
-const HEDGE_MILLISECONDS = 150;
+const HEDGE_DELAY_MILLISECONDS = 150;
 /** Longest pause before a fetch: all of a zone hear of a change in the same moment, in milliseconds. */
-const SPREAD_MILLISECONDS = 120;
+const FETCH_JITTER_MILLISECONDS = 120;
 
 /** See the head of this file. */
 export class StoreCatchUp {
   private fetching = false;
   /** Whether the last fetch brought nothing: the next asks just who told of the change. */
-  private wasFruitless = false;
+  private wasEmpty = false;
   /** Newest revision that a peer told. */
-  private toldRevision = 0;
+  private newestPeerRevision = 0;
   /** Local time since which a peer has known more, in milliseconds; undefined while none does. */
-  private behindSince: number | undefined;
+  private behindSinceTime: number | undefined;
 
   constructor(private readonly options: StoreCatchUpOptions) {}
 
   /** Time for which peers have known more than came here, in milliseconds. */
-  get behindMilliseconds(): number {
+  get lagMilliseconds(): number {
     const { mirror, runtime } = this.options;
-    if (mirror.hearsStore) {
+    if (mirror.isFollowingReachableStore) {
       // The store's own word goes before that of peers.
-      this.toldRevision = mirror.completeRevision;
+      this.newestPeerRevision = mirror.completeRevision;
     }
-    if (mirror.completeRevision >= this.toldRevision) {
-      this.behindSince = undefined;
+    if (mirror.completeRevision >= this.newestPeerRevision) {
+      this.behindSinceTime = undefined;
     }
-    return this.behindSince === undefined ? 0 : runtime.now() - this.behindSince;
+    return this.behindSinceTime === undefined ? 0 : runtime.now() - this.behindSinceTime;
   }
 
   /** Takes word that the store is at a revision, whoever has what it holds. */
-  noteStoreAt(revision: number): void {
+  noteStoreRevision(revision: number): void {
     if (revision > this.options.mirror.completeRevision) {
-      this.toldRevision = Math.max(this.toldRevision, revision);
-      this.behindSince ??= this.options.runtime.now();
+      this.newestPeerRevision = Math.max(this.newestPeerRevision, revision);
+      this.behindSinceTime ??= this.options.runtime.now();
     }
   }
 
   /** Heeds what a peer told. */
-  heed({ from, revision }: Pick<StoreNews, 'from' | 'revision'>): void {
+  handlePeerState({ from, revision }: Pick<PeerStoreState, 'from' | 'revision'>): void {
     const { mirror } = this.options;
-    this.noteStoreAt(revision);
-    if (mirror.hearsStore) {
-      mirror.heedRevision(revision);
+    this.noteStoreRevision(revision);
+    if (mirror.isFollowingReachableStore) {
+      mirror.noteStoreRevision(revision);
     } else if (revision > mirror.completeRevision && !this.fetching) {
       this.fetching = true;
       const { runtime } = this.options;
-      runtime.setTimer(SPREAD_MILLISECONDS * runtime.random.uniform(), () => this.fetchFrom(from));
+      runtime.setTimer(FETCH_JITTER_MILLISECONDS * runtime.random.uniform(), () =>
+        this.fetchFrom(from),
+      );
     }
   }
 
   private fetchFrom(from: string): void {
     const { runtime, mirror, otherSources, fetch } = this.options;
     const before = mirror.completeRevision;
-    const sources = this.wasFruitless ? [from] : [...new Set([from, ...otherSources()])];
+    const sources = this.wasEmpty ? [from] : [...new Set([from, ...otherSources()])];
     let isAwaited = true;
-    const end = (wasFruitless: boolean, pause: number): void => {
+    const end = (wasEmpty: boolean, pause: number): void => {
       if (!isAwaited) {
         return;
       }
       isAwaited = false;
-      this.wasFruitless = wasFruitless;
+      this.wasEmpty = wasEmpty;
       runtime.setTimer(pause, () => {
         this.fetching = false;
       });
     };
-    runtime.setTimer(HEDGE_MILLISECONDS, () => end(true, 0));
+    runtime.setTimer(HEDGE_DELAY_MILLISECONDS, () => end(true, 0));
     fetch(runtime.random.pick(sources), () => {
-      const wasFruitless = mirror.completeRevision <= before;
-      end(wasFruitless, wasFruitless ? FRUITLESS_MILLISECONDS : 0);
+      const wasEmpty = mirror.completeRevision <= before;
+      end(wasEmpty, wasEmpty ? EMPTY_FETCH_PAUSE_MILLISECONDS : 0);
     });
   }
 }
--- a/src/peers/follow-together.ts
+++ b/src/peers/store-sync.ts
@@ -9,16 +9,16 @@
 import { StoreFreshness } from '../mirror/store-freshness.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { LoadGossip } from './load-gossip.js';
-import type { LoadGossipOptions, StoreNews } from './load-gossip.js';
+import type { LoadGossipOptions, PeerStoreState } from './load-gossip.js';
 import { StoreCatchUp } from './store-catch-up.js';
-import { FOLLOWERS_OF_ZONE, StoreFollowers } from './store-followers.js';
+import { FOLLOWERS_PER_ZONE, StoreFollowers } from './store-followers.js';
 
 /** A watch that hangs is shown by proofs and by cheap lists, so it may wait long. */
-const WATCH_MILLISECONDS = 5_000;
-const VERIFY_MILLISECONDS = 2_500;
+const WATCH_TIMEOUT_MILLISECONDS = 5_000;
+const VERIFY_INTERVAL_MILLISECONDS = 2_500;
 
 /** What a gateway gives to follow the store beside others. */
-export interface FollowTogetherOptions {
+export interface StoreSyncOptions {
   readonly runtime: Runtime;
   readonly port: KeySpacePort;
   readonly timings: FreshnessTimings;
@@ -27,17 +27,20 @@
   /** An item is new or changed. */
   readonly onPut: (item: StoredItem) => void;
   /** An item is gone; its owner may write it again within the milliseconds if these are not 0. */
-  readonly onGone: (key: string, settlingMilliseconds: number) => void;
+  readonly onRemoved: (key: string, expiryGraceMilliseconds: number) => void;
   /** What the gossip needs beside what is known of the store. */
-  readonly gossip: Omit<LoadGossipOptions, 'runtime' | 'ownRevision' | 'proof' | 'onStoreNews'>;
+  readonly gossip: Omit<
+    LoadGossipOptions,
+    'runtime' | 'ownRevision' | 'proof' | 'onPeerStoreState'
+  >;
   /** Gives the copy what a host has and it lacks; undefined where nobody can be asked. */
   readonly fetch: ((host: string, done: () => void) => void) | undefined;
   /** Time after the start in which others may follow the store first, in milliseconds. */
-  readonly patienceMilliseconds: number;
+  readonly startDelayMilliseconds: number;
 }
 
 /** The parts, running. */
-export interface StoreFollowing {
+export interface StoreSync {
   readonly mirror: KeySpaceMirror;
   readonly freshness: StoreFreshness;
   /** As of when the item of the key that is read as a proof is surely the newest. */
@@ -49,18 +52,18 @@
 }
 
 /** Starts all parts. */
-export function followTogether(options: FollowTogetherOptions): StoreFollowing {
-  const { runtime, port, timings, fetch, patienceMilliseconds } = options;
+export function startStoreSync(options: StoreSyncOptions): StoreSync {
+  const { runtime, port, timings, fetch, startDelayMilliseconds } = options;
   const mirror = new KeySpaceMirror({
     runtime,
     port,
     prefix: '',
     timings,
     awaitsProof: true,
-    verifyMilliseconds: VERIFY_MILLISECONDS,
-    watchMilliseconds: WATCH_MILLISECONDS,
+    verifyIntervalMilliseconds: VERIFY_INTERVAL_MILLISECONDS,
+    watchTimeoutMilliseconds: WATCH_TIMEOUT_MILLISECONDS,
     onPut: options.onPut,
-    onGone: (key) => options.onGone(key, freshness.settlingMilliseconds),
+    onRemoved: (key) => options.onRemoved(key, freshness.expiryGraceMilliseconds),
     onReachable: () => undefined,
     onListed: (revision, sentAt) => {
       proof.noteRead(sentAt);
@@ -71,22 +74,22 @@
   const catchUp = new StoreCatchUp({
     runtime,
     mirror,
-    otherSources: () => gossip.firstOfZone(FOLLOWERS_OF_ZONE),
+    otherSources: () => gossip.firstInZone(FOLLOWERS_PER_ZONE),
     fetch: fetch ?? ((_host, done) => done()),
   });
-  const heed = (news: StoreNews): void => {
-    if (news.proof !== undefined) {
-      freshness.hear(news.proof);
-      catchUp.noteStoreAt(news.proof.revision);
+  const handleStoreState = (state: PeerStoreState): void => {
+    if (state.proof !== undefined) {
+      freshness.receiveProof(state.proof);
+      catchUp.noteStoreRevision(state.proof.revision);
     }
-    catchUp.heed(news);
+    catchUp.handlePeerState(state);
   };
   const gossip: LoadGossip = new LoadGossip({
     ...options.gossip,
     runtime,
     ownRevision: () => mirror.completeRevision,
     proof: () => freshness.proof,
-    onStoreNews: heed,
+    onPeerStoreState: handleStoreState,
   });
   const freshness: StoreFreshness = new StoreFreshness({
     runtime,
@@ -95,7 +98,7 @@
     mirror,
     timings,
     rank: () => gossip.proofRank,
-    patienceMilliseconds,
+    startDelayMilliseconds,
     onRead: (sentAt) => proof.noteRead(sentAt),
   });
   const followers = new StoreFollowers({
@@ -103,9 +106,9 @@
     // Where nobody can be asked for changes, each follows the store itself.
     rank: () => (fetch === undefined ? 0 : gossip.rank),
     proofAgeMilliseconds: () => freshness.proofAgeMilliseconds,
-    behindMilliseconds: () => catchUp.behindMilliseconds,
+    lagMilliseconds: () => catchUp.lagMilliseconds,
     mirror,
-    patienceMilliseconds,
+    startDelayMilliseconds,
   });
   const close = (): void => [mirror, freshness, gossip, followers].forEach((part) => part.close());
   return { mirror, freshness, proof, gossip, followers, close };
--- a/src/relay/admission/service-demand.ts
+++ b/src/relay/admission/service-demand.ts
@@ -5,9 +5,9 @@
  * before, since the rank that they fall to is also that of less urgent tenants' work in time.
  */
 import { hashToNumber } from '../../runtime/hashing.js';
-import type { TallyBoard } from '../../peers/tally-board.js';
-import { MAXIMUM_AMOUNTS, TALLY_TOPICS } from '../../peers/tallies.js';
-import type { TallyRow, TallyTopic } from '../../peers/tallies.js';
+import type { AggregateRegistry } from '../../peers/aggregate-registry.js';
+import { MAXIMUM_AMOUNTS, AGGREGATE_TOPICS } from '../../peers/aggregates.js';
+import type { AggregateRow, AggregateTopic } from '../../peers/aggregates.js';
 
 /** The last amount of a row holds this rank and all behind it. */
 const LAST_PLACE = MAXIMUM_AMOUNTS - 1;
@@ -21,10 +21,10 @@
   private readonly byService = new Map<string, number[]>();
 
   constructor(
-    private readonly tallies: TallyBoard,
-    private readonly topic: TallyTopic,
+    private readonly tallies: AggregateRegistry,
+    private readonly topic: AggregateTopic,
   ) {
-    tallies.tell(topic, () => this.rows());
+    tallies.register(topic, () => this.rows());
   }
 
   begin(service: string, rank: number): () => void {
@@ -47,8 +47,8 @@
     return sum;
   }
 
-  private rows(): TallyRow[] {
-    const rows: TallyRow[] = [];
+  private rows(): AggregateRow[] {
+    const rows: AggregateRow[] = [];
     for (const [service, amounts] of this.byService) {
       if (amounts.some((amount) => amount > 0)) {
         rows.push({ key: hashToNumber(service), amounts: [...amounts] });
@@ -63,9 +63,9 @@
   private readonly all: RankCounts;
   private readonly lateOnes: RankCounts;
 
-  constructor(tallies: TallyBoard) {
-    this.all = new RankCounts(tallies, TALLY_TOPICS.serviceDemand);
-    this.lateOnes = new RankCounts(tallies, TALLY_TOPICS.lateDemand);
+  constructor(tallies: AggregateRegistry) {
+    this.all = new RankCounts(tallies, AGGREGATE_TOPICS.serviceDemand);
+    this.lateOnes = new RankCounts(tallies, AGGREGATE_TOPICS.lateDemand);
   }
 
   /**
--- a/src/relay/relay-gateway.ts
+++ b/src/relay/relay-gateway.ts
@@ -4,7 +4,7 @@
  */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
-import { TallyBoard } from '../peers/tally-board.js';
+import { AggregateRegistry } from '../peers/aggregate-registry.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { QuotaClient } from '../turns/quota-client.js';
 import type { TurnClient } from '../turns/turn-client.js';
@@ -65,7 +65,7 @@
   readonly book: RunnerBook;
   readonly metrics = new RelayMetrics();
   /** Figures that all gateways add up. */
-  readonly tallies = new TallyBoard();
+  readonly tallies = new AggregateRegistry();
   /** Bytes that this process holds for others, and those that runners have not taken. */
   readonly memory: MemoryBudget;
   readonly intake = new RunnerIntake();
