--- a/features/steps/contention-requests.steps.ts
+++ b/features/steps/contention-requests.steps.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { ProgramShapes } from '../../src/relay/admission/program-shape.js';
+import { ProgramStats } from '../../src/relay/admission/program-stats.js';
 import { ServiceDemand } from '../../src/relay/admission/service-demand.js';
 import { AggregateRegistry } from '../../src/peers/aggregate-registry.js';
 import type { RelayContext } from '../../src/relay/relay-context.js';
@@ -10,61 +10,63 @@
 import type { RelayRequest } from '../../src/relay/request/relay-request.js';
 import { RecursiveLeastSquares } from '../../src/scheduling/recursive-least-squares.js';
 import { ADMISSION_STAGE } from '../../src/relay/stages/admission-stage.js';
-import { Passage } from '../../src/relay/stages/passage.js';
-import { passageWith } from '../support/contention-passages.js';
+import { RequestState } from '../../src/relay/stages/request-state.js';
+import { requestStateWith } from '../support/contention-requests.js';
 
 const RANKS = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9];
-const PLACES = 200;
+const SLOTS = 200;
 
 /** Whether a program of a rank begins at a service whose requests in flight are all known by rank. */
-function beginsAmong(rank: number, inFlight: number, ranks: readonly number[]): boolean {
+function isAdmittedAmong(rank: number, inFlight: number, ranks: readonly number[]): boolean {
   const demand = new ServiceDemand(new AggregateRegistry());
   ranks.forEach((other) => demand.begin('s', other));
-  const passage = passageWith('new', [], 0);
-  const { context, request } = passage;
-  const book = { ...context.book, loadOf: () => ({ inFlight, slots: PLACES, runners: 34 }) };
+  const requestState = requestStateWith('new', [], 0);
+  const { context, request } = requestState;
+  const book = { ...context.book, loadOf: () => ({ inFlight, slots: SLOTS, runners: 34 }) };
   const urgency = { tenantPriority: Math.floor(rank / 3), routePriority: rank % 3 };
-  const ranked = {
+  const rankedRequest = {
     ...request,
     tenant: { ...request.tenant, priority: urgency.tenantPriority },
     route: { ...request.route, priority: urgency.routePriority },
     programDeadlineAt: 3_000,
   };
-  const shown = { ...context, demand, book } as unknown as RelayContext;
-  const decided = ADMISSION_STAGE.decide(new Passage(shown, ranked as unknown as RelayRequest));
-  return decided.tag === 'GoOn';
+  const testContext = { ...context, demand, book } as unknown as RelayContext;
+  const decision = ADMISSION_STAGE.decide(
+    new RequestState(testContext, rankedRequest as unknown as RelayRequest),
+  );
+  return decision.tag === 'GoOn';
 }
 
 Then(
   'programs of each rank begin among {int} requests of their own rank at 200 places',
   function (inFlight: number) {
     for (const rank of RANKS) {
-      const equals = new Array<number>(inFlight).fill(rank);
-      assert.ok(beginsAmong(rank, inFlight, equals), `rank ${rank}`);
-      assert.ok(beginsAmong(rank, PLACES - 1, equals), `rank ${rank}, others' ranks not told`);
+      const sameRank = new Array<number>(inFlight).fill(rank);
+      assert.ok(isAdmittedAmong(rank, inFlight, sameRank), `rank ${rank}`);
+      assert.ok(isAdmittedAmong(rank, SLOTS - 1, sameRank), `rank ${rank}, others' ranks not told`);
     }
   },
 );
 
 Then('programs of each rank bear equals as well as any other rank does', function () {
   for (const inFlight of [205, 220, 240, 300, 1_000]) {
-    const begun = RANKS.map((rank) =>
-      beginsAmong(rank, inFlight, new Array<number>(inFlight).fill(rank)),
+    const admitted = RANKS.map((rank) =>
+      isAdmittedAmong(rank, inFlight, new Array<number>(inFlight).fill(rank)),
     );
-    assert.equal(new Set(begun).size, 1, `${inFlight}: ${begun.join(' ')}`);
+    assert.equal(new Set(admitted).size, 1, `${inFlight}: ${admitted.join(' ')}`);
   }
 });
 
-const TOLD_COUNT = fc.oneof(
+const COUNT_TEXT = fc.oneof(
   fc.double().map(String),
   fc.constantFrom('1e200', '1e308', '1e9', '-1', 'NaN', 'Infinity', '', '800'),
 );
-const MOST_TOKENS = 1e8;
+const MAXIMUM_TOKENS = 1e8;
 
 Then('whatever clients and engines tell, token counts are those of possible prompts', function () {
-  const isPossible = (tokens: number): boolean => tokens >= 0 && tokens <= MOST_TOKENS;
+  const isPossible = (tokens: number): boolean => tokens >= 0 && tokens <= MAXIMUM_TOKENS;
   fc.assert(
-    fc.property(TOLD_COUNT, TOLD_COUNT, (first, second) => {
+    fc.property(COUNT_TEXT, COUNT_TEXT, (first, second) => {
       const { prompt, output } = parseTokenUsage(`${first},${second}`);
       assert.ok(isPossible(prompt) && isPossible(output), `${first},${second}`);
       const parts = parsePromptParts(`aa:${first},bb:${second}`);
@@ -99,26 +101,26 @@
 });
 
 /** A passage of a program with so many parts in its prompt, at a gateway with some shapes and load. */
-function passageOfShape(
+function requestStateWithParts(
   program: string,
   parts: number,
-  shapes: ProgramShapes,
+  kindStats: ProgramStats,
   inFlight = 0,
-): Passage {
-  const told = Array.from({ length: parts }, (_unused, part) => `${part}:100`).join(',');
-  const { context, request } = passageWith(program, parsePromptParts(told), 0);
-  const book = { ...context.book, loadOf: () => ({ inFlight, slots: PLACES, runners: 34 }) };
-  const shown = { ...context, shapes, book } as unknown as RelayContext;
-  const due = { ...request, programDeadlineAt: 3_000 };
-  return new Passage(shown, due as unknown as RelayRequest);
+): RequestState {
+  const sentParts = Array.from({ length: parts }, (_unused, part) => `${part}:100`).join(',');
+  const { context, request } = requestStateWith(program, parsePromptParts(sentParts), 0);
+  const book = { ...context.book, loadOf: () => ({ inFlight, slots: SLOTS, runners: 34 }) };
+  const testContext = { ...context, kindStats: kindStats, book } as unknown as RelayContext;
+  const requestWithDeadline = { ...request, programDeadlineAt: 3_000 };
+  return new RequestState(testContext, requestWithDeadline as unknown as RelayRequest);
 }
 
 Then(
   "a request that tells few parts or none, or is refused, doesn't make others of its route sub-agents",
   function () {
-    const shapes = new ProgramShapes();
+    const kindStats = new ProgramStats();
     const decide = (program: string, parts: number, inFlight = 0): string =>
-      ADMISSION_STAGE.decide(passageOfShape(program, parts, shapes, inFlight)).tag;
+      ADMISSION_STAGE.decide(requestStateWithParts(program, parts, kindStats, inFlight)).tag;
     for (let number = 0; number < 50; number += 1) {
       assert.equal(decide(`first ${number}`, 3), 'GoOn');
     }
@@ -140,11 +142,11 @@
 Then(
   "turns of programs that began elsewhere don't grow what a program is believed to need beyond {int}",
   function (most: number) {
-    const shapes = new ProgramShapes();
+    const kindStats = new ProgramStats();
     for (let turn = 0; turn < 10_000; turn += 1) {
-      shapes.note('r', false);
+      kindStats.recordTurn('r', false);
     }
-    assert.ok(shapes.turns('r') <= most, `${shapes.turns('r')}`);
+    assert.ok(kindStats.expectedTurns('r') <= most, `${kindStats.expectedTurns('r')}`);
   },
 );
 
@@ -155,36 +157,36 @@
     const NEXT_TENANT = 3;
     const board = new AggregateRegistry();
     const demand = new ServiceDemand(board);
-    const isNewLetIn = (): boolean => {
-      const { context, request } = passageOfShape('new', 0, new ProgramShapes(), MANY);
-      const shown = { ...context, demand } as unknown as RelayContext;
-      return ADMISSION_STAGE.decide(new Passage(shown, request)).tag === 'GoOn';
+    const isNewAdmitted = (): boolean => {
+      const { context, request } = requestStateWithParts('new', 0, new ProgramStats(), MANY);
+      const testContext = { ...context, demand } as unknown as RelayContext;
+      return ADMISSION_STAGE.decide(new RequestState(testContext, request)).tag === 'GoOn';
     };
     const onTime = Array.from({ length: MANY }, () => demand.begin('s', NEXT_TENANT));
-    assert.ok(isNewLetIn());
+    assert.ok(isNewAdmitted());
     onTime.forEach((end) => end());
     const late = Array.from({ length: MANY }, () => demand.begin('s', NEXT_TENANT, 0));
-    assert.ok(!isNewLetIn());
+    assert.ok(!isNewAdmitted());
     const told = board.collectOwn();
     late.forEach((end) => end());
-    assert.equal(demand.late('s', 0), 0);
+    assert.equal(demand.countLate('s', 0), 0);
     board.ofOthers = (topic) =>
       new Map(
         told
           .filter((tally) => tally.topic === topic)
           .flatMap(({ rows }) => rows.map(({ key, amounts }) => [key, amounts] as const)),
       );
-    assert.ok(!isNewLetIn());
+    assert.ok(!isNewAdmitted());
   },
 );
 
 Then(
   'a program that is refused for want of places leaves the sum of expected waits finite',
   function () {
-    const { context, request } = passageOfShape('new', 0, new ProgramShapes());
+    const { context, request } = requestStateWithParts('new', 0, new ProgramStats());
     const book = { ...context.book, loadOf: () => ({ inFlight: 0, slots: 0, runners: 0 }) };
-    const shown = { ...context, book } as unknown as RelayContext;
-    assert.notEqual(ADMISSION_STAGE.decide(new Passage(shown, request)).tag, 'GoOn');
+    const testContext = { ...context, book } as unknown as RelayContext;
+    assert.notEqual(ADMISSION_STAGE.decide(new RequestState(testContext, request)).tag, 'GoOn');
     assert.ok(!context.metrics.render().includes('Infinity'));
   },
 );
--- a/features/steps/contention.steps.ts
+++ b/features/steps/contention.steps.ts
@@ -5,64 +5,68 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { bearableWait, waitOf } from '../../src/relay/admission/predicted-wait.js';
-import type { AdmissionOutlook } from '../../src/relay/admission/predicted-wait.js';
+import { waitLimit, predictWait } from '../../src/relay/admission/predicted-wait.js';
+import type { AdmissionInputs } from '../../src/relay/admission/predicted-wait.js';
 import type { ProgramAdmission } from '../../src/relay/admission/program-admission.js';
-import { ProgramShapes } from '../../src/relay/admission/program-shape.js';
-import { pauseUntilRoom } from '../../src/relay/admission/return-pause.js';
+import { ProgramStats } from '../../src/relay/admission/program-stats.js';
+import { computeRetryDelay } from '../../src/relay/admission/retry-delay.js';
 import { ServiceDemand } from '../../src/relay/admission/service-demand.js';
 import { AggregateRegistry } from '../../src/peers/aggregate-registry.js';
 import { AGGREGATE_TOPICS } from '../../src/peers/aggregates.js';
 import { hashToNumber } from '../../src/runtime/hashing.js';
 import { parsePromptParts } from '../../src/relay/request/relay-request.js';
 import { ADMISSION_STAGE } from '../../src/relay/stages/admission-stage.js';
-import { limitOfOneGateway, predictedFinish } from '../support/contention-admissions.js';
-import { freshAdmission, passageWith } from '../support/contention-passages.js';
-import { ContentionLab } from '../support/contention-lab.js';
-import type { LabDay } from '../support/contention-day.js';
-import type { LabKind } from '../support/contention-programs.js';
+import { fixedGatewayLimit, predictedWaitAdmission } from '../support/contention-admissions.js';
+import { freshAdmission, requestStateWith } from '../support/contention-requests.js';
+import { ContentionSimulation } from '../support/contention-simulation.js';
+import type { SimulationScenario } from '../support/contention-scenario.js';
+import type { ProgramKind } from '../support/contention-programs.js';
 
-const IDLE: AdmissionOutlook = {
+const IDLE: AdmissionInputs = {
   ahead: 0,
   moreUrgent: 0,
   slots: 100,
   turnMilliseconds: 230,
   turns: 6,
-  leftMilliseconds: 3_000,
-  requestMilliseconds: 3_000,
+  programRemainingMilliseconds: 3_000,
+  requestRemainingMilliseconds: 3_000,
 };
-const FULL: AdmissionOutlook = { ...IDLE, ahead: 10_000 };
+const FULL: AdmissionInputs = { ...IDLE, ahead: 10_000 };
 
 interface World {
-  outlook: AdmissionOutlook;
+  inputs: AdmissionInputs;
   isAdmitted: boolean;
-  day: LabDay;
-  predicted: ContentionLab;
-  limited: ContentionLab;
+  scenario: SimulationScenario;
+  predictedSimulation: ContentionSimulation;
+  limitedSimulation: ContentionSimulation;
 }
 
 function isAdmitted(
   admission: ProgramAdmission,
   program: string,
-  outlook: AdmissionOutlook,
-  isUnderWay = false,
+  inputs: AdmissionInputs,
+  hasRunBefore = false,
 ): boolean {
-  const question = { program, outlook: () => outlook, isUnderWay: () => isUnderWay };
-  return admission.decide(question).pauseMilliseconds === undefined;
+  const request = { program, inputs: () => inputs, hasRunBefore: () => hasRunBefore };
+  return admission.decide(request).retryDelayMilliseconds === undefined;
 }
 
 Given(
   'runners with {int} places and {int} requests that go before it, of which {int} are more urgent',
   function (this: World, slots: number, ahead: number, moreUrgent: number) {
-    this.outlook = { ...IDLE, slots, ahead, moreUrgent };
+    this.inputs = { ...IDLE, slots, ahead, moreUrgent };
   },
 );
 
 When(
   'a program of {int} turns with {int} ms left begins',
-  function (this: World, turns: number, leftMilliseconds: number) {
-    const outlook = { ...this.outlook, turns, leftMilliseconds };
-    this.isAdmitted = isAdmitted(freshAdmission(), 'new', outlook);
+  function (this: World, turns: number, programRemainingMilliseconds: number) {
+    const inputs = {
+      ...this.inputs,
+      turns,
+      programRemainingMilliseconds: programRemainingMilliseconds,
+    };
+    this.isAdmitted = isAdmitted(freshAdmission(), 'new', inputs);
   },
 );
 
@@ -78,7 +82,7 @@
   const admission = freshAdmission();
   assert.ok(isAdmitted(admission, 'known', IDLE));
   assert.ok(isAdmitted(admission, 'known', FULL));
-  assert.ok(isAdmitted(admission, 'known', { ...FULL, slots: 0, leftMilliseconds: 0 }));
+  assert.ok(isAdmitted(admission, 'known', { ...FULL, slots: 0, programRemainingMilliseconds: 0 }));
   admission.forget('known');
   assert.ok(!isAdmitted(admission, 'known', FULL));
 });
@@ -103,12 +107,12 @@
   "of a tenant's first requests here, only that of a program that no runner knows begins a program",
   function () {
     const parts = parsePromptParts('aa:500,bb:300');
-    const [fresh, known] = [500, 700].map((kept) => passageWith(`keeps ${kept}`, parts, kept));
-    for (const passage of [fresh!, known!]) {
-      assert.equal(ADMISSION_STAGE.decide(passage).tag, 'GoOn');
+    const [fresh, known] = [500, 700].map((kept) => requestStateWith(`keeps ${kept}`, parts, kept));
+    for (const requestState of [fresh!, known!]) {
+      assert.equal(ADMISSION_STAGE.decide(requestState).tag, 'GoOn');
     }
-    assert.equal(fresh!.beginsProgram, true);
-    assert.equal(known!.beginsProgram, false);
+    assert.equal(fresh!.startsProgram, true);
+    assert.equal(known!.startsProgram, false);
   },
 );
 
@@ -120,12 +124,12 @@
     const drawn = fc.double({ min: 0, max: 1, noNaN: true });
     fc.assert(
       fc.property(AMOUNT, AMOUNT, drawn, (excess, request, draw) => {
-        const pause = pauseUntilRoom(excess, request, draw);
+        const pause = computeRetryDelay(excess, request, draw);
         assert.ok(pause >= 0 && pause <= request / 3);
         assert.ok(pause >= Math.min(10_000, Math.max(0, request / 3 - 11), excess) / 2);
       }),
     );
-    const drawnPauses = [0, 0.25, 0.5, 0.75, 1].map((draw) => pauseUntilRoom(300, 3_000, draw));
+    const drawnPauses = [0, 0.25, 0.5, 0.75, 1].map((draw) => computeRetryDelay(300, 3_000, draw));
     assert.equal(new Set(drawnPauses).size, drawnPauses.length);
   },
 );
@@ -138,10 +142,10 @@
     board.ofOthers = () => others;
     const demand = new ServiceDemand(board);
     const ends = [0, 2, 2, 9].map((rank) => demand.begin('s', rank));
-    assert.equal(demand.behind('s', 0), 4 + 2 + 2 + 1);
-    assert.equal(demand.behind('s', 2), 2 + 1);
-    assert.equal(demand.at('s', 2), 4 + 2);
-    assert.equal(demand.behind('s', -1), 1 + 1 + demand.behind('s', 0));
+    assert.equal(demand.countLessUrgent('s', 0), 4 + 2 + 2 + 1);
+    assert.equal(demand.countLessUrgent('s', 2), 2 + 1);
+    assert.equal(demand.countAtRank('s', 2), 4 + 2);
+    assert.equal(demand.countLessUrgent('s', -1), 1 + 1 + demand.countLessUrgent('s', 0));
     assert.deepEqual(board.collectOwn(), [
       {
         topic: AGGREGATE_TOPICS.serviceDemand,
@@ -156,14 +160,14 @@
 Then('a million distinct programs and kinds leave bounded tables', function () {
   const MILLION = 1_000_000;
   const admission = freshAdmission();
-  const shapes = new ProgramShapes();
+  const kindStats = new ProgramStats();
   for (let number = 0; number < MILLION; number += 1) {
     isAdmitted(admission, `program ${number}`, IDLE);
-    shapes.note(`kind ${number}`, true);
+    kindStats.recordTurn(`kind ${number}`, true);
   }
-  assert.ok(!admission.knows('program 0') && admission.knows(`program ${MILLION - 1}`));
+  assert.ok(!admission.isAdmitted('program 0') && admission.isAdmitted(`program ${MILLION - 1}`));
   assert.ok(admission.programCount <= 20_000);
-  assert.ok(shapes.kindCount <= 2_000);
+  assert.ok(kindStats.kindCount <= 2_000);
 });
 
 Then(
@@ -173,49 +177,49 @@
       fc.double(),
       fc.constantFrom(0, -1, Infinity, -Infinity, NaN, Number.MAX_VALUE),
     );
-    const outlooks = fc.record({
+    const inputsArbitrary = fc.record({
       ahead: AMOUNT,
       moreUrgent: AMOUNT,
       slots: fc.nat(10_000),
       turnMilliseconds: AMOUNT,
       turns: fc.double({ min: 0, max: 1e6, noNaN: true }),
-      leftMilliseconds: fc.option(figure, { nil: undefined }),
-      requestMilliseconds: figure,
+      programRemainingMilliseconds: fc.option(figure, { nil: undefined }),
+      requestRemainingMilliseconds: figure,
     });
     fc.assert(
-      fc.property(outlooks, (outlook) => {
-        const question = { program: 'p', outlook: () => outlook, isUnderWay: () => false };
-        const { pauseMilliseconds: pause } = freshAdmission().decide(question);
-        const most = Math.max(0, outlook.requestMilliseconds / 3);
+      fc.property(inputsArbitrary, (inputs) => {
+        const request = { program: 'p', inputs: () => inputs, hasRunBefore: () => false };
+        const { retryDelayMilliseconds: pause } = freshAdmission().decide(request);
+        const most = Math.max(0, inputs.requestRemainingMilliseconds / 3);
         assert.ok(pause === undefined || (pause >= 0 && !(pause > most)), `${pause}`);
         assert.ok(pause === undefined || Number.isFinite(pause), `${pause}`);
       }),
     );
-    assert.ok(waitOf(IDLE) === 0 && bearableWait(IDLE) > 0);
+    assert.ok(predictWait(IDLE) === 0 && waitLimit(IDLE) > 0);
   },
 );
 
-const URGENT: LabKind = {
+const URGENT: ProgramKind = {
   name: 'urgent',
   rank: 0,
   programsPerSecond: 48,
   turns: 3,
-  fan: 0.04,
-  aimFactor: 1.4,
-  aimMilliseconds: 200,
-  worth: 6.4,
-  lateWorth: 1.3,
+  fanOutShare: 0.04,
+  deadlineFactor: 1.4,
+  deadlineExtraMilliseconds: 200,
+  value: 6.4,
+  lateValue: 1.3,
 };
-const LESS: LabKind = {
+const LESS: ProgramKind = {
   name: 'less',
   rank: 2,
   programsPerSecond: 37,
   turns: 6.5,
-  fan: 0.025,
-  aimFactor: 1.3,
-  aimMilliseconds: 400,
-  worth: 5.6,
-  lateWorth: 4.2,
+  fanOutShare: 0.025,
+  deadlineFactor: 1.3,
+  deadlineExtraMilliseconds: 400,
+  value: 5.6,
+  lateValue: 4.2,
 };
 const BURST_FROM_SECOND = 4;
 const BURST_TO_SECOND = 10;
@@ -223,47 +227,57 @@
 Given(
   'a day with a burst of {float} times in {word} and loads told {int} ms late',
   function (this: World, burst: number, kinds: string, ageMilliseconds: number) {
-    const factor = (kind: LabKind, second: number): number => {
+    const factor = (kind: ProgramKind, second: number): number => {
       const isIn = second >= BURST_FROM_SECOND && second < BURST_TO_SECOND;
       return isIn && (kinds === 'all' || kinds === kind.name) ? burst : 1;
     };
-    this.day = { kinds: [URGENT, LESS], seed: 11, ageMilliseconds, factor };
+    this.scenario = {
+      kinds: [URGENT, LESS],
+      seed: 11,
+      loadAgeMilliseconds: ageMilliseconds,
+      factor,
+    };
   },
 );
 
 Given(
   '{int} of the 34 engines lost at second {int}',
   function (this: World, engines: number, second: number) {
-    this.day = { ...this.day, lost: { engines, second } };
+    this.scenario = { ...this.scenario, lostEngines: { engines, second } };
   },
 );
 
 Given('gateways cut in two halves', function (this: World) {
-  this.day = { ...this.day, isCut: true };
+  this.scenario = { ...this.scenario, isPartitioned: true };
 });
 
 When(
   'the day is played with predicted finishes and with one limit of each gateway',
   function (this: World) {
-    this.predicted = new ContentionLab(this.day, predictedFinish).run();
-    this.limited = new ContentionLab(this.day, limitOfOneGateway).run();
+    this.predictedSimulation = new ContentionSimulation(
+      this.scenario,
+      predictedWaitAdmission,
+    ).run();
+    this.limitedSimulation = new ContentionSimulation(this.scenario, fixedGatewayLimit).run();
   },
 );
 
 Then('predicted finishes earn no less, and less urgent kinds no less', function (this: World) {
-  const [now, before] = [this.predicted, this.limited];
-  assert.ok(now.worth >= before.worth, `${now.worth} of ${before.worth}`);
+  const [now, before] = [this.predictedSimulation, this.limitedSimulation];
+  assert.ok(now.earnedShare >= before.earnedShare, `${now.earnedShare} of ${before.earnedShare}`);
   const [less, lessBefore] = [now.outcomes.get('less')!, before.outcomes.get('less')!];
   assert.ok(less.earned >= lessBefore.earned, `${less.earned} of ${lessBefore.earned}`);
 });
 
 Then('urgent programs are served no less often than less urgent ones', function (this: World) {
-  const [urgent, less] = ['urgent', 'less'].map((name) => this.predicted.outcomes.get(name)!);
+  const [urgent, less] = ['urgent', 'less'].map((name) =>
+    this.predictedSimulation.outcomes.get(name)!,
+  );
   assert.ok(urgent!.earned >= less!.earned, `${urgent!.earned} of ${less!.earned}`);
 });
 
 Then('no more programs and no more requests are refused', function (this: World) {
-  const [now, before] = [this.predicted, this.limited].map(({ outcomes }) => ({
+  const [now, before] = [this.predictedSimulation, this.limitedSimulation].map(({ outcomes }) => ({
     requests: [...outcomes.values()].reduce((sum, { refusals }) => sum + refusals, 0),
     programs: [...outcomes.values()].reduce((sum, { refused }) => sum + refused, 0),
   }));
--- a/features/steps/memory-accounts.steps.ts
+++ b/features/steps/memory-accounts.steps.ts
@@ -11,13 +11,13 @@
 import { ReaderWatch } from '../../src/relay/answers/reader-watch.js';
 import type { ReaderStand } from '../../src/relay/answers/reader-watch.js';
 import { MEMORY_ACCOUNTS } from '../../src/relay/memory/memory-accounts.js';
-import type { Holding } from '../../src/relay/memory/memory-accounts.js';
-import { NO_BOUNDS, boundsFor } from '../../src/relay/memory/memory-bounds.js';
+import type { MemoryAllocation } from '../../src/relay/memory/memory-accounts.js';
+import { NO_BOUNDS, boundsForBudget } from '../../src/relay/memory/memory-bounds.js';
 import { MemoryBudget, byBytesAndTime } from '../../src/relay/memory/memory-budget.js';
 import type { CutOrder, SlowReader } from '../../src/relay/memory/memory-budget.js';
 import type { RunnerLife } from '../../src/relay/runners/runner.js';
-import { RunnerIntake } from '../../src/relay/memory/runner-intake.js';
-import { RequestEnd } from '../../src/relay/front/request-ends.js';
+import { RunnerBackpressure } from '../../src/relay/memory/runner-backpressure.js';
+import { RequestCompletion } from '../../src/relay/front/request-completions.js';
 import { StreamAnswer } from '../../src/relay/answers/stream-answer.js';
 import type { AnsweredCall, AnswerHead } from '../../src/relay/answers/answer-reader.js';
 import type { RelayContext } from '../../src/relay/relay-context.js';
@@ -34,26 +34,26 @@
 interface World {
   clock: VirtualClock;
   budget: MemoryBudget;
-  others: Holding;
+  otherAllocation: MemoryAllocation;
   lines: LogFields[];
   bodiesRead: number;
   cut: string[];
   /** Numbers of bodies that were let in, and whose bytes are held since. */
-  letIn: { readonly body: number; readonly holding: Holding }[];
+  acceptedBodies: { readonly body: number; readonly allocation: MemoryAllocation }[];
 }
 
 function runtimeOn(clock: VirtualClock, lines: LogFields[]): Runtime {
   const runtime = new SimulatedProcess('g', clock, createRandom(1)).begin();
-  return { ...bound(runtime), log: (_level, _message, fields = {}) => lines.push(fields) };
+  return { ...boundRuntime(runtime), log: (_level, _message, fields = {}) => lines.push(fields) };
 }
 
 /** Lets virtual milliseconds pass. */
-function pass(clock: VirtualClock, milliseconds: number): void {
+function advance(clock: VirtualClock, milliseconds: number): void {
   clock.runUntil(clock.now + milliseconds);
 }
 
 /** The parts of a runtime that work without it. */
-function bound(runtime: Runtime): Runtime {
+function boundRuntime(runtime: Runtime): Runtime {
   return {
     now: () => runtime.now(),
     wallTime: () => runtime.wallTime(),
@@ -70,18 +70,18 @@
     fc.assert(
       fc.property(fc.array(step), (steps) => {
         const budget = new MemoryBudget(runtimeOn(new VirtualClock(), []), NO_BOUNDS);
-        const holdings = Array.from({ length: 6 }, (_, index) =>
-          budget.open(MEMORY_ACCOUNTS[index % MEMORY_ACCOUNTS.length]!),
+        const allocations = Array.from({ length: 6 }, (_, index) =>
+          budget.allocate(MEMORY_ACCOUNTS[index % MEMORY_ACCOUNTS.length]!),
         );
-        steps.forEach(({ holder, bytes }) => holdings[holder]!.set(bytes));
-        const held = holdings.reduce((sum, { bytes }) => sum + bytes, 0);
+        steps.forEach(({ holder, bytes }) => allocations[holder]!.set(bytes));
+        const held = allocations.reduce((sum, { bytes }) => sum + bytes, 0);
         const byAccount = Object.values(budget.byAccount()).reduce((sum, bytes) => sum + bytes, 0);
         assert.equal(budget.heldBytes, held);
         assert.equal(byAccount, held);
-        holdings.forEach((holding) => holding.release());
-        holdings.forEach((holding) => holding.release());
+        allocations.forEach((allocation) => allocation.release());
+        allocations.forEach((allocation) => allocation.release());
         // What comes late for a request that is over is held by nobody.
-        holdings.forEach((holding) => holding.add(7));
+        allocations.forEach((allocation) => allocation.add(7));
         assert.equal(budget.heldBytes, 0);
       }),
     );
@@ -93,24 +93,24 @@
   this.lines = [];
   this.bodiesRead = 0;
   this.cut = [];
-  this.budget = new MemoryBudget(runtimeOn(this.clock, this.lines), boundsFor(bytes));
-  this.others = this.budget.open('bodies');
+  this.budget = new MemoryBudget(runtimeOn(this.clock, this.lines), boundsForBudget(bytes));
+  this.otherAllocation = this.budget.allocate('bodies');
 });
 
 When('the bytes held rise to {int}', function (this: World, bytes: number) {
-  pass(this.clock, 2_000);
-  this.others.set(bytes);
+  advance(this.clock, 2_000);
+  this.otherAllocation.set(bytes);
 });
 
 Then(
   'the level is {string}, new requests are {word}, new bodies {word}( read)',
   function (this: World, level: string, requests: string, bodies: string) {
     let isRead = false;
-    this.budget.whenBodyMayCome(() => {
+    this.budget.whenBodyAccepted(() => {
       isRead = true;
     });
     assert.equal(this.budget.level, level);
-    assert.equal(this.budget.takesRequests, requests === 'taken');
+    assert.equal(this.budget.acceptsRequests, requests === 'taken');
     assert.equal(isRead, bodies === 'are');
   },
 );
@@ -129,7 +129,7 @@
 
 When('{int} bodies of new requests come', function (this: World, count: number) {
   for (let body = 0; body < count; body += 1) {
-    this.budget.whenBodyMayCome(() => (this.bodiesRead += 1));
+    this.budget.whenBodyAccepted(() => (this.bodiesRead += 1));
   }
   assert.equal(this.bodiesRead, 0);
 });
@@ -139,24 +139,24 @@
 });
 
 /** A reader that gives back what it holds when it is cut. */
-function readerOf(
+function createReader(
   budget: MemoryBudget,
   requestId: string,
   heldBytes: number,
   idleMilliseconds: number,
   onCut: (requestId: string) => void,
 ): SlowReader {
-  const holding = budget.open('answers');
-  holding.set(heldBytes);
+  const allocation = budget.allocate('answers');
+  allocation.set(heldBytes);
   const reader: SlowReader = {
     requestId,
     get heldBytes() {
-      return holding.bytes;
+      return allocation.bytes;
     },
     idleMilliseconds,
     cut: () => {
       budget.removeReader(reader);
-      holding.release();
+      allocation.release();
       onCut(requestId);
     },
   };
@@ -167,12 +167,12 @@
 Given('readers that hold and last took something:', function (this: World, table: DataTable) {
   for (const { reader, bytes, milliseconds } of table.hashes()) {
     const note = (requestId: string): number => this.cut.push(requestId);
-    readerOf(this.budget, reader!, Number(bytes), Number(milliseconds), note);
+    createReader(this.budget, reader!, Number(bytes), Number(milliseconds), note);
   }
 });
 
 When('the bytes held beside them rise to {int}', function (this: World, bytes: number) {
-  this.others.set(bytes);
+  this.otherAllocation.set(bytes);
 });
 
 Then('the readers cut are {string}', function (this: World, names: string) {
@@ -181,15 +181,15 @@
 
 /** Answers ended until the level is left, on 300 clients that read nothing, 20 of which hold most. */
 function cutsUnder(order: CutOrder): number {
-  const bounds = boundsFor(24_000_000);
+  const bounds = boundsForBudget(24_000_000);
   const budget = new MemoryBudget(runtimeOn(new VirtualClock(), []), bounds, order);
   const random = createRandom(7);
   let cuts = 0;
   for (let index = 0; index < 300; index += 1) {
     const bytes = index % 15 === 0 ? 900_000 : 12_000;
-    readerOf(budget, `c${index}`, bytes, random.integer(300, 1_900), () => (cuts += 1));
+    createReader(budget, `c${index}`, bytes, random.integer(300, 1_900), () => (cuts += 1));
   }
-  budget.open('bodies').set(2_800_000);
+  budget.allocate('bodies').set(2_800_000);
   return cuts;
 }
 
@@ -207,7 +207,7 @@
 class WatchedClient {
   readonly clock = new VirtualClock();
   stand: ReaderStand = 'held';
-  isCalm = true;
+  hasMemory = true;
   cutAt: number | undefined;
   readonly readAt: number[] = [];
   readonly watch: ReaderWatch;
@@ -216,7 +216,7 @@
     const runtime = runtimeOn(this.clock, []);
     this.watch = new ReaderWatch(runtime, {
       stand: () => this.stand,
-      hasMemory: () => this.isCalm,
+      hasMemory: () => this.hasMemory,
       readOn: () => this.readAt.push(this.clock.now),
       cut: () => (this.cutAt = this.clock.now),
     });
@@ -229,8 +229,8 @@
   function (calmSeconds: number, shortSeconds: number) {
     for (const isCalm of [true, false]) {
       const client = new WatchedClient();
-      client.isCalm = isCalm;
-      pass(client.clock, 30_000);
+      client.hasMemory = isCalm;
+      advance(client.clock, 30_000);
       assert.equal(client.cutAt, (isCalm ? calmSeconds : shortSeconds) * 1_000);
     }
   },
@@ -241,7 +241,7 @@
   function (seconds: number, minutes: number, most: number) {
     const client = new WatchedClient();
     for (let second = 0; second < minutes * 60; second += seconds) {
-      pass(client.clock, seconds * 1_000);
+      advance(client.clock, seconds * 1_000);
       client.watch.noteTaken();
     }
     assert.equal(client.cutAt, undefined);
@@ -256,19 +256,19 @@
   function (seconds: number) {
     const client = new WatchedClient();
     client.stand = 'readOn';
-    pass(client.clock, 60_000);
+    advance(client.clock, 60_000);
     assert.equal(client.cutAt, undefined);
     client.stand = 'ready';
     client.watch.noteTaken();
-    pass(client.clock, seconds * 1_000 - 1_000);
+    advance(client.clock, seconds * 1_000 - 1_000);
     assert.equal(client.cutAt, undefined);
-    pass(client.clock, 2_000);
+    advance(client.clock, 2_000);
     assert.notEqual(client.cutAt, undefined);
   },
 );
 
 /** A client that takes what it is written when the test says so. */
-class TakingTarget implements OutletTarget {
+class ManualTarget implements OutletTarget {
   readonly taken: Buffer[] = [];
   ends = 0;
   private waiting: { readonly bytes: Buffer; readonly done: (() => void) | undefined }[] = [];
@@ -314,7 +314,7 @@
   };
   fc.assert(
     fc.property(fc.array(step, { maxLength: 12 }), (steps) => {
-      const target = new TakingTarget(16_384);
+      const target = new ManualTarget(16_384);
       const outlet = new ClientOutlet(target, listener);
       for (const { bytes, takes } of steps) {
         outlet.push(Buffer.from(bytes));
@@ -337,19 +337,22 @@
 Then(
   'a runner that takes nothing may be sent requests until {int} bytes wait for it, and again once it takes',
   function (bound: number) {
-    const intake = new RunnerIntake();
+    const backpressure = new RunnerBackpressure();
     const taken: (() => void)[] = [];
-    while (intake.mayTake(RUNNER)) {
-      taken.push(intake.hand(RUNNER, 20_000));
+    while (backpressure.isWritable(RUNNER)) {
+      taken.push(backpressure.trackUnsent(RUNNER, 20_000));
     }
-    assert.ok(intake.untakenBytes(RUNNER) >= bound && intake.untakenBytes(RUNNER) < bound + 20_000);
-    assert.ok(intake.mayTake('other' as RunnerLife));
+    assert.ok(
+      backpressure.unsentBytes(RUNNER) >= bound &&
+        backpressure.unsentBytes(RUNNER) < bound + 20_000,
+    );
+    assert.ok(backpressure.isWritable('other' as RunnerLife));
     taken[0]!();
     taken[0]!();
-    assert.equal(intake.untakenBytes(RUNNER), 20_000 * (taken.length - 1));
+    assert.equal(backpressure.unsentBytes(RUNNER), 20_000 * (taken.length - 1));
     taken.forEach((take) => take());
-    assert.ok(intake.mayTake(RUNNER));
-    assert.equal(intake.untakenBytes(RUNNER), 0);
+    assert.ok(backpressure.isWritable(RUNNER));
+    assert.equal(backpressure.unsentBytes(RUNNER), 0);
   },
 );
 
@@ -364,7 +367,7 @@
   function () {
     const runtime = runtimeOn(new VirtualClock(), []);
     const answer = new ClientAnswer(untakenResponse(), {
-      end: new RequestEnd(),
+      completion: new RequestCompletion(),
       runtime,
       memory: new MemoryBudget(runtime, NO_BOUNDS),
       requestIdHeader: 'id',
@@ -407,15 +410,15 @@
       record as unknown as RunnerRecord,
       () => undefined,
     );
-    pass(clock, 100);
+    advance(clock, 100);
     assert.equal(probes.length, 1);
     watch.pause();
     watch.resume();
     probes[0]!(true);
-    pass(clock, 250);
+    advance(clock, 250);
     assert.equal(probes.length, 2);
     watch.stop();
-    pass(clock, 1_000);
+    advance(clock, 1_000);
     assert.equal(probes.length, 2);
   },
 );
@@ -423,32 +426,32 @@
 Then(
   '{int} bodies of {int} bytes that wait for connections leave a runner in, and count from their connections on',
   function (count: number, bytes: number) {
-    const intake = new RunnerIntake();
-    const handovers = Array.from({ length: count }, () => intake.prepare(RUNNER, bytes));
-    assert.ok(intake.mayTake(RUNNER));
-    const [first, ...others] = handovers;
-    first!.onTaken();
+    const backpressure = new RunnerBackpressure();
+    const sends = Array.from({ length: count }, () => backpressure.prepareSend(RUNNER, bytes));
+    assert.ok(backpressure.isWritable(RUNNER));
+    const [first, ...others] = sends;
+    first!.onSendEnd();
     first!.onConnected();
-    assert.equal(intake.untakenBytes(RUNNER), 0);
-    others.forEach((handover) => handover.onConnected());
-    assert.equal(intake.untakenBytes(RUNNER), others.length * bytes);
-    assert.ok(!intake.mayTake(RUNNER));
-    handovers.forEach((handover) => handover.onTaken());
-    handovers.forEach((handover) => handover.onTaken());
-    assert.equal(intake.untakenBytes(RUNNER), 0);
+    assert.equal(backpressure.unsentBytes(RUNNER), 0);
+    others.forEach((pendingSend) => pendingSend.onConnected());
+    assert.equal(backpressure.unsentBytes(RUNNER), others.length * bytes);
+    assert.ok(!backpressure.isWritable(RUNNER));
+    sends.forEach((pendingSend) => pendingSend.onSendEnd());
+    sends.forEach((pendingSend) => pendingSend.onSendEnd());
+    assert.equal(backpressure.unsentBytes(RUNNER), 0);
   },
 );
 
 When(
   '{int} bodies of {int} bytes come, {int} of which are given up',
   function (this: World, count: number, bytes: number, givenUp: number) {
-    this.letIn = [];
+    this.acceptedBodies = [];
     for (let body = 0; body < count; body += 1) {
-      const giveUp = this.budget.whenBodyMayCome(() => {
-        const holding = this.budget.open('bodies');
-        this.letIn.push({ body, holding });
+      const giveUp = this.budget.whenBodyAccepted(() => {
+        const allocation = this.budget.allocate('bodies');
+        this.acceptedBodies.push({ body, allocation: allocation });
         // Its bytes come later than the word that it may.
-        this.clock.schedule(2, () => holding.set(bytes));
+        this.clock.schedule(2, () => allocation.set(bytes));
       });
       if (body < givenUp) {
         giveUp();
@@ -460,9 +463,9 @@
 Then(
   'no more than {int} of them are read together, and the mark is not passed by more than those',
   function (this: World, most: number) {
-    assert.equal(this.letIn.length, most);
-    pass(this.clock, 1_000);
-    assert.ok(!this.budget.isCalm);
+    assert.equal(this.acceptedBodies.length, most);
+    advance(this.clock, 1_000);
+    assert.ok(!this.budget.acceptsBodies);
     assert.ok(this.budget.heldBytes <= 600_000 + most * 30_000, `${this.budget.heldBytes} held`);
   },
 );
@@ -471,11 +474,11 @@
   'all but those that were given up are read once there is room for each',
   function (this: World) {
     for (let round = 0; round < 20; round += 1) {
-      this.letIn.forEach(({ holding }) => holding.release());
-      pass(this.clock, 100);
+      this.acceptedBodies.forEach(({ allocation: allocation }) => allocation.release());
+      advance(this.clock, 100);
     }
     assert.deepEqual(
-      this.letIn.map(({ body }) => body),
+      this.acceptedBodies.map(({ body }) => body),
       Array.from({ length: 80 }, (_, index) => index + 20),
     );
   },
--- a/features/steps/placement.steps.ts
+++ b/features/steps/placement.steps.ts
@@ -10,7 +10,7 @@
 import { EngineEstimate } from '../../src/relay/runners/engine-estimate.js';
 import { PromptPlaces } from '../../src/relay/runners/prompt-places.js';
 import { parsePromptParts } from '../../src/relay/request/relay-request.js';
-import { LEAST_URGENT, urgencyOf } from '../../src/relay/request/urgency.js';
+import { LEAST_URGENT_RANK, rankOf } from '../../src/relay/request/request-rank.js';
 import { EventSplitter } from '../../src/relay/answers/event-splitter.js';
 import { createRoutingTable, findRoute } from '../../src/relay/request/routing-table.js';
 import type { Route } from '../../src/relay/request/routing-table.js';
@@ -322,17 +322,17 @@
   const rank = (priority: number, deadlineAt: number): number => {
     const route = { ...routeWith('/', [1]), priority };
     const request = { route, programDeadlineAt: deadlineAt } as RelayRequest;
-    return urgencyOf(request, 100);
+    return rankOf(request, 100);
   };
-  for (let priority = 0; priority <= LEAST_URGENT; priority += 1) {
+  for (let priority = 0; priority <= LEAST_URGENT_RANK; priority += 1) {
     const [timely, late, next] = [
       rank(priority, 101),
       rank(priority, 100),
       rank(priority + 1, 101),
     ];
-    assert.ok(timely >= 0 && late <= LEAST_URGENT);
+    assert.ok(timely >= 0 && late <= LEAST_URGENT_RANK);
     assert.ok(timely <= next && timely <= late);
-    if (late < LEAST_URGENT) {
+    if (late < LEAST_URGENT_RANK) {
       assert.ok(late > timely && late > next);
     }
   }
--- a/features/steps/quotas.steps.ts
+++ b/features/steps/quotas.steps.ts
@@ -391,13 +391,13 @@
   }
 
   private spend(isNewProgram: boolean, at: number): boolean {
-    const begins = isNewProgram ? this.sizes.expected(TENANT) : 0;
+    const begins = isNewProgram ? this.sizes.expectedRequests(TENANT) : 0;
     const patience = isNewProgram ? 0 : this.patienceMilliseconds;
     const runsAt = spendAt(this.members, this.quota, begins, at, this.random, patience);
     const granted = runsAt !== undefined;
     if (granted) {
       this.granted += 1;
-      this.sizes.note(TENANT, isNewProgram);
+      this.sizes.recordRequest(TENANT, isNewProgram);
     }
     return granted;
   }
--- a/features/steps/slow-readers.steps.ts
+++ b/features/steps/slow-readers.steps.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import type { Holding } from '../../src/relay/memory/memory-accounts.js';
-import { boundsFor } from '../../src/relay/memory/memory-bounds.js';
+import type { MemoryAllocation } from '../../src/relay/memory/memory-accounts.js';
+import { boundsForBudget } from '../../src/relay/memory/memory-bounds.js';
 import { DEFAULT_HEADER_NAMES } from '../../src/relay/request/default-header-names.js';
 import { startAttempt } from '../../src/relay/tries/attempt.js';
 import type { Attempt } from '../../src/relay/tries/attempt.js';
@@ -51,7 +51,7 @@
   answers: ClientResult[];
   /** Requests of which anything came to the runner that takes nothing. */
   reached: string[];
-  others?: Holding;
+  others?: MemoryAllocation;
   waiting?: Promise<ClientResult>;
   /** Events of the stream that is read. */
   expectedEvents: number;
@@ -102,7 +102,7 @@
 Given(
   'a gateway with a budget of {int} MB and two runners whose streams are long',
   async function (this: World, megabytes: number) {
-    const memoryBounds = boundsFor(megabytes * MEGABYTE);
+    const memoryBounds = boundsForBudget(megabytes * MEGABYTE);
     const timeoutMilliseconds = 20_000;
     const runner = { ...LONG_STREAMS, ...CROWD_STREAMS };
     const common = { timeoutMilliseconds, maximumConnections: 700 };
@@ -273,7 +273,7 @@
 );
 
 When('it holds {int} bytes for others', function (this: World, bytes: number) {
-  this.others ??= this.slow.gateway.memory.open('bodies');
+  this.others ??= this.slow.gateway.memory.allocate('bodies');
   this.others.set(bytes);
 });
 
@@ -380,9 +380,9 @@
     const asked = Array.from({ length: count }, async (_, index) =>
       this.slow.send(route, { body, id: `body-${index}` }),
     );
-    const { intake } = this.slow.gateway;
+    const { backpressure: intake } = this.slow.gateway;
     const watch = setInterval(() => {
-      this.heldMost = Math.max(this.heldMost, intake.untakenBytes('one' as RunnerLife));
+      this.heldMost = Math.max(this.heldMost, intake.unsentBytes('one' as RunnerLife));
     }, 1);
     this.answers = await Promise.all(asked);
     clearInterval(watch);
@@ -432,7 +432,7 @@
     WAIT_MILLISECONDS,
     {
       onConnected: () => undefined,
-      onTaken: () => undefined,
+      onSendEnd: () => undefined,
       onHead: () => attempt.pause(),
       onData: (chunk) => (read += chunk.length),
       onEnd: () => ended(`${read} bytes`),
--- a/features/steps/tenants.steps.ts
+++ b/features/steps/tenants.steps.ts
@@ -74,7 +74,7 @@
   function (this: World) {
     const { gateway } = this.relay!;
     gateway.areKeysFresh = () => false;
-    gateway.areKeysFresherElsewhere = () => true;
+    gateway.areKeysFreshElsewhere = () => true;
   },
 );
 
--- a/features/support/contention-admissions.ts
+++ b/features/support/contention-admissions.ts
@@ -1,19 +1,19 @@
 /** Ways of admission that the laboratory compares. */
 import { ProgramAdmission } from '../../src/relay/admission/program-admission.js';
-import { demandAhead } from '../../src/relay/admission/outlook.js';
+import { demandAhead } from '../../src/relay/admission/demand-ahead.js';
 import type { RandomSource } from '../../src/runtime/random.js';
-import { ProgramShapes } from '../../src/relay/admission/program-shape.js';
-import type { LabAdmission, LabLoad, LabTurn } from './contention-day.js';
-import { LATE_RANKS_AT_RUNNERS } from './contention-lab.js';
+import { ProgramStats } from '../../src/relay/admission/program-stats.js';
+import type { SimulatedAdmission, SimulatedLoad, SimulatedTurn } from './contention-scenario.js';
+import { LATE_RANKS_AT_RUNNERS } from './contention-simulation.js';
 import { TURN_MILLISECONDS } from './contention-programs.js';
 
 /** One limit in requests a place, learned by each gateway from turns of late programs; 0.15 s of pause for all. */
-export function limitOfOneGateway(): LabAdmission {
-  const underWay = new Set<string>();
+export function fixedGatewayLimit(): SimulatedAdmission {
+  const admittedPrograms = new Set<string>();
   let limit = 0.7;
   return (turn, load) => {
-    if (underWay.has(turn.program)) {
-      const step = turn.leftMilliseconds <= 0 ? -0.015 : 0.002;
+    if (admittedPrograms.has(turn.program)) {
+      const step = turn.programRemainingMilliseconds <= 0 ? -0.015 : 0.002;
       limit = Math.min(1.2, Math.max(0.5, limit + step));
       return undefined;
     }
@@ -21,43 +21,50 @@
     if (load.inFlight >= load.slots * (limit + margin)) {
       return 150;
     }
-    underWay.add(turn.program);
+    admittedPrograms.add(turn.program);
     return undefined;
   };
 }
 
 /** What decides in the gateway. */
-export function predictedFinish(random: RandomSource): LabAdmission {
+export function predictedWaitAdmission(random: RandomSource): SimulatedAdmission {
   const admission = new ProgramAdmission(random);
-  const shapes = new ProgramShapes();
-  return (turn: LabTurn, load: LabLoad) => {
-    const { program, kind, leftMilliseconds, requestMilliseconds, isSubAgent } = turn;
-    const rank = kind.rank + (leftMilliseconds <= 0 ? LATE_RANKS_AT_RUNNERS : 0);
-    const ranked = {
+  const kindStats = new ProgramStats();
+  return (turn: SimulatedTurn, load: SimulatedLoad) => {
+    const {
+      program,
+      kind,
+      programRemainingMilliseconds: programRemainingMilliseconds,
+      requestRemainingMilliseconds: requestRemainingMilliseconds,
+      isSubAgent,
+    } = turn;
+    const rank = kind.rank + (programRemainingMilliseconds <= 0 ? LATE_RANKS_AT_RUNNERS : 0);
+    const demandByRank = {
       inFlight: load.inFlight,
-      behind: load.behind(rank),
-      equal: load.behind(rank - 1) - load.behind(rank),
-      late: load.behind(rank + 2) - load.behind(rank + 3),
+      lessUrgent: load.countLessUrgent(rank),
+      sameRank: load.countLessUrgent(rank - 1) - load.countLessUrgent(rank),
+      lateSameRank: load.countLessUrgent(rank + 2) - load.countLessUrgent(rank + 3),
     };
-    const isNew = !admission.knows(program);
-    const verdict = admission.decide({
+    const isNew = !admission.isAdmitted(program);
+    const decision = admission.decide({
       program,
-      isUnderWay: () => leftMilliseconds <= 0 || shapes.isOfSubAgent(kind.name, isSubAgent ? 3 : 2),
-      outlook: () => ({
-        ...demandAhead(ranked),
+      hasRunBefore: () =>
+        programRemainingMilliseconds <= 0 || kindStats.isSubAgent(kind.name, isSubAgent ? 3 : 2),
+      inputs: () => ({
+        ...demandAhead(demandByRank),
         slots: load.slots,
         turnMilliseconds: TURN_MILLISECONDS,
-        turns: shapes.turns(kind.name),
-        leftMilliseconds,
-        requestMilliseconds,
+        turns: kindStats.expectedTurns(kind.name),
+        programRemainingMilliseconds: programRemainingMilliseconds,
+        requestRemainingMilliseconds: requestRemainingMilliseconds,
       }),
     });
-    if (verdict.pauseMilliseconds === undefined) {
-      shapes.note(kind.name, isNew);
-      if (isNew && verdict.cause !== 'shown') {
-        shapes.noteFirstTurn(kind.name, isSubAgent ? 3 : 2);
+    if (decision.retryDelayMilliseconds === undefined) {
+      kindStats.recordTurn(kind.name, isNew);
+      if (isNew && decision.cause !== 'shown') {
+        kindStats.recordFirstTurn(kind.name, isSubAgent ? 3 : 2);
       }
     }
-    return verdict.pauseMilliseconds;
+    return decision.retryDelayMilliseconds;
   };
 }
--- a/features/support/contention-engines.ts
+++ b/features/support/contention-engines.ts
@@ -6,9 +6,9 @@
 import type { VirtualClock } from '../../src/simulation/virtual-clock.js';
 import type { CancelTimer } from '../../src/runtime/runtime.js';
 
-const QUEUE_PLACES = 18;
+const QUEUE_CAPACITY = 18;
 /** Time for reading a preempted request again, in milliseconds. */
-const READ_AGAIN_MILLISECONDS = 5;
+const REREAD_MILLISECONDS = 5;
 
 /** One request at an engine. */
 export interface EngineRun {
@@ -25,7 +25,7 @@
 }
 
 /** See the head of this file. */
-export class LabEngine {
+export class SimulatedEngine {
   private running: Running[] = [];
   private waiting: EngineRun[] = [];
   /** Whether it is there. */
@@ -33,16 +33,16 @@
 
   constructor(
     private readonly clock: VirtualClock,
-    readonly places: number,
+    readonly slots: number,
     private readonly slowness: number,
   ) {}
 
   /** Takes a request; false where it is full. */
-  take(run: EngineRun): boolean {
+  submit(run: EngineRun): boolean {
     if (!this.isUp) {
       return false;
     }
-    if (this.running.length < this.places) {
+    if (this.running.length < this.slots) {
       this.start(run);
       return true;
     }
@@ -52,7 +52,7 @@
       this.start(run);
       return true;
     }
-    if (this.waiting.length >= QUEUE_PLACES) {
+    if (this.waiting.length >= QUEUE_CAPACITY) {
       return false;
     }
     this.enqueue(run, false);
@@ -60,17 +60,17 @@
   }
 
   /** Its client left. */
-  drop(run: EngineRun): void {
+  cancel(run: EngineRun): void {
     this.waiting = this.waiting.filter((other) => other !== run);
     const running = this.running.find((other) => other.run === run);
     if (running !== undefined) {
       running.cancel();
-      this.leave(running);
+      this.release(running);
     }
   }
 
   /** Loses all that is there. */
-  lose(): readonly EngineRun[] {
+  fail(): readonly EngineRun[] {
     this.isUp = false;
     this.running.forEach(({ cancel }) => cancel());
     const lost = [...this.running.map(({ run }) => run), ...this.waiting];
@@ -89,7 +89,7 @@
     this.running = this.running.filter((other) => other !== running);
     const { run, startedAt } = running;
     const worked = (this.clock.now - startedAt) / this.slowness;
-    run.workMilliseconds = Math.max(0, run.workMilliseconds - worked) + READ_AGAIN_MILLISECONDS;
+    run.workMilliseconds = Math.max(0, run.workMilliseconds - worked) + REREAD_MILLISECONDS;
     this.enqueue(run, true);
   }
 
@@ -102,14 +102,14 @@
 
   private start(run: EngineRun): void {
     const cancel = this.clock.schedule(run.workMilliseconds * this.slowness, () => {
-      this.leave(running);
+      this.release(running);
       run.done();
     });
     const running: Running = { run, startedAt: this.clock.now, cancel };
     this.running.push(running);
   }
 
-  private leave(running: Running): void {
+  private release(running: Running): void {
     this.running = this.running.filter((other) => other !== running);
     const next = this.waiting.shift();
     if (next !== undefined) {
--- a/features/support/contention-programs.ts
+++ b/features/support/contention-programs.ts
@@ -2,18 +2,18 @@
 import type { RandomSource } from '../../src/runtime/random.js';
 
 /** One kind of programs. */
-export interface LabKind {
+export interface ProgramKind {
   readonly name: string;
   readonly rank: number;
   readonly programsPerSecond: number;
   readonly turns: number;
   /** Share of turns after which sub-agents run. */
-  readonly fan: number;
+  readonly fanOutShare: number;
   /** A program's aim: its time on idle engines so many times, and some milliseconds. */
-  readonly aimFactor: number;
-  readonly aimMilliseconds: number;
-  readonly worth: number;
-  readonly lateWorth: number;
+  readonly deadlineFactor: number;
+  readonly deadlineExtraMilliseconds: number;
+  readonly value: number;
+  readonly lateValue: number;
 }
 
 /** One turn of a program, drawn ahead: nobody but the laboratory knows it. */
@@ -21,14 +21,14 @@
   readonly workMilliseconds: number;
   readonly thinkMilliseconds: number;
   /** Sub-agents that run before the next turn. */
-  readonly agents: readonly PlannedLine[];
+  readonly agents: readonly PlannedSequence[];
 }
 
 /** Turns that come one after another. */
-export type PlannedLine = readonly PlannedTurn[];
+export type PlannedSequence = readonly PlannedTurn[];
 
 /** The way to a gateway, one way, in milliseconds. */
-export const WAY_MILLISECONDS = 12;
+export const ONE_WAY_MILLISECONDS = 12;
 const THINK_MILLISECONDS = 60;
 const STEP_MILLISECONDS = 3.15;
 const STEPS_PER_EVENT = 15;
@@ -37,27 +37,31 @@
 export const TURN_MILLISECONDS = EVENTS * STEPS_PER_EVENT * STEP_MILLISECONDS + 4;
 /** Spread of the work of turns, about the mean above. */
 const WORK_SIGMA = 0.5;
-const MEDIAN_OF_MEAN = 0.88;
-const WIDTH = 5;
+const MEDIAN_TO_MEAN = 0.88;
+const SUB_AGENTS = 5;
 const SUB_AGENT_TURNS = 2;
 
 /** Time of a line of turns on idle engines, in milliseconds. */
-export function idleTimeOf(plan: PlannedLine): number {
+export function idleTimeOf(plan: PlannedSequence): number {
   return plan.reduce((sum, { workMilliseconds, thinkMilliseconds, agents }) => {
     const slowest = Math.max(0, ...agents.map(idleTimeOf));
-    return sum + workMilliseconds + thinkMilliseconds + 2 * WAY_MILLISECONDS + slowest;
+    return sum + workMilliseconds + thinkMilliseconds + 2 * ONE_WAY_MILLISECONDS + slowest;
   }, 0);
 }
 
 /** Draws a line of turns; after a share of them sub-agents run. */
-export function drawLine(random: RandomSource, turns: number, fan: number): PlannedLine {
+export function drawSequence(
+  random: RandomSource,
+  turns: number,
+  fanOutShare: number,
+): PlannedSequence {
   return Array.from({ length: turns }, (_, index) => {
-    const fans = index + 1 < turns && random.uniform() < fan;
-    const agents = fans ? WIDTH : 0;
+    const fans = index + 1 < turns && random.uniform() < fanOutShare;
+    const agents = fans ? SUB_AGENTS : 0;
     return {
-      workMilliseconds: random.logNormal(1, WORK_SIGMA) * TURN_MILLISECONDS * MEDIAN_OF_MEAN,
+      workMilliseconds: random.logNormal(1, WORK_SIGMA) * TURN_MILLISECONDS * MEDIAN_TO_MEAN,
       thinkMilliseconds: random.exponential(THINK_MILLISECONDS),
-      agents: Array.from({ length: agents }, () => drawLine(random, SUB_AGENT_TURNS, 0)),
+      agents: Array.from({ length: agents }, () => drawSequence(random, SUB_AGENT_TURNS, 0)),
     };
   });
 }
--- a/features/support/contention-passages.ts
+++ b/features/support/contention-requests.ts
@@ -1,6 +1,6 @@
 /** Requests of programs as the stage of admission meets them, without a network. */
 import { ProgramAdmission } from '../../src/relay/admission/program-admission.js';
-import { ProgramShapes } from '../../src/relay/admission/program-shape.js';
+import { ProgramStats } from '../../src/relay/admission/program-stats.js';
 import { ServiceDemand } from '../../src/relay/admission/service-demand.js';
 import { AggregateRegistry } from '../../src/peers/aggregate-registry.js';
 import { createRandom } from '../../src/runtime/random.js';
@@ -8,7 +8,7 @@
 import { RelayMetrics } from '../../src/relay/relay-metrics.js';
 import type { PromptPart, RelayRequest } from '../../src/relay/request/relay-request.js';
 import { EngineEstimate } from '../../src/relay/runners/engine-estimate.js';
-import { Passage } from '../../src/relay/stages/passage.js';
+import { RequestState } from '../../src/relay/stages/request-state.js';
 
 /** Admission that knows no program. */
 export function freshAdmission(): ProgramAdmission {
@@ -16,14 +16,14 @@
 }
 
 /** A request of a tenant at a gateway that knows none of its programs; runners keep so much of its prompt. */
-export function passageWith(
+export function requestStateWith(
   program: string,
   promptParts: readonly PromptPart[],
-  kept: number,
-): Passage {
+  cachedTokens: number,
+): RequestState {
   const context = {
     admission: freshAdmission(),
-    shapes: new ProgramShapes(),
+    kindStats: new ProgramStats(),
     demand: new ServiceDemand(new AggregateRegistry()),
     metrics: new RelayMetrics(),
     runtime: { now: () => 0, log: () => undefined },
@@ -31,7 +31,7 @@
     book: {
       loadOf: () => ({ inFlight: 0, slots: 6, runners: 1 }),
       engineCosts: () => new EngineEstimate(),
-      candidates: () => [{ cachedTokens: kept }],
+      candidates: () => [{ cachedTokens: cachedTokens }],
       loadAgeMilliseconds: () => 100,
     },
   } as unknown as RelayContext;
@@ -45,5 +45,5 @@
     program: { program },
     tenant: { id: 't', priority: 0, quota },
   };
-  return new Passage(context, request as unknown as RelayRequest);
+  return new RequestState(context, request as unknown as RelayRequest);
 }
--- a/features/support/contention-day.ts
+++ b/features/support/contention-scenario.ts
@@ -1,44 +1,44 @@
 /** A day of the laboratory of admission, what a gateway sees in it, and what became of its programs. */
-import type { LabKind } from './contention-programs.js';
+import type { ProgramKind } from './contention-programs.js';
 
 /** A day in the laboratory. */
-export interface LabDay {
-  readonly kinds: readonly LabKind[];
+export interface SimulationScenario {
+  readonly kinds: readonly ProgramKind[];
   readonly seed: number;
-  readonly ageMilliseconds: number;
+  readonly loadAgeMilliseconds: number;
   /** Requests of a kind at a time, against usual. */
-  readonly factor: (kind: LabKind, second: number) => number;
+  readonly factor: (kind: ProgramKind, second: number) => number;
   /** Whether gateways are cut in two halves, each of which hears its own alone. */
-  readonly isCut?: boolean;
+  readonly isPartitioned?: boolean;
   /** Engines lost, from a second on. */
-  readonly lost?: { readonly engines: number; readonly second: number };
+  readonly lostEngines?: { readonly engines: number; readonly second: number };
 }
 
 /** A turn as a gateway sees it. */
-export interface LabTurn {
+export interface SimulatedTurn {
   readonly program: string;
-  readonly kind: LabKind;
+  readonly kind: ProgramKind;
   /** Time until the program should be over, in milliseconds. */
-  readonly leftMilliseconds: number;
+  readonly programRemainingMilliseconds: number;
   /** Time that the client waits for this send, in milliseconds. */
-  readonly requestMilliseconds: number;
+  readonly requestRemainingMilliseconds: number;
   readonly isSubAgent: boolean;
 }
 
 /** What a gateway believes of the engines. */
-export interface LabLoad {
+export interface SimulatedLoad {
   readonly inFlight: number;
   readonly slots: number;
   readonly runners: number;
   /** Requests that wait behind one of a rank. */
-  readonly behind: (rank: number) => number;
+  readonly countLessUrgent: (rank: number) => number;
 }
 
 /** Admission at one gateway: a pause in milliseconds, or undefined to let the turn in. */
-export type LabAdmission = (turn: LabTurn, load: LabLoad) => number | undefined;
+export type SimulatedAdmission = (turn: SimulatedTurn, load: SimulatedLoad) => number | undefined;
 
 /** What became of the programs of a kind. */
-export interface LabOutcome {
+export interface KindOutcome {
   programs: number;
   inTime: number;
   late: number;
--- a/src/relay/admission/outlook.ts
+++ b/src/relay/admission/demand-ahead.ts
@@ -5,11 +5,11 @@
   /** All of them. */
   readonly inFlight: number;
   /** Those of later ranks. */
-  readonly behind: number;
+  readonly lessUrgent: number;
   /** Those of its own rank. */
-  readonly equal: number;
+  readonly sameRank: number;
   /** Those behind it that were of its own rank until their programs became late. */
-  readonly late: number;
+  readonly lateSameRank: number;
 }
 
 /** Requests that go before a turn of the program, and those of them that are more urgent. */
@@ -22,10 +22,15 @@
  * What is before a program. Late programs of its rank are behind it at the runners, and yet have come before it.
  * Figures are of different ages, so none is taken for more than there is in all: where places are free none waits.
  */
-export function demandAhead({ inFlight, behind, equal, late }: RankedDemand): DemandAhead {
-  const notBehind = Math.max(0, inFlight - behind);
+export function demandAhead({
+  inFlight,
+  lessUrgent: lessUrgent,
+  sameRank: sameRank,
+  lateSameRank: lateSameRank,
+}: RankedDemand): DemandAhead {
+  const notLessUrgent = Math.max(0, inFlight - lessUrgent);
   return {
-    ahead: Math.min(inFlight, notBehind + Math.min(late, behind)),
-    moreUrgent: Math.max(0, notBehind - equal),
+    ahead: Math.min(inFlight, notLessUrgent + Math.min(lateSameRank, lessUrgent)),
+    moreUrgent: Math.max(0, notLessUrgent - sameRank),
   };
 }
--- a/src/relay/admission/program-admission.ts
+++ b/src/relay/admission/program-admission.ts
@@ -5,102 +5,106 @@
  * come costs its caller everything. Programs under way keep their place at every gateway.
  */
 import type { RandomSource } from '../../runtime/random.js';
-import { bearableWait, waitOf } from './predicted-wait.js';
-import type { AdmissionOutlook } from './predicted-wait.js';
-import { pauseUntilRoom } from './return-pause.js';
+import { waitLimit, predictWait } from './predicted-wait.js';
+import type { AdmissionInputs } from './predicted-wait.js';
+import { computeRetryDelay } from './retry-delay.js';
 
 /** Programs remembered; the longest unused go first. */
 const MAXIMUM_PROGRAMS = 20_000;
 
 /** What is asked for one request of a program. */
-export interface AdmissionQuestion {
+export interface AdmissionRequest {
   readonly program: string;
   /** Whether the request itself shows that its program has run before; asked only where it decides. */
-  readonly isUnderWay: () => boolean;
-  readonly outlook: () => AdmissionOutlook;
+  readonly hasRunBefore: () => boolean;
+  readonly inputs: () => AdmissionInputs;
 }
 
 /** Why a request was let in or not. */
 export type AdmissionCause = 'known' | 'shown' | 'bearable' | 'unbearable';
 
 /** What is decided, and by what. */
-export interface AdmissionVerdict {
+export interface AdmissionDecision {
   readonly cause: AdmissionCause;
   /** Pause until the client should come back, in milliseconds; undefined where the request is let in. */
-  readonly pauseMilliseconds: number | undefined;
+  readonly retryDelayMilliseconds: number | undefined;
   /** What decided; undefined for programs known here. */
-  readonly outlook: AdmissionOutlook | undefined;
-  readonly waitMilliseconds: number;
-  readonly bearableMilliseconds: number;
+  readonly inputs: AdmissionInputs | undefined;
+  readonly predictedWaitMilliseconds: number;
+  readonly waitLimitMilliseconds: number;
 }
 
-const KNOWN: AdmissionVerdict = {
+const ALREADY_ADMITTED: AdmissionDecision = {
   cause: 'known',
-  pauseMilliseconds: undefined,
-  outlook: undefined,
-  waitMilliseconds: 0,
-  bearableMilliseconds: 0,
+  retryDelayMilliseconds: undefined,
+  inputs: undefined,
+  predictedWaitMilliseconds: 0,
+  waitLimitMilliseconds: 0,
 };
 
 /** See the head of this file. */
 export class ProgramAdmission {
-  private readonly underWay = new Set<string>();
+  private readonly admittedPrograms = new Set<string>();
 
   constructor(private readonly random: RandomSource) {}
 
   /** Decides on a request of a program; a program that was let in once always is. */
-  decide(question: AdmissionQuestion): AdmissionVerdict {
-    const { program } = question;
-    if (this.underWay.delete(program)) {
+  decide(request: AdmissionRequest): AdmissionDecision {
+    const { program } = request;
+    if (this.admittedPrograms.delete(program)) {
       this.remember(program);
-      return KNOWN;
+      return ALREADY_ADMITTED;
     }
-    const verdict = this.judge(question);
-    if (verdict.pauseMilliseconds === undefined) {
+    const decision = this.evaluate(request);
+    if (decision.retryDelayMilliseconds === undefined) {
       this.remember(program);
     }
-    return verdict;
+    return decision;
   }
 
   /** Programs remembered. */
   get programCount(): number {
-    return this.underWay.size;
+    return this.admittedPrograms.size;
   }
 
   /** Whether a program was let in here before. */
-  knows(program: string): boolean {
-    return this.underWay.has(program);
+  isAdmitted(program: string): boolean {
+    return this.admittedPrograms.has(program);
   }
 
   /** Takes back that a program was let in: it could not begin for another reason. */
   forget(program: string): void {
-    this.underWay.delete(program);
+    this.admittedPrograms.delete(program);
   }
 
-  private judge(question: AdmissionQuestion): AdmissionVerdict {
-    const outlook = question.outlook();
-    const waitMilliseconds = waitOf(outlook);
-    const bearableMilliseconds = bearableWait(outlook);
-    const figures = { outlook, waitMilliseconds, bearableMilliseconds };
-    if (waitMilliseconds <= bearableMilliseconds) {
-      return { ...figures, cause: 'bearable', pauseMilliseconds: undefined };
+  private evaluate(request: AdmissionRequest): AdmissionDecision {
+    const inputs = request.inputs();
+    const predictedWaitMilliseconds = predictWait(inputs);
+    const waitLimitMilliseconds = waitLimit(inputs);
+    const estimates = {
+      inputs: inputs,
+      predictedWaitMilliseconds: predictedWaitMilliseconds,
+      waitLimitMilliseconds: waitLimitMilliseconds,
+    };
+    if (predictedWaitMilliseconds <= waitLimitMilliseconds) {
+      return { ...estimates, cause: 'bearable', retryDelayMilliseconds: undefined };
     }
-    if (question.isUnderWay()) {
-      return { ...figures, cause: 'shown', pauseMilliseconds: undefined };
+    if (request.hasRunBefore()) {
+      return { ...estimates, cause: 'shown', retryDelayMilliseconds: undefined };
     }
-    const excess = waitMilliseconds - bearableMilliseconds;
-    const pauseMilliseconds = pauseUntilRoom(
-      excess,
-      outlook.requestMilliseconds,
+    const excessMilliseconds = predictedWaitMilliseconds - waitLimitMilliseconds;
+    const retryDelayMilliseconds = computeRetryDelay(
+      excessMilliseconds,
+      inputs.requestRemainingMilliseconds,
       this.random.uniform(),
     );
-    return { ...figures, cause: 'unbearable', pauseMilliseconds };
+    return { ...estimates, cause: 'unbearable', retryDelayMilliseconds: retryDelayMilliseconds };
   }
 
   private remember(program: string): void {
-    this.underWay.add(program);
-    if (this.underWay.size > MAXIMUM_PROGRAMS) {
-      this.underWay.delete(this.underWay.values().next().value!);
+    this.admittedPrograms.add(program);
+    if (this.admittedPrograms.size > MAXIMUM_PROGRAMS) {
+      this.admittedPrograms.delete(this.admittedPrograms.values().next().value!);
     }
   }
 }
--- a/src/relay/admission/program-sizes.ts
+++ b/src/relay/admission/program-sizes.ts
@@ -7,24 +7,24 @@
 /** Programs of all tenants that count for one of which nothing is known. */
 const PRIOR_PROGRAMS = 5;
 /** Programs after which older ones count half. */
-const REMEMBERED_PROGRAMS = 200;
+const DECAY_AFTER_PROGRAMS = 200;
 /** Tenants remembered; the longest unused go first. */
 const MAXIMUM_TENANTS = 2_000;
 
-class Sizes {
+class SizeEstimate {
   private requests = 0;
   private programs = 0;
 
   /** Mean number of requests of a program, with some programs of a size assumed beside those seen. */
-  mean(assumed: number, assumedPrograms: number): number {
-    const requests = this.requests + assumed * assumedPrograms;
+  mean(assumedMean: number, assumedPrograms: number): number {
+    const requests = this.requests + assumedMean * assumedPrograms;
     return requests / (this.programs + assumedPrograms);
   }
 
-  note(isNewProgram: boolean): void {
+  recordRequest(isNewProgram: boolean): void {
     this.requests += 1;
     this.programs += isNewProgram ? 1 : 0;
-    if (this.programs > REMEMBERED_PROGRAMS) {
+    if (this.programs > DECAY_AFTER_PROGRAMS) {
       this.requests /= 2;
       this.programs /= 2;
     }
@@ -33,24 +33,24 @@
 
 /** See the head of this file. */
 export class ProgramSizes {
-  private readonly all = new Sizes();
-  private readonly byTenant = new Map<TenantId, Sizes>();
+  private readonly allTenants = new SizeEstimate();
+  private readonly byTenant = new Map<TenantId, SizeEstimate>();
 
   /** Notes a request that may run. */
-  note(tenant: TenantId, isNewProgram: boolean): void {
-    const sizes = this.byTenant.get(tenant) ?? new Sizes();
+  recordRequest(tenant: TenantId, isNewProgram: boolean): void {
+    const estimate = this.byTenant.get(tenant) ?? new SizeEstimate();
     this.byTenant.delete(tenant);
-    this.byTenant.set(tenant, sizes);
+    this.byTenant.set(tenant, estimate);
     if (this.byTenant.size > MAXIMUM_TENANTS) {
       this.byTenant.delete(this.byTenant.keys().next().value!);
     }
-    sizes.note(isNewProgram);
-    this.all.note(isNewProgram);
+    estimate.recordRequest(isNewProgram);
+    this.allTenants.recordRequest(isNewProgram);
   }
 
   /** Requests that a program of a tenant is expected to need. */
-  expected(tenant: TenantId): number {
-    const usual = this.all.mean(1, 1);
-    return this.byTenant.get(tenant)?.mean(usual, PRIOR_PROGRAMS) ?? usual;
+  expectedRequests(tenant: TenantId): number {
+    const overallMean = this.allTenants.mean(1, 1);
+    return this.byTenant.get(tenant)?.mean(overallMean, PRIOR_PROGRAMS) ?? overallMean;
   }
 }
--- a/src/relay/admission/program-shape.ts
+++ b/src/relay/admission/program-stats.ts
@@ -8,25 +8,25 @@
 const PRIOR_TURNS = 16;
 const PRIOR_PROGRAMS = 4;
 /** Programs after which older ones count half. */
-const REMEMBERED_PROGRAMS = 200;
+const DECAY_AFTER_PROGRAMS = 200;
 /** Kinds remembered; the longest unused go first. */
 const MAXIMUM_KINDS = 2_000;
 /** Most turns that a program is believed to have: more would leave it next to no wait, and no new one begins. */
-const MOST_TURNS = 64;
+const MAXIMUM_TURNS = 64;
 /** Numbers of parts told apart; a longer prompt counts as one of the last. */
-const MOST_PARTS = 32;
+const MAXIMUM_PARTS = 32;
 /** First turns after which older ones count half: kinds change with their clients. */
-const REMEMBERED_FIRST_TURNS = 200;
+const DECAY_AFTER_FIRST_TURNS = 200;
 /** Share of first turns with fewer parts that is passed over: clients that tell less than the others of their kind. */
-const PASSED_OVER_SHARE = 0.1;
+const OUTLIER_SHARE = 0.1;
 /** First turns below which nothing is told of parts: one alone may be of a client that tells less. */
-const LEAST_FIRST_TURNS = 5;
+const MINIMUM_FIRST_TURNS = 5;
 
-interface Shape {
+interface KindStats {
   turns: number;
   programs: number;
   /** First turns by the number of parts of their prompts. */
-  readonly firstTurns: number[];
+  readonly firstTurnsByParts: number[];
 }
 
 function sumOf(counts: readonly number[]): number {
@@ -34,18 +34,18 @@
 }
 
 /** Parts that prompts of first turns have at least, but for a few of them; infinite while too few were seen. */
-function usualParts(firstTurns: readonly number[]): number {
-  const all = sumOf(firstTurns);
-  if (all < LEAST_FIRST_TURNS) {
+function minimumUsualParts(countsByParts: readonly number[]): number {
+  const total = sumOf(countsByParts);
+  if (total < MINIMUM_FIRST_TURNS) {
     return Infinity;
   }
-  let seen = 0;
-  return firstTurns.findIndex((count) => (seen += count) > all * PASSED_OVER_SHARE);
+  let countSoFar = 0;
+  return countsByParts.findIndex((count) => (countSoFar += count) > total * OUTLIER_SHARE);
 }
 
 /** See the head of this file. */
-export class ProgramShapes {
-  private readonly byKind = new Map<string, Shape>();
+export class ProgramStats {
+  private readonly byKind = new Map<string, KindStats>();
 
   /** Kinds remembered. */
   get kindCount(): number {
@@ -53,58 +53,58 @@
   }
 
   /** Notes a turn that is let in. */
-  note(kind: string, isNewProgram: boolean): void {
-    const shape = this.shapeOf(kind);
-    shape.turns += 1;
-    shape.programs += isNewProgram ? 1 : 0;
-    if (shape.programs > REMEMBERED_PROGRAMS) {
-      shape.turns /= 2;
-      shape.programs /= 2;
+  recordTurn(kind: string, isNewProgram: boolean): void {
+    const stats = this.statsOf(kind);
+    stats.turns += 1;
+    stats.programs += isNewProgram ? 1 : 0;
+    if (stats.programs > DECAY_AFTER_PROGRAMS) {
+      stats.turns /= 2;
+      stats.programs /= 2;
     }
   }
 
   /** Turns that a program of a kind usually has. */
-  turns(kind: string): number {
-    const { turns, programs } = this.shapeOf(kind);
-    return Math.min(MOST_TURNS, turns / programs);
+  expectedTurns(kind: string): number {
+    const { turns, programs } = this.statsOf(kind);
+    return Math.min(MAXIMUM_TURNS, turns / programs);
   }
 
   /** Whether a prompt of so many parts is a sub-agent's. */
-  isOfSubAgent(kind: string, parts: number): boolean {
-    return parts > usualParts(this.shapeOf(kind).firstTurns);
+  isSubAgent(kind: string, parts: number): boolean {
+    return parts > minimumUsualParts(this.statsOf(kind).firstTurnsByParts);
   }
 
   /** Notes the number of parts of the prompt of a program's first turn; 0 stands for not told. */
-  noteFirstTurn(kind: string, parts: number): void {
+  recordFirstTurn(kind: string, parts: number): void {
     if (parts <= 0) {
       return;
     }
-    const { firstTurns } = this.shapeOf(kind);
-    const place = Math.min(MOST_PARTS, parts);
-    firstTurns[place] = (firstTurns[place] ?? 0) + 1;
-    if (sumOf(firstTurns) > REMEMBERED_FIRST_TURNS) {
+    const { firstTurnsByParts: firstTurns } = this.statsOf(kind);
+    const bucket = Math.min(MAXIMUM_PARTS, parts);
+    firstTurns[bucket] = (firstTurns[bucket] ?? 0) + 1;
+    if (sumOf(firstTurns) > DECAY_AFTER_FIRST_TURNS) {
       firstTurns.forEach((count, at) => {
         firstTurns[at] = count / 2;
       });
     }
   }
 
-  private shapeOf(kind: string): Shape {
+  private statsOf(kind: string): KindStats {
     const known = this.byKind.get(kind);
     if (known !== undefined) {
       this.byKind.delete(kind);
       this.byKind.set(kind, known);
       return known;
     }
-    const shape: Shape = {
+    const stats: KindStats = {
       turns: PRIOR_TURNS,
       programs: PRIOR_PROGRAMS,
-      firstTurns: new Array<number>(MOST_PARTS + 1).fill(0),
+      firstTurnsByParts: new Array<number>(MAXIMUM_PARTS + 1).fill(0),
     };
-    this.byKind.set(kind, shape);
+    this.byKind.set(kind, stats);
     if (this.byKind.size > MAXIMUM_KINDS) {
       this.byKind.delete(this.byKind.keys().next().value!);
     }
-    return shape;
+    return stats;
   }
 }
--- a/src/relay/admission/quota-gate.ts
+++ b/src/relay/admission/quota-gate.ts
@@ -19,26 +19,26 @@
   /** Whether enough replicas answer here. */
   readonly isReachable: () => boolean;
   /** Whether a program is let in with all the requests that it is expected to need. */
-  readonly countsPrograms: boolean;
+  readonly chargesWholePrograms: boolean;
 }
 
 /** Longest time for asking, in milliseconds. */
-const ASKING_MILLISECONDS = 300;
+const QUOTA_TIMEOUT_MILLISECONDS = 300;
 /**
  * Longest time for which a request of a program under way is held until its tenant has room: it is held
  * only when it is known to be served then.
  */
-const HELD_MILLISECONDS = 600;
+const MAXIMUM_HOLD_MILLISECONDS = 600;
 /** The same as a share of the time that the request has. */
-const HELD_SHARE = 0.25;
+const MAXIMUM_HOLD_SHARE = 0.25;
 /** Tenants that have a figure of their own; all others share one. */
-const NAMED_TENANTS = 100;
-const OTHER_TENANTS = 'others';
+const MAXIMUM_LABELED_TENANTS = 100;
+const OTHER_TENANTS_LABEL = 'others';
 
 /** See the head of this file. */
 export class QuotaGate {
-  private readonly named = new Set<string>();
-  private readonly sizes = new ProgramSizes();
+  private readonly labeledTenants = new Set<string>();
+  private readonly programSizes = new ProgramSizes();
 
   constructor(private readonly options: QuotaGateOptions) {}
 
@@ -54,22 +54,23 @@
       done(undefined);
       return;
     }
-    const { client, random, isReachable, countsPrograms } = this.options;
+    const { client, random, isReachable, chargesWholePrograms: countsPrograms } = this.options;
     const quota = { tenant: tenant.id, version, ...tenant.quota };
-    const timeout = Math.min(ASKING_MILLISECONDS, remainingMilliseconds);
-    const beginsRequests = isNewProgram && countsPrograms ? this.sizes.expected(tenant.id) : 0;
+    const timeout = Math.min(QUOTA_TIMEOUT_MILLISECONDS, remainingMilliseconds);
+    const beginsRequests =
+      isNewProgram && countsPrograms ? this.programSizes.expectedRequests(tenant.id) : 0;
     const patienceMilliseconds = isNewProgram
       ? 0
-      : Math.min(HELD_MILLISECONDS, remainingMilliseconds * HELD_SHARE);
+      : Math.min(MAXIMUM_HOLD_MILLISECONDS, remainingMilliseconds * MAXIMUM_HOLD_SHARE);
     const question = { quota, beginsRequests, patienceMilliseconds };
     client.spend(question, timeout, (outcome) => {
       switch (outcome.tag) {
         case 'Granted':
-          this.sizes.note(tenant.id, isNewProgram);
+          this.programSizes.recordRequest(tenant.id, isNewProgram);
           done(undefined);
           return;
         case 'Exhausted':
-          this.count(tenant.id);
+          this.countRefusal(tenant.id);
           done(quotaSpent(outcome.waitMilliseconds, random.uniform()));
           return;
         case 'OutOfReach':
@@ -78,12 +79,12 @@
     });
   }
 
-  private count(tenant: string): void {
-    if (this.named.size < NAMED_TENANTS) {
-      this.named.add(tenant);
+  private countRefusal(tenant: string): void {
+    if (this.labeledTenants.size < MAXIMUM_LABELED_TENANTS) {
+      this.labeledTenants.add(tenant);
     }
-    const name = this.named.has(tenant) ? tenant : OTHER_TENANTS;
-    const label = `tenant=${JSON.stringify(name)}`;
+    const tenantLabel = this.labeledTenants.has(tenant) ? tenant : OTHER_TENANTS_LABEL;
+    const label = `tenant=${JSON.stringify(tenantLabel)}`;
     this.options.metrics.count('ivyloom_relay_quota_refusals_total', label);
   }
 }
--- a/src/relay/admission/service-demand.ts
+++ b/src/relay/admission/service-demand.ts
@@ -10,44 +10,44 @@
 import type { AggregateRow, AggregateTopic } from '../../peers/aggregates.js';
 
 /** The last amount of a row holds this rank and all behind it. */
-const LAST_PLACE = MAXIMUM_AMOUNTS - 1;
+const LAST_BUCKET = MAXIMUM_AMOUNTS - 1;
 
-function placeOf(rank: number): number {
-  return Math.min(LAST_PLACE, Math.max(0, Math.floor(rank)));
+function bucketOf(rank: number): number {
+  return Math.min(LAST_BUCKET, Math.max(0, Math.floor(rank)));
 }
 
 /** Requests by service and place of their rank: this gateway's, told under a topic, and those of others. */
-class RankCounts {
+class RankedRequestCounts {
   private readonly byService = new Map<string, number[]>();
 
   constructor(
     private readonly tallies: AggregateRegistry,
     private readonly topic: AggregateTopic,
   ) {
-    tallies.register(topic, () => this.rows());
+    tallies.register(topic, () => this.tallyRows());
   }
 
   begin(service: string, rank: number): () => void {
-    const place = placeOf(rank);
+    const bucket = bucketOf(rank);
     const amounts = this.byService.get(service) ?? new Array<number>(MAXIMUM_AMOUNTS).fill(0);
     this.byService.set(service, amounts);
-    amounts[place]! += 1;
+    amounts[bucket]! += 1;
     return () => {
-      amounts[place]! -= 1;
+      amounts[bucket]! -= 1;
     };
   }
 
-  between(service: string, first: number, last: number): number {
+  countBetween(service: string, firstBucket: number, lastBucket: number): number {
     const own = this.byService.get(service) ?? [];
     const others = this.tallies.ofOthers(this.topic).get(hashToNumber(service));
     let sum = 0;
-    for (let place = first; place <= last; place += 1) {
-      sum += (own[place] ?? 0) + Math.max(0, others?.[place] ?? 0);
+    for (let bucket = firstBucket; bucket <= lastBucket; bucket += 1) {
+      sum += (own[bucket] ?? 0) + Math.max(0, others?.[bucket] ?? 0);
     }
     return sum;
   }
 
-  private rows(): AggregateRow[] {
+  private tallyRows(): AggregateRow[] {
     const rows: AggregateRow[] = [];
     for (const [service, amounts] of this.byService) {
       if (amounts.some((amount) => amount > 0)) {
@@ -60,21 +60,21 @@
 
 /** See the head of this file. */
 export class ServiceDemand {
-  private readonly all: RankCounts;
-  private readonly lateOnes: RankCounts;
+  private readonly allRequests: RankedRequestCounts;
+  private readonly lateRequests: RankedRequestCounts;
 
   constructor(tallies: AggregateRegistry) {
-    this.all = new RankCounts(tallies, AGGREGATE_TOPICS.serviceDemand);
-    this.lateOnes = new RankCounts(tallies, AGGREGATE_TOPICS.lateDemand);
+    this.allRequests = new RankedRequestCounts(tallies, AGGREGATE_TOPICS.serviceDemand);
+    this.lateRequests = new RankedRequestCounts(tallies, AGGREGATE_TOPICS.lateDemand);
   }
 
   /**
    * Notes a request that is let in; the function returned notes its end.
-   * @param rankInTime the rank that it would have in time, where its program is late
+   * @param baseRank the rank that it would have in time, where its program is late
    */
-  begin(service: string, rank: number, rankInTime?: number): () => void {
-    const end = this.all.begin(service, rank);
-    const endLate = rankInTime === undefined ? undefined : this.lateOnes.begin(service, rankInTime);
+  begin(service: string, rank: number, baseRank?: number): () => void {
+    const end = this.allRequests.begin(service, rank);
+    const endLate = baseRank === undefined ? undefined : this.lateRequests.begin(service, baseRank);
     return () => {
       end();
       endLate?.();
@@ -82,17 +82,17 @@
   }
 
   /** Requests at a service of ranks behind one. */
-  behind(service: string, rank: number): number {
-    return this.all.between(service, rank < 0 ? 0 : placeOf(rank) + 1, LAST_PLACE);
+  countLessUrgent(service: string, rank: number): number {
+    return this.allRequests.countBetween(service, rank < 0 ? 0 : bucketOf(rank) + 1, LAST_BUCKET);
   }
 
   /** Requests at a service of one rank. */
-  at(service: string, rank: number): number {
-    return this.all.between(service, placeOf(rank), placeOf(rank));
+  countAtRank(service: string, rank: number): number {
+    return this.allRequests.countBetween(service, bucketOf(rank), bucketOf(rank));
   }
 
   /** Requests at a service that would have a rank if their programs weren't late. */
-  late(service: string, rank: number): number {
-    return this.lateOnes.between(service, placeOf(rank), placeOf(rank));
+  countLate(service: string, rank: number): number {
+    return this.lateRequests.countBetween(service, bucketOf(rank), bucketOf(rank));
   }
 }
--- a/src/relay/answers/client-answer.ts
+++ b/src/relay/answers/client-answer.ts
@@ -5,8 +5,8 @@
 import type { ServerResponse } from 'node:http';
 import { STATUS_CODES } from 'node:http';
 import type { Runtime } from '../../runtime/runtime.js';
-import type { RequestEnd } from '../front/request-ends.js';
-import type { Holding } from '../memory/memory-accounts.js';
+import type { RequestCompletion } from '../front/request-completions.js';
+import type { MemoryAllocation } from '../memory/memory-accounts.js';
 import type { MemoryBudget, SlowReader } from '../memory/memory-budget.js';
 import { headersToClient } from '../request/forwarded-headers.js';
 import type { AnswerHead } from './answer-reader.js';
@@ -38,7 +38,7 @@
 /** What an answer is made with. */
 export interface ClientAnswerOptions {
   /** When the request is over. */
-  readonly end: RequestEnd;
+  readonly completion: RequestCompletion;
   readonly runtime: Runtime;
   readonly memory: MemoryBudget;
   readonly requestIdHeader: string;
@@ -56,14 +56,14 @@
   private source: AnswerSource | undefined;
   private readonly outlet: ClientOutlet;
   private readonly watch: ReaderWatch;
-  private readonly holding: Holding;
+  private readonly holding: MemoryAllocation;
 
   constructor(
     private readonly response: ServerResponse,
     private readonly options: ClientAnswerOptions,
   ) {
     const { runtime, memory } = options;
-    this.holding = memory.open('answers');
+    this.holding = memory.allocate('answers');
     this.outlet = new ClientOutlet(response, {
       onBehind: () => this.noteBehind(),
       onTaken: () => this.noteTaken(),
@@ -71,11 +71,11 @@
     });
     this.watch = new ReaderWatch(runtime, {
       stand: () => this.stand,
-      hasMemory: () => memory.hasPlenty,
+      hasMemory: () => memory.canBufferSlowReaders,
       readOn: () => this.readOn(),
       cut: (reason) => this.cut(reason),
     });
-    options.end.onOver(() => this.release());
+    options.completion.onComplete(() => this.release());
   }
 
   /** Whether the first byte of an answer is out. */
@@ -100,7 +100,7 @@
 
   /** Calls back when the client left before the end of its answer. */
   onLeft(listener: () => void): void {
-    this.options.end.onOver(() => {
+    this.options.completion.onComplete(() => {
       if (!this.response.writableFinished) {
         listener();
       }
--- a/src/relay/answers/plain-answer.ts
+++ b/src/relay/answers/plain-answer.ts
@@ -1,5 +1,5 @@
 /** A runner's answer that is passed on as a whole, once all of it is there. */
-import type { Holding } from '../memory/memory-accounts.js';
+import type { MemoryAllocation } from '../memory/memory-accounts.js';
 import type { AnsweredCall, AnswerHead, AnswerReader } from './answer-reader.js';
 
 /** Largest answer that is taken, in bytes. */
@@ -11,10 +11,10 @@
   private bytes = 0;
   private head: AnswerHead | undefined;
 
-  private readonly holding: Holding;
+  private readonly holding: MemoryAllocation;
 
   constructor(private readonly call: AnsweredCall) {
-    this.holding = call.context.memory.open('answers');
+    this.holding = call.context.memory.allocate('answers');
   }
 
   onHead(head: AnswerHead): void {
--- a/src/relay/answers/stream-answer.ts
+++ b/src/relay/answers/stream-answer.ts
@@ -2,12 +2,12 @@
  * A runner's stream, passed on event by event. Only whole events go to the client, so a broken
  * stream can be taken up after the last one. A kept turn is stored before the stream's end goes out.
  */
-import type { Holding } from '../memory/memory-accounts.js';
+import type { MemoryAllocation } from '../memory/memory-accounts.js';
 import { EventSplitter } from './event-splitter.js';
 import type { StreamEvent } from './event-splitter.js';
 import { FIRST_REDIRECT } from './answer-reader.js';
 import type { AnsweredCall, AnswerHead, AnswerReader } from './answer-reader.js';
-import { nameForTenant } from '../request/tenant.js';
+import { tenantScopedId } from '../request/tenant.js';
 
 const LINE_FEED = Buffer.from('\n');
 /** Longest time for storing a turn, in milliseconds. */
@@ -26,10 +26,10 @@
   private splitter = new EventSplitter();
   private head: AnswerHead | undefined;
   private readonly output: Buffer[] = [];
-  private readonly holding: Holding;
+  private readonly holding: MemoryAllocation;
 
   constructor(private readonly call: AnsweredCall) {
-    this.holding = call.context.memory.open('turns');
+    this.holding = call.context.memory.allocate('turns');
   }
 
   /** Tokens handed to the client. */
@@ -123,11 +123,11 @@
       return;
     }
     const turn = {
-      id: nameForTenant(request.tenant, request.id),
+      id: tenantScopedId(request.tenant, request.id),
       previous:
         request.previousTurn === undefined
           ? ''
-          : nameForTenant(request.tenant, request.previousTurn),
+          : tenantScopedId(request.tenant, request.previousTurn),
       input: request.body,
       output: Buffer.concat(this.output),
       retentionMilliseconds: request.route.retentionSeconds * MILLISECONDS_IN_SECOND,
--- a/src/relay/front/body-reader.ts
+++ b/src/relay/front/body-reader.ts
@@ -1,11 +1,11 @@
 /** Reads the body of one request, within its bound, its time and the memory of the process. */
 import type { IncomingMessage } from 'node:http';
 import type { Runtime } from '../../runtime/runtime.js';
-import type { Holding } from '../memory/memory-accounts.js';
+import type { MemoryAllocation } from '../memory/memory-accounts.js';
 import type { MemoryBudget } from '../memory/memory-budget.js';
 
 /** How reading a body ended. */
-export type BodyEnd =
+export type BodyResult =
   | { readonly tag: 'Whole'; readonly body: Buffer }
   /** It exceeds the bound. */
   | { readonly tag: 'TooLarge' }
@@ -15,7 +15,7 @@
   | { readonly tag: 'NoMemory' };
 
 /** What a body is read with. */
-export interface BodyReading {
+export interface BodyReadOptions {
   readonly runtime: Runtime;
   readonly memory: MemoryBudget;
   /** Most bytes of the body. */
@@ -31,81 +31,81 @@
 class BodyReader {
   private readonly chunks: Buffer[] = [];
   private bytes = 0;
-  private over = false;
-  private begun = false;
-  private readonly cancel: () => void;
-  private stopWaiting: () => void = () => undefined;
+  private finished = false;
+  private started = false;
+  private readonly cancelTimeout: () => void;
+  private cancelWait: () => void = () => undefined;
 
   constructor(
     private readonly request: IncomingMessage,
-    private readonly reading: BodyReading,
-    private readonly holding: Holding,
-    private readonly done: (end: BodyEnd) => void,
+    private readonly options: BodyReadOptions,
+    private readonly allocation: MemoryAllocation,
+    private readonly done: (result: BodyResult) => void,
   ) {
-    const { runtime, timeoutMilliseconds } = reading;
-    this.cancel = runtime.setTimer(timeoutMilliseconds, () => this.endLate());
-    request.on('error', () => this.giveUp());
-    request.on('close', () => this.giveUp());
+    const { runtime, timeoutMilliseconds } = options;
+    this.cancelTimeout = runtime.setTimer(timeoutMilliseconds, () => this.finishLate());
+    request.on('error', () => this.detach());
+    request.on('close', () => this.detach());
   }
 
   start(): void {
     if (hasBody(this.request)) {
-      this.stopWaiting = this.reading.memory.whenBodyMayCome(() => this.read());
+      this.cancelWait = this.options.memory.whenBodyAccepted(() => this.read());
     } else {
       this.read();
     }
   }
 
   private read(): void {
-    if (this.over) {
+    if (this.finished) {
       return;
     }
-    this.begun = true;
-    this.request.on('data', (chunk: Buffer) => this.take(chunk));
-    this.request.on('end', () => this.finish({ tag: 'Whole', body: this.joined() }));
+    this.started = true;
+    this.request.on('data', (chunk: Buffer) => this.addChunk(chunk));
+    this.request.on('end', () => this.finish({ tag: 'Whole', body: this.wholeBody() }));
   }
 
   /** A body that was never begun was kept waiting here: that is not its client's fault. */
-  private endLate(): void {
-    this.finish({ tag: this.begun ? 'Late' : 'NoMemory' });
+  private finishLate(): void {
+    this.finish({ tag: this.started ? 'Late' : 'NoMemory' });
   }
 
-  private take(chunk: Buffer): void {
-    if (this.over) {
+  private addChunk(chunk: Buffer): void {
+    if (this.finished) {
       return;
     }
     this.bytes += chunk.length;
-    if (this.bytes > this.reading.limitBytes) {
+    if (this.bytes > this.options.limitBytes) {
       this.finish({ tag: 'TooLarge' });
       return;
     }
     this.chunks.push(chunk);
-    this.holding.set(this.bytes);
-    if (this.reading.memory.level === 'cut') {
+    this.allocation.set(this.bytes);
+    if (this.options.memory.level === 'cut') {
       this.finish({ tag: 'NoMemory' });
     }
   }
 
-  private joined(): Buffer {
+  private wholeBody(): Buffer {
     return this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks);
   }
 
-  private finish(end: BodyEnd): void {
-    if (this.over) {
+  private finish(result: BodyResult): void {
+    if (this.finished) {
       return;
     }
-    this.giveUp();
-    if (end.tag !== 'Whole') {
+    this.detach();
+    if (result.tag !== 'Whole') {
       this.chunks.length = 0;
-      this.holding.release();
+      this.allocation.release();
     }
-    this.done(end);
+    this.done(result);
   }
 
-  private giveUp(): void {
-    this.over = true;
-    this.cancel();
-    this.stopWaiting();
+  private detach(): void {
+    this.finished = true;
+    this.cancelTimeout();
+    this.cancelWait();
   }
 }
 
@@ -115,9 +115,9 @@
  */
 export function readBody(
   request: IncomingMessage,
-  reading: BodyReading,
-  holding: Holding,
-  done: (end: BodyEnd) => void,
+  options: BodyReadOptions,
+  allocation: MemoryAllocation,
+  done: (result: BodyResult) => void,
 ): void {
-  new BodyReader(request, reading, holding, done).start();
+  new BodyReader(request, options, allocation, done).start();
 }
--- a/src/relay/front/relay-front.ts
+++ b/src/relay/front/relay-front.ts
@@ -7,26 +7,26 @@
 import type { OwnAnswer } from '../answers/own-answers.js';
 import type { RelayContext } from '../relay-context.js';
 import type { RoutingTable } from '../request/routing-table.js';
-import { createDoor } from '../stages/door.js';
-import type { Door } from '../stages/door.js';
-import { BODY_STAGES, HEAD_STAGES, passDoor, refusal } from '../stages/door-stages.js';
+import { createIngressRequest } from '../stages/ingress-request.js';
+import type { IngressRequest } from '../stages/ingress-request.js';
+import { BODY_STAGES, HEAD_STAGES, runIngressStages, refusal } from '../stages/ingress-stages.js';
 import type { StageRefusal } from '../stages/stage.js';
 import { RelayCall } from '../tries/relay-call.js';
 import { readBody } from './body-reader.js';
-import type { BodyEnd } from './body-reader.js';
-import { RequestEnds } from './request-ends.js';
-import type { RequestEnd } from './request-ends.js';
+import type { BodyResult } from './body-reader.js';
+import { RequestCompletions } from './request-completions.js';
+import type { RequestCompletion } from './request-completions.js';
 import { clientTimeoutMilliseconds, headOf, parseRequest } from './request-parser.js';
 
 /** Largest header that Node itself reads, in bytes; the configured limit is checked after. */
 const PARSER_HEADER_BYTES = 64 * 1024;
-const CHECK_MILLISECONDS = 1_000;
+const TIMEOUT_CHECK_MILLISECONDS = 1_000;
 /** Longest queue of connections that are not accepted yet. */
 const BACKLOG = 1_024;
 /** Stage named where a request is refused while its body is read. */
-const BODY = 'body';
+const BODY_STAGE = 'body';
 /** What is answered where a body could not be read. */
-const BODY_REFUSALS: Readonly<Record<Exclude<BodyEnd['tag'], 'Whole'>, () => OwnAnswer>> = {
+const BODY_REFUSALS: Readonly<Record<Exclude<BodyResult['tag'], 'Whole'>, () => OwnAnswer>> = {
   TooLarge: () => refusal(413, 'the body exceeds the bound'),
   Late: () => refusal(408, 'the body did not come in time'),
   NoMemory: memoryShort,
@@ -35,7 +35,7 @@
 /** See the head of this file. */
 export class RelayFront {
   private readonly server: Server;
-  private readonly ends = new RequestEnds();
+  private readonly completions = new RequestCompletions();
   /** Requests under way. */
   activeCount = 0;
   private draining = false;
@@ -45,18 +45,18 @@
     this.server = createServer(
       {
         maxHeaderSize: PARSER_HEADER_BYTES,
-        connectionsCheckingInterval: CHECK_MILLISECONDS,
+        connectionsCheckingInterval: TIMEOUT_CHECK_MILLISECONDS,
         keepAliveTimeout: 0,
         requestTimeout: 0,
         noDelay: true,
       },
-      (request, response) => this.take(request, response),
+      (request, response) => this.handleRequest(request, response),
     );
     this.server.on('checkContinue', (request: IncomingMessage, response: ServerResponse) => {
       response.writeContinue();
-      this.take(request, response);
+      this.handleRequest(request, response);
     });
-    this.server.on('connection', (socket: Socket) => this.ends.addSocket(socket));
+    this.server.on('connection', (socket: Socket) => this.completions.addSocket(socket));
   }
 
   /** Listens; calls back when it does. */
@@ -86,7 +86,7 @@
   /** Breaks every connection and stops listening. */
   close(): void {
     this.server.close();
-    this.ends.destroyAll();
+    this.completions.destroyAll();
   }
 
   /** Clients are to come back over another connection, which may lead to another gateway. */
@@ -94,13 +94,13 @@
     return this.draining || !this.context.turns.isReachable;
   }
 
-  private take(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const { names, runtime } = this.context;
     const arrivedAt = runtime.now();
     const head = headOf(request);
-    const end = this.ends.open(request.socket, response);
+    const completion = this.completions.track(request.socket, response);
     const answer = new ClientAnswer(response, {
-      end,
+      completion: completion,
       runtime,
       memory: this.context.memory,
       requestIdHeader: names.requestId,
@@ -108,24 +108,24 @@
       isClosing: () => this.isClosing,
     });
     this.activeCount += 1;
-    end.onOver(() => {
+    completion.onComplete(() => {
       this.activeCount -= 1;
       this.checkIdle();
     });
-    const door = createDoor(this.context, head);
-    const refused = passDoor(door, HEAD_STAGES);
-    if (refused !== undefined) {
-      this.refuse(request, answer, refused, door.id);
+    const ingress = createIngressRequest(this.context, head);
+    const headRefusal = runIngressStages(ingress, HEAD_STAGES);
+    if (headRefusal !== undefined) {
+      this.refuse(request, answer, headRefusal, ingress.id);
       return;
     }
-    this.read(request, end, answer, door, (body) => {
-      const latest = { ...door, table: this.context.currentTable() ?? door.table };
-      const refusedNow = passDoor(latest, BODY_STAGES);
-      if (refusedNow !== undefined) {
-        this.refuse(request, answer, refusedNow, door.id);
+    this.readRequestBody(request, completion, answer, ingress, (body) => {
+      const latestIngress = { ...ingress, table: this.context.currentTable() ?? ingress.table };
+      const bodyRefusal = runIngressStages(latestIngress, BODY_STAGES);
+      if (bodyRefusal !== undefined) {
+        this.refuse(request, answer, bodyRefusal, ingress.id);
         return;
       }
-      const parsed = parseRequest({ ...door, tenant: latest.tenant }, body, arrivedAt);
+      const parsed = parseRequest({ ...ingress, tenant: latestIngress.tenant }, body, arrivedAt);
       new RelayCall(this.context, parsed, answer).start();
     });
   }
@@ -133,7 +133,7 @@
   private refuse(
     request: IncomingMessage,
     answer: ClientAnswer,
-    { stage, answer: own }: StageRefusal,
+    { stage, answer: ownAnswer }: StageRefusal,
     id: string | undefined,
   ): void {
     const version = this.context.currentTable()?.version ?? -1;
@@ -143,38 +143,43 @@
       host: request.headers.host ?? '',
       path: request.url ?? '',
       stage,
-      status: own.status,
-      reason: own.detail,
+      status: ownAnswer.status,
+      reason: ownAnswer.detail,
       version,
     });
-    this.context.metrics.count('ivyloom_relay_door_refusals_total', `status="${own.status}"`);
+    this.context.metrics.count('ivyloom_relay_door_refusals_total', `status="${ownAnswer.status}"`);
     request.resume();
-    answer.sendOwn(own, id);
+    answer.sendOwn(ownAnswer, id);
   }
 
-  private read(
+  private readRequestBody(
     request: IncomingMessage,
-    ended: RequestEnd,
+    completion: RequestCompletion,
     answer: ClientAnswer,
-    door: Door,
+    ingress: IngressRequest,
     done: (body: Buffer) => void,
   ): void {
     const { runtime, memory } = this.context;
-    const holding = memory.open('bodies');
-    ended.onOver(() => holding.release());
-    const { bodyBytes: limitBytes } = door.table!.limits;
-    const reading = {
+    const allocation = memory.allocate('bodies');
+    completion.onComplete(() => allocation.release());
+    const { bodyBytes: limitBytes } = ingress.table!.limits;
+    const options = {
       runtime,
       memory,
       limitBytes,
-      timeoutMilliseconds: clientTimeoutMilliseconds(door),
+      timeoutMilliseconds: clientTimeoutMilliseconds(ingress),
     };
-    readBody(request, reading, holding, (end) => {
-      if (end.tag === 'Whole') {
-        done(end.body);
+    readBody(request, options, allocation, (result) => {
+      if (result.tag === 'Whole') {
+        done(result.body);
         return;
       }
-      this.refuse(request, answer, { stage: BODY, answer: BODY_REFUSALS[end.tag]() }, door.id);
+      this.refuse(
+        request,
+        answer,
+        { stage: BODY_STAGE, answer: BODY_REFUSALS[result.tag]() },
+        ingress.id,
+      );
     });
   }
 
--- a/src/relay/front/request-ends.ts
+++ b/src/relay/front/request-completions.ts
@@ -6,46 +6,46 @@
 import type { Socket } from 'node:net';
 
 /** The end of one request: its answer is out, or its connection is gone. */
-export class RequestEnd {
+export class RequestCompletion {
   private readonly listeners: (() => void)[] = [];
-  private over = false;
+  private completed = false;
 
   /** Calls back once, when the request is over. */
-  onOver(listener: () => void): void {
+  onComplete(listener: () => void): void {
     this.listeners.push(listener);
   }
 
   /** Notes the end; may come twice. */
-  note(): void {
-    if (!this.over) {
-      this.over = true;
+  complete(): void {
+    if (!this.completed) {
+      this.completed = true;
       this.listeners.forEach((listener) => listener());
     }
   }
 }
 
 /** The connections of a server, and the ends of requests under way on each. */
-export class RequestEnds {
-  private readonly bySocket = new Map<Socket, Set<RequestEnd>>();
+export class RequestCompletions {
+  private readonly bySocket = new Map<Socket, Set<RequestCompletion>>();
 
   /** Takes a new connection. */
   addSocket(socket: Socket): void {
-    const ends = new Set<RequestEnd>();
-    this.bySocket.set(socket, ends);
+    const completions = new Set<RequestCompletion>();
+    this.bySocket.set(socket, completions);
     socket.on('close', () => {
       this.bySocket.delete(socket);
-      ends.forEach((end) => end.note());
+      completions.forEach((completion) => completion.complete());
     });
   }
 
   /** Opens the end of a request that came over a connection. */
-  open(socket: Socket, response: ServerResponse): RequestEnd {
-    const end = new RequestEnd();
-    const ends = this.bySocket.get(socket);
-    ends?.add(end);
-    end.onOver(() => ends?.delete(end));
-    response.on('close', () => end.note());
-    return end;
+  track(socket: Socket, response: ServerResponse): RequestCompletion {
+    const completion = new RequestCompletion();
+    const completions = this.bySocket.get(socket);
+    completions?.add(completion);
+    completion.onComplete(() => completions?.delete(completion));
+    response.on('close', () => completion.complete());
+    return completion;
   }
 
   /** Breaks every connection. */
--- a/src/relay/front/request-parser.ts
+++ b/src/relay/front/request-parser.ts
@@ -2,12 +2,12 @@
 import type { IncomingMessage } from 'node:http';
 import { parsePromptParts, parseTokenUsage } from '../request/relay-request.js';
 import type { ProgramReference, RelayRequest } from '../request/relay-request.js';
-import type { Door, RequestHead } from '../stages/door.js';
+import type { IngressRequest, RequestHead } from '../stages/ingress-request.js';
 
 /** Time that a client waits which doesn't tell. */
 const DEFAULT_TIMEOUT_MILLISECONDS = 30_000;
 
-function single(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
@@ -17,17 +17,17 @@
     method: method ?? 'GET',
     path: url ?? '/',
     rawHeaders,
-    header: (name) => single(headers[name]),
+    header: (name) => firstValue(headers[name]),
   };
 }
 
 /** Milliseconds that the client waits. */
-export function clientTimeoutMilliseconds({ head, context }: Door): number {
+export function clientTimeoutMilliseconds({ head, context }: IngressRequest): number {
   const value = Number(head.header(context.names.timeout));
   return Number.isFinite(value) && value > 0 ? value : DEFAULT_TIMEOUT_MILLISECONDS;
 }
 
-function programOf({ head, context }: Door): ProgramReference | undefined {
+function parseProgram({ head, context }: IngressRequest): ProgramReference | undefined {
   const { names } = context;
   const program = head.header(names.program);
   if (program === undefined) {
@@ -39,27 +39,31 @@
 }
 
 /** A request that passed the door, with its whole body. */
-export function parseRequest(door: Door, body: Buffer, arrivedAt: number): RelayRequest {
-  const { head, tenant } = door;
-  const { names } = door.context;
+export function parseRequest(
+  ingress: IngressRequest,
+  body: Buffer,
+  arrivedAt: number,
+): RelayRequest {
+  const { head, tenant } = ingress;
+  const { names } = ingress.context;
   const { header } = head;
-  const table = door.table!;
-  const programLeft = Number(header(names.programDeadline) ?? NaN);
+  const table = ingress.table!;
+  const programRemaining = Number(header(names.programDeadline) ?? NaN);
   const usage = parseTokenUsage(header(names.tokenUsage));
   return {
-    id: door.id!,
+    id: ingress.id!,
     method: head.method,
     path: head.path,
     rawHeaders: head.rawHeaders,
     body,
     arrivedAt,
-    deadlineAt: arrivedAt + clientTimeoutMilliseconds(door),
-    route: door.route!,
+    deadlineAt: arrivedAt + clientTimeoutMilliseconds(ingress),
+    route: ingress.route!,
     tenant,
     hidesKey: table.tenants !== undefined,
     configurationVersion: table.version,
-    program: programOf(door),
-    programDeadlineAt: Number.isFinite(programLeft) ? arrivedAt + programLeft : undefined,
+    program: parseProgram(ingress),
+    programDeadlineAt: Number.isFinite(programRemaining) ? arrivedAt + programRemaining : undefined,
     previousTurn: header(names.previousTurn),
     lastEventId: header(names.lastEventId),
     promptParts: parsePromptParts(header(names.promptParts)),
--- a/src/relay/memory/memory-accounts.ts
+++ b/src/relay/memory/memory-accounts.ts
@@ -16,13 +16,13 @@
 export type AccountBytes = Readonly<Record<MemoryAccount, number>>;
 
 /** What one request holds in one account. */
-export class Holding {
+export class MemoryAllocation {
   private held = 0;
   private released = false;
 
   constructor(
     readonly account: MemoryAccount,
-    private readonly change: (account: MemoryAccount, bytes: number) => void,
+    private readonly onChange: (account: MemoryAccount, bytes: number) => void,
   ) {}
 
   /** Bytes held. */
@@ -35,10 +35,10 @@
     if (this.released) {
       return;
     }
-    const more = bytes - this.held;
+    const difference = bytes - this.held;
     this.held = bytes;
-    if (more !== 0) {
-      this.change(this.account, more);
+    if (difference !== 0) {
+      this.onChange(this.account, difference);
     }
   }
 
--- a/src/relay/memory/memory-budget.ts
+++ b/src/relay/memory/memory-budget.ts
@@ -4,7 +4,7 @@
  * cut, whoever else holds what.
  */
 import type { Runtime } from '../../runtime/runtime.js';
-import { Holding, MEMORY_ACCOUNTS } from './memory-accounts.js';
+import { MemoryAllocation, MEMORY_ACCOUNTS } from './memory-accounts.js';
 import type { AccountBytes, MemoryAccount } from './memory-accounts.js';
 import { levelOf } from './memory-bounds.js';
 import type { MemoryBounds, MemoryLevel } from './memory-bounds.js';
@@ -21,14 +21,14 @@
 }
 
 /** Idle time below which a reader counts as reading: a round trip to a far client and a pause of its process. */
-const READING_MILLISECONDS = 250;
+const ACTIVE_READER_MILLISECONDS = 250;
 /** Least time between two log lines of one level, in milliseconds: a level swings with the load. */
-const LOG_MILLISECONDS = 1_000;
+const LOG_INTERVAL_MILLISECONDS = 1_000;
 
 /** Bodies let in together: of some tens of kilobytes each, a small part of the smallest budget. */
-const BODIES_AT_ONCE = 16;
+const ADMIT_BATCH_BODIES = 16;
 /** Pause between two lots of bodies, in milliseconds: what was let in has begun to count by then. */
-const LET_IN_MILLISECONDS = 10;
+const ADMIT_INTERVAL_MILLISECONDS = 10;
 
 /** Sorts readers so that the first to be cut comes first. */
 export type CutOrder = (left: SlowReader, right: SlowReader) => number;
@@ -41,13 +41,13 @@
 export class MemoryBudget {
   private readonly accounts = new Map<MemoryAccount, number>();
   private readonly readers = new Set<SlowReader>();
-  private readonly loggedAt = new Map<MemoryLevel, number>();
+  private readonly levelLoggedAt = new Map<MemoryLevel, number>();
   /** Bodies that wait, the first first. */
-  private readonly waiting = new Set<() => void>();
-  private isLetting = false;
-  private current: MemoryLevel = 'calm';
-  private total = 0;
-  private cutting = false;
+  private readonly waitingBodies = new Set<() => void>();
+  private isAdmitPending = false;
+  private currentLevel: MemoryLevel = 'calm';
+  private totalBytes = 0;
+  private isCutting = false;
   private cuts = 0;
 
   constructor(
@@ -58,47 +58,47 @@
 
   /** Bytes held in all accounts. */
   get heldBytes(): number {
-    return this.total;
+    return this.totalBytes;
   }
 
   /** How near the budget is to its end. */
   get level(): MemoryLevel {
-    return this.current;
+    return this.currentLevel;
   }
 
   /** Whether bodies of new requests are read. */
-  get isCalm(): boolean {
-    return this.current === 'calm';
+  get acceptsBodies(): boolean {
+    return this.currentLevel === 'calm';
   }
 
   /** Whether slow readers may be waited for: nobody else needs the memory. */
-  get hasPlenty(): boolean {
-    return this.total < this.bounds.plentyBytes;
+  get canBufferSlowReaders(): boolean {
+    return this.totalBytes < this.bounds.slowReaderBytes;
   }
 
   /** Whether a new request may come in. */
-  get takesRequests(): boolean {
-    return this.current === 'calm' || this.current === 'wait';
+  get acceptsRequests(): boolean {
+    return this.currentLevel === 'calm' || this.currentLevel === 'wait';
   }
 
   /** Opens a holding for one request. */
-  open(account: MemoryAccount): Holding {
-    return new Holding(account, (name, bytes) => this.change(name, bytes));
+  allocate(account: MemoryAccount): MemoryAllocation {
+    return new MemoryAllocation(account, (name, bytes) => this.adjust(name, bytes));
   }
 
   /**
    * Calls back when the body of a new request may be read: at once, or when there is room. The returned function
    * gives up the wait of a request that is over.
    */
-  whenBodyMayCome(listener: () => void): () => void {
+  whenBodyAccepted(listener: () => void): () => void {
     const entry = (): void => listener();
-    if (this.isCalm && this.waiting.size === 0) {
+    if (this.acceptsBodies && this.waitingBodies.size === 0) {
       listener();
     } else {
-      this.waiting.add(entry);
-      this.letBodiesIn();
+      this.waitingBodies.add(entry);
+      this.admitBodies();
     }
-    return () => this.waiting.delete(entry);
+    return () => this.waitingBodies.delete(entry);
   }
 
   /** Adds a client that is behind. */
@@ -137,72 +137,72 @@
       `ivyloom_memory_budget_bytes ${this.bounds.cutBytes === Infinity ? '+Inf' : this.bounds.cutBytes}`,
       `ivyloom_memory_slow_readers ${this.readers.size}`,
       `ivyloom_memory_cut_readers_total ${this.cutCount}`,
-      `ivyloom_memory_waiting_bodies ${this.waiting.size}`,
+      `ivyloom_memory_waiting_bodies ${this.waitingBodies.size}`,
     );
     return `${lines.join('\n')}\n`;
   }
 
-  private change(account: MemoryAccount, bytes: number): void {
+  private adjust(account: MemoryAccount, bytes: number): void {
     this.accounts.set(account, (this.accounts.get(account) ?? 0) + bytes);
-    this.total += bytes;
-    this.judge();
+    this.totalBytes += bytes;
+    this.updateLevel();
   }
 
-  private judge(): void {
-    const before = this.current;
-    this.current = levelOf(this.total, this.bounds, before);
-    if (this.current !== before) {
+  private updateLevel(): void {
+    const before = this.currentLevel;
+    this.currentLevel = levelOf(this.totalBytes, this.bounds, before);
+    if (this.currentLevel !== before) {
       this.logLevel(before);
     }
-    if (this.current === 'cut') {
+    if (this.currentLevel === 'cut') {
       this.cutReaders();
     }
-    this.letBodiesIn();
+    this.admitBodies();
   }
 
   /** Lets some of the bodies in that wait, and looks again for the others, since all at once pass the mark again. */
-  private letBodiesIn(): void {
-    if (!this.isCalm || this.waiting.size === 0 || this.isLetting) {
+  private admitBodies(): void {
+    if (!this.acceptsBodies || this.waitingBodies.size === 0 || this.isAdmitPending) {
       return;
     }
-    this.isLetting = true;
-    this.runtime.setTimer(LET_IN_MILLISECONDS, () => {
-      this.isLetting = false;
-      this.letBodiesIn();
+    this.isAdmitPending = true;
+    this.runtime.setTimer(ADMIT_INTERVAL_MILLISECONDS, () => {
+      this.isAdmitPending = false;
+      this.admitBodies();
     });
-    for (const listener of [...this.waiting].slice(0, BODIES_AT_ONCE)) {
-      this.waiting.delete(listener);
+    for (const listener of [...this.waitingBodies].slice(0, ADMIT_BATCH_BODIES)) {
+      this.waitingBodies.delete(listener);
       listener();
     }
   }
 
   /** Cuts those that hold the most for the longest, until the level is left. */
   private cutReaders(): void {
-    if (this.cutting) {
+    if (this.isCutting) {
       return;
     }
-    this.cutting = true;
+    this.isCutting = true;
     const victims = [...this.readers]
-      .filter((reader) => reader.idleMilliseconds >= READING_MILLISECONDS)
+      .filter((reader) => reader.idleMilliseconds >= ACTIVE_READER_MILLISECONDS)
       .sort(this.cutOrder);
     for (const victim of victims) {
-      if (levelOf(this.total, this.bounds, 'cut') !== 'cut') {
+      if (levelOf(this.totalBytes, this.bounds, 'cut') !== 'cut') {
         break;
       }
       victim.cut('memory is short, and the client does not take its answer');
     }
-    this.cutting = false;
-    this.current = levelOf(this.total, this.bounds, 'cut');
+    this.isCutting = false;
+    this.currentLevel = levelOf(this.totalBytes, this.bounds, 'cut');
   }
 
   /** Says who holds what when a mark is passed, either way. */
   private logLevel(before: MemoryLevel): void {
     const now = this.runtime.now();
-    const level = this.current;
-    if (now - (this.loggedAt.get(level) ?? -Infinity) < LOG_MILLISECONDS) {
+    const level = this.currentLevel;
+    if (now - (this.levelLoggedAt.get(level) ?? -Infinity) < LOG_INTERVAL_MILLISECONDS) {
       return;
     }
-    this.loggedAt.set(level, now);
+    this.levelLoggedAt.set(level, now);
     let largest: SlowReader | undefined;
     for (const reader of this.readers) {
       if (reader.heldBytes > (largest?.heldBytes ?? 0)) {
@@ -213,11 +213,11 @@
       event: 'memory.level',
       level,
       before,
-      held: this.total,
+      held: this.totalBytes,
       budget: Math.round(this.bounds.cutBytes),
       ...this.byAccount(),
       slowReaders: this.readers.size,
-      waitingBodies: this.waiting.size,
+      waitingBodies: this.waitingBodies.size,
       largestReader: largest?.requestId ?? '',
       largestReaderBytes: largest?.heldBytes ?? 0,
     });
--- a/src/relay/memory/memory-plan.ts
+++ b/src/relay/memory/memory-plan.ts
@@ -1,18 +1,18 @@
 /** What a process plans its memory for, against the limit of its machine. */
-import { NO_BOUNDS, boundsFor } from './memory-bounds.js';
+import { NO_BOUNDS, boundsForBudget } from './memory-bounds.js';
 import type { MemoryBounds } from './memory-bounds.js';
 
-const BYTES_IN_MEGABYTE = 1024 * 1024;
+const BYTES_PER_MEGABYTE = 1024 * 1024;
 /**
  * Memory beside the heap, in bytes: the runtime's own tables, 13 MB measured at rest, and the native parts of some
  * 3,500 connections, 5.4 KB each.
  */
-const NATIVE_BYTES = 32 * BYTES_IN_MEGABYTE;
+const NATIVE_BYTES = 32 * BYTES_PER_MEGABYTE;
 /** Least budget that is worked with where the limit leaves less, in bytes: some hundred requests at once. */
-const LEAST_BUDGET_BYTES = 8 * BYTES_IN_MEGABYTE;
+const MINIMUM_BUDGET_BYTES = 8 * BYTES_PER_MEGABYTE;
 
 /** What a plan is made from. */
-export interface MemoryNeeds {
+export interface MemoryRequirements {
   /** Limit of the process, in bytes; infinite where none is told. */
   readonly limitBytes: number;
   /** Most that the heap may grow to, in bytes. */
@@ -22,7 +22,7 @@
 }
 
 /** See the head of this file. All amounts in bytes. */
-export interface MemoryPlan extends MemoryNeeds {
+export interface MemoryPlan extends MemoryRequirements {
   readonly nativeBytes: number;
   /** What is left for bytes held for clients and runners. */
   readonly budgetBytes: number;
@@ -31,23 +31,23 @@
 }
 
 /** Plans a process. */
-export function planMemory(needs: MemoryNeeds): MemoryPlan {
-  const { limitBytes, heapBytes, cacheBytes } = needs;
-  const left = limitBytes - NATIVE_BYTES - heapBytes - cacheBytes;
-  const fits = left >= LEAST_BUDGET_BYTES;
-  const budgetBytes = Math.max(left, LEAST_BUDGET_BYTES);
-  return { ...needs, nativeBytes: NATIVE_BYTES, budgetBytes, fits };
+export function planMemory(requirements: MemoryRequirements): MemoryPlan {
+  const { limitBytes, heapBytes, cacheBytes } = requirements;
+  const availableBytes = limitBytes - NATIVE_BYTES - heapBytes - cacheBytes;
+  const fits = availableBytes >= MINIMUM_BUDGET_BYTES;
+  const budgetBytes = Math.max(availableBytes, MINIMUM_BUDGET_BYTES);
+  return { ...requirements, nativeBytes: NATIVE_BYTES, budgetBytes, fits };
 }
 
 /** Bounds of what may be held under a plan; none where no limit is told. */
-export function boundsOf({ budgetBytes }: MemoryPlan): MemoryBounds {
-  return budgetBytes === Infinity ? NO_BOUNDS : boundsFor(budgetBytes);
+export function boundsForPlan({ budgetBytes }: MemoryPlan): MemoryBounds {
+  return budgetBytes === Infinity ? NO_BOUNDS : boundsForBudget(budgetBytes);
 }
 
 /** The plan in whole megabytes, as fields of a log line; -1 where there is no limit. */
 export function planFields(plan: MemoryPlan): Readonly<Record<string, number | boolean>> {
   const megabytes = (bytes: number): number =>
-    bytes === Infinity ? -1 : Math.round(bytes / BYTES_IN_MEGABYTE);
+    bytes === Infinity ? -1 : Math.round(bytes / BYTES_PER_MEGABYTE);
   return {
     limit: megabytes(plan.limitBytes),
     native: megabytes(plan.nativeBytes),
--- a/src/relay/placement/place-request.ts
+++ b/src/relay/placement/place-request.ts
@@ -3,7 +3,7 @@
 import type { RelayContext } from '../relay-context.js';
 import type { RunnerLife } from '../runners/runner.js';
 import type { RunnerCandidate } from '../runners/runner-book.js';
-import type { Passage } from '../stages/passage.js';
+import type { RequestState } from '../stages/request-state.js';
 import { chooseRunner } from './choose-runner.js';
 import { drawCandidates } from './draw-candidates.js';
 import type { PlacementNeed } from './placement-charges.js';
@@ -17,14 +17,15 @@
   readonly failedAt: ReadonlySet<RunnerLife>;
 }
 
-function needOf(context: RelayContext, passage: Passage, service: string): PlacementNeed {
-  const { request, key, body } = passage;
+function needOf(context: RelayContext, requestState: RequestState, service: string): PlacementNeed {
+  const { request, routingKey: routingKey, body } = requestState;
   const isEngine = context.currentTable()?.services.get(service)?.cachesPrompts === true;
   return {
     zone: context.zone,
     promptTokens: request.promptTokens,
     bodyBytes: body.length,
-    affinityHash: request.promptParts[0]?.key ?? hashToNumber(request.program?.session ?? key),
+    affinityHash:
+      request.promptParts[0]?.key ?? hashToNumber(request.program?.session ?? routingKey),
     engine: isEngine ? context.book.engineCosts(service) : undefined,
   };
 }
@@ -35,21 +36,21 @@
  */
 export function placeRequest(
   context: RelayContext,
-  passage: Passage,
+  requestState: RequestState,
   { mayGoTo, refusedBy, failedAt }: OpenRunners,
 ): RunnerCandidate | undefined {
-  const { service, request } = passage;
+  const { service, request } = requestState;
   if (service === undefined) {
     return undefined;
   }
   const all = context.book.candidates(service, request.promptParts, refusedBy);
   const allowed = all.filter((candidate) => mayGoTo(candidate.id));
-  const taking = allowed.filter((candidate) => context.intake.mayTake(candidate.id));
+  const taking = allowed.filter((candidate) => context.backpressure.isWritable(candidate.id));
   const open = taking.length > 0 ? taking : allowed;
   const fresh = open.filter((candidate) => !failedAt.has(candidate.id));
   const usable = fresh.length > 0 ? fresh : open;
-  const weighed = context.drawsCandidates
+  const weighed = context.samplesCandidates
     ? drawCandidates(usable, context.book.loadAgeMilliseconds(), context.runtime.random)
     : usable;
-  return chooseRunner(weighed, needOf(context, passage, service), context.charges);
+  return chooseRunner(weighed, needOf(context, requestState, service), context.charges);
 }
--- a/src/relay/relay-context.ts
+++ b/src/relay/relay-context.ts
@@ -2,10 +2,10 @@
 import type { Runtime } from '../runtime/runtime.js';
 import type { TurnClient } from '../turns/turn-client.js';
 import type { MemoryBudget } from './memory/memory-budget.js';
-import type { RunnerIntake } from './memory/runner-intake.js';
+import type { RunnerBackpressure } from './memory/runner-backpressure.js';
 import type { HeaderNames } from './request/header-names.js';
 import type { ProgramAdmission } from './admission/program-admission.js';
-import type { ProgramShapes } from './admission/program-shape.js';
+import type { ProgramStats } from './admission/program-stats.js';
 import type { ServiceDemand } from './admission/service-demand.js';
 import type { PlacementCharge } from './placement/placement-charges.js';
 import type { QuotaGate } from './admission/quota-gate.js';
@@ -23,11 +23,11 @@
   readonly book: RunnerBook;
   readonly connections: RunnerConnections;
   readonly admission: ProgramAdmission;
-  readonly shapes: ProgramShapes;
+  readonly kindStats: ProgramStats;
   readonly demand: ServiceDemand;
   readonly split: TrafficSplit;
   /** Whether a few runners are drawn and weighed, in place of all. */
-  readonly drawsCandidates: boolean;
+  readonly samplesCandidates: boolean;
   /** What placement adds up. */
   readonly charges: readonly PlacementCharge[];
   readonly turns: TurnClient;
@@ -36,7 +36,7 @@
   /** Bytes that this process holds for others. */
   readonly memory: MemoryBudget;
   /** Bytes that runners have not taken. */
-  readonly intake: RunnerIntake;
+  readonly backpressure: RunnerBackpressure;
   /** The newest configuration; undefined before the first. */
   currentTable(): RoutingTable | undefined;
   /** Whether that is proved to be the newest, to within the bound for changes. */
--- a/src/relay/relay-gateway.ts
+++ b/src/relay/relay-gateway.ts
@@ -11,13 +11,13 @@
 import type { HeaderNames } from './request/header-names.js';
 import { chargesWithout } from './placement/placement-charges.js';
 import { ProgramAdmission } from './admission/program-admission.js';
-import { ProgramShapes } from './admission/program-shape.js';
+import { ProgramStats } from './admission/program-stats.js';
 import { ServiceDemand } from './admission/service-demand.js';
 import type { RelayContext } from './relay-context.js';
 import { NO_BOUNDS } from './memory/memory-bounds.js';
 import type { MemoryBounds } from './memory/memory-bounds.js';
 import { MemoryBudget } from './memory/memory-budget.js';
-import { RunnerIntake } from './memory/runner-intake.js';
+import { RunnerBackpressure } from './memory/runner-backpressure.js';
 import { QuotaGate } from './admission/quota-gate.js';
 import { RelayFront } from './front/relay-front.js';
 import { RelayMetrics } from './relay-metrics.js';
@@ -50,13 +50,13 @@
 }
 
 /** Time after the request to stop in which new connections may still come, in milliseconds. */
-const STILL_OPEN_MILLISECONDS = 3_200;
+const DRAIN_MILLISECONDS = 3_200;
 /** Kept before the kill, in milliseconds. */
 const KILL_SLACK_MILLISECONDS = 600;
 /** Policy of weighing a few runners that are drawn, in place of all. */
-const DRAWN_CANDIDATES = 'drawn-candidates';
+const CANDIDATE_SAMPLING_POLICY = 'drawn-candidates';
 /** Policy of charging a tenant with a whole program when that begins. */
-const PROGRAM_QUOTAS = 'program-quotas';
+const PROGRAM_QUOTAS_POLICY = 'program-quotas';
 const OK = 200;
 const UNAVAILABLE = 503;
 
@@ -68,13 +68,13 @@
   readonly tallies = new AggregateRegistry();
   /** Bytes that this process holds for others, and those that runners have not taken. */
   readonly memory: MemoryBudget;
-  readonly intake = new RunnerIntake();
+  readonly backpressure = new RunnerBackpressure();
   /** Whether the configuration in force is proved to be the newest, to within the bound for changes. */
   isTableProven: () => boolean = () => true;
   /** Whether no key can have been taken away so long ago that it must not be served. */
   areKeysFresh: () => boolean = () => true;
   /** Whether requests with a key are served elsewhere although they can't be here. */
-  areKeysFresherElsewhere: () => boolean = () => false;
+  areKeysFreshElsewhere: () => boolean = () => false;
   private readonly front: RelayFront;
   private readonly readiness: Server;
   private table: RoutingTable | undefined;
@@ -95,10 +95,10 @@
       book: this.book,
       connections,
       admission: new ProgramAdmission(runtime.random),
-      shapes: new ProgramShapes(),
+      kindStats: new ProgramStats(),
       demand: new ServiceDemand(this.tallies),
       split: new TrafficSplit(),
-      drawsCandidates: options.policiesOff?.has(DRAWN_CANDIDATES) !== true,
+      samplesCandidates: options.policiesOff?.has(CANDIDATE_SAMPLING_POLICY) !== true,
       charges: chargesWithout(options.policiesOff ?? new Set()),
       turns,
       quotas: new QuotaGate({
@@ -106,11 +106,11 @@
         metrics: this.metrics,
         random: runtime.random,
         isReachable: () => turns.isReachable,
-        countsPrograms: options.policiesOff?.has(PROGRAM_QUOTAS) !== true,
+        chargesWholePrograms: options.policiesOff?.has(PROGRAM_QUOTAS_POLICY) !== true,
       }),
       metrics: this.metrics,
       memory: this.memory,
-      intake: this.intake,
+      backpressure: this.backpressure,
       currentTable: () => this.table,
       isTableProven: () => this.isTableProven(),
       areKeysFresh: () => this.areKeysFresh(),
@@ -126,13 +126,13 @@
   /** Whether new connections should come here. */
   get ready(): boolean {
     const { turns } = this.options;
-    return this.listening && !this.stopping && turns.isReachable && !this.lacksKeys;
+    return this.listening && !this.stopping && turns.isReachable && !this.prefersOtherGateways;
   }
 
   /** Whether requests with a key are better off at other gateways. */
-  private get lacksKeys(): boolean {
+  private get prefersOtherGateways(): boolean {
     const needsKeys = this.table?.tenants !== undefined;
-    return needsKeys && !this.areKeysFresh() && this.areKeysFresherElsewhere();
+    return needsKeys && !this.areKeysFresh() && this.areKeysFreshElsewhere();
   }
 
   /** The configuration in force; undefined before the first. */
@@ -171,7 +171,7 @@
     const { activeRequests: active } = this;
     runtime.log('info', 'planned stop', { event: 'process.stopping', active });
     this.front.startDraining();
-    runtime.setTimer(STILL_OPEN_MILLISECONDS, () => this.front.stop(done));
+    runtime.setTimer(DRAIN_MILLISECONDS, () => this.front.stop(done));
     runtime.setTimer(graceMilliseconds - KILL_SLACK_MILLISECONDS, done);
   }
 
--- a/src/relay/request/forwarded-headers.ts
+++ b/src/relay/request/forwarded-headers.ts
@@ -31,12 +31,20 @@
 }
 
 /** Raw headers without those of one connection, without the length, and without some more. */
-function passedOn(rawHeaders: readonly string[], dropped: (name: string) => boolean): string[] {
-  const local = connectionTokens(rawHeaders);
+function forwardableHeaders(
+  rawHeaders: readonly string[],
+  isDropped: (name: string) => boolean,
+): string[] {
+  const connectionHeaders = connectionTokens(rawHeaders);
   const kept: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index]!.toLowerCase();
-    if (!HOP_BY_HOP.has(name) && !local.has(name) && name !== CONTENT_LENGTH && !dropped(name)) {
+    if (
+      !HOP_BY_HOP.has(name) &&
+      !connectionHeaders.has(name) &&
+      name !== CONTENT_LENGTH &&
+      !isDropped(name)
+    ) {
       kept.push(rawHeaders[index]!, rawHeaders[index + 1]!);
     }
   }
@@ -48,7 +56,7 @@
   readonly runnerId: string;
   readonly remainingMilliseconds: number;
   /** Rank at the runner, 0 to 9. */
-  readonly urgency: number;
+  readonly rank: number;
   readonly lastEventId: string | undefined;
   readonly bodyBytes: number;
 }
@@ -64,7 +72,7 @@
     // Whatever the client wrote there: only the gateway tells runners of tenants.
     [names.key, names.tenant].forEach((name) => replaced.add(name));
   }
-  const headers = passedOn(
+  const headers = forwardableHeaders(
     request.rawHeaders,
     (name) => names.reserved.has(name) || replaced.has(name),
   );
@@ -73,7 +81,7 @@
   }
   headers.push(names.timeout, String(Math.max(1, Math.floor(instructions.remainingMilliseconds))));
   headers.push(names.expectedRunner, instructions.runnerId);
-  headers.push(names.priority, String(instructions.urgency));
+  headers.push(names.priority, String(instructions.rank));
   if (instructions.lastEventId !== undefined) {
     headers.push(names.lastEventId, instructions.lastEventId);
   }
@@ -85,5 +93,5 @@
 
 /** Headers of a runner's answer on their way to the client. */
 export function headersToClient(rawHeaders: readonly string[]): string[] {
-  return passedOn(rawHeaders, () => false);
+  return forwardableHeaders(rawHeaders, () => false);
 }
--- a/src/relay/request/relay-request.ts
+++ b/src/relay/request/relay-request.ts
@@ -89,6 +89,6 @@
 /** Reads `IN,OUT` counts of tokens; what can't be a count is 0, which stands for not told. */
 export function parseTokenUsage(text: string | undefined): { prompt: number; output: number } {
   const [prompt, output] = (text ?? '').split(',').map(Number);
-  const told = (value: number | undefined): number => (isTokenCount(value) ? value : 0);
-  return { prompt: told(prompt), output: told(output) };
+  const countOrZero = (value: number | undefined): number => (isTokenCount(value) ? value : 0);
+  return { prompt: countOrZero(prompt), output: countOrZero(output) };
 }
--- a/src/relay/request/routing-table.ts
+++ b/src/relay/request/routing-table.ts
@@ -85,8 +85,8 @@
     const host = route.host.toLowerCase();
     routesByHost.set(host, [...(routesByHost.get(host) ?? []), route]);
   }
-  for (const ofHost of routesByHost.values()) {
-    ofHost.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length);
+  for (const hostRoutes of routesByHost.values()) {
+    hostRoutes.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length);
   }
   const byName = new Map(services.map((service) => [service.name, service]));
   return { version, routesByHost, services: byName, limits, tenants };
@@ -99,7 +99,7 @@
 
 /** The route of a request: of its host's routes the one with the longest prefix of the path. */
 export function findRoute(table: RoutingTable, host: string, path: string): Route | undefined {
-  const question = path.indexOf('?');
-  const bare = question < 0 ? path : path.slice(0, question);
-  return table.routesByHost.get(host)?.find((route) => bare.startsWith(route.pathPrefix));
+  const queryIndex = path.indexOf('?');
+  const pathname = queryIndex < 0 ? path : path.slice(0, queryIndex);
+  return table.routesByHost.get(host)?.find((route) => pathname.startsWith(route.pathPrefix));
 }
--- a/src/relay/request/tenant.ts
+++ b/src/relay/request/tenant.ts
@@ -42,14 +42,14 @@
   return hash('sha256', key, 'base64') as ApiKeyDigest;
 }
 
-function mistakesOf({ id, quota }: TenantSettings): string[] {
+function validationErrors({ id, quota }: TenantSettings): string[] {
   const rate = quota?.ratePerSecond ?? 0;
   const burst = quota?.burst ?? 0;
-  const isAmount = (value: number): boolean => Number.isFinite(value) && value >= 0;
+  const isNonNegative = (value: number): boolean => Number.isFinite(value) && value >= 0;
   return [
     ...(id === '' ? ['a tenant has no name'] : []),
-    ...(isAmount(rate) ? [] : [`tenant ${id}: the rate is no amount`]),
-    ...(isAmount(burst) ? [] : [`tenant ${id}: the burst is no amount`]),
+    ...(isNonNegative(rate) ? [] : [`tenant ${id}: the rate is no amount`]),
+    ...(isNonNegative(burst) ? [] : [`tenant ${id}: the burst is no amount`]),
   ];
 }
 
@@ -59,30 +59,30 @@
 ): E.Either<string, TenantsByKey> {
   const byKey = new Map<ApiKeyDigest, Tenant>();
   const names = new Set<TenantId>();
-  const mistakes: string[] = [];
+  const errors: string[] = [];
   for (const settings of tenants) {
     const { keys, ...tenant } = settings;
-    mistakes.push(...mistakesOf(settings));
+    errors.push(...validationErrors(settings));
     if (names.has(tenant.id)) {
-      mistakes.push(`tenant ${tenant.id} stands twice`);
+      errors.push(`tenant ${tenant.id} stands twice`);
     }
     names.add(tenant.id);
     for (const key of keys) {
       const digest = digestOfKey(key);
-      const holder = byKey.get(digest);
-      if (key === '' || (holder !== undefined && holder.id !== tenant.id)) {
-        mistakes.push(`tenant ${tenant.id}: a key is empty or another tenant's as well`);
+      const owner = byKey.get(digest);
+      if (key === '' || (owner !== undefined && owner.id !== tenant.id)) {
+        errors.push(`tenant ${tenant.id}: a key is empty or another tenant's as well`);
       }
       byKey.set(digest, tenant);
     }
   }
-  return mistakes.length === 0 ? E.right(byKey) : E.left(mistakes.join('; '));
+  return errors.length === 0 ? E.right(byKey) : E.left(errors.join('; '));
 }
 
 /**
  * The name under which replicas keep what belongs to a tenant: what another tenant has under the same
  * identifier is another thing. Without tenants, the identifier itself.
  */
-export function nameForTenant(tenant: Tenant | undefined, id: string): string {
+export function tenantScopedId(tenant: Tenant | undefined, id: string): string {
   return tenant === undefined ? id : `${tenant.id.length}:${tenant.id}:${id}`;
 }
--- a/src/relay/stages/authenticate.ts
+++ b/src/relay/stages/authenticate.ts
@@ -11,13 +11,13 @@
 import type { ApiKey, Tenant } from '../request/tenant.js';
 
 /** Longest key that is looked up, in characters. */
-const LONGEST_KEY = 1_024;
+const MAXIMUM_KEY_LENGTH = 1_024;
 
 /** How the client is to name its key. */
 const KEY_PATTERN = /^token +([\x21-\x7e]+) *$/i;
 
 /** What is known of the configuration in force. */
-export interface TableStanding {
+export interface ConfigurationFreshness {
   /** Whether it is proved to be the newest, to within the bound for changes. */
   readonly isProven: boolean;
   /** Whether no key can have been taken away so long ago that it must not be served. */
@@ -50,7 +50,7 @@
 });
 
 /** The values of a header, as often as it was sent. */
-function valuesOf(rawHeaders: readonly string[], name: string): string[] {
+function headerValues(rawHeaders: readonly string[], name: string): string[] {
   const values: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     if (rawHeaders[index]!.toLowerCase() === name) {
@@ -61,13 +61,13 @@
 }
 
 /** The key of a request; undefined when there is none, two, or one of another scheme. */
-function keyOf(rawHeaders: readonly string[], header: string): ApiKey | undefined {
-  const [value, second] = valuesOf(rawHeaders, header);
+function parseKey(rawHeaders: readonly string[], header: string): ApiKey | undefined {
+  const [value, second] = headerValues(rawHeaders, header);
   if (value === undefined || second !== undefined) {
     return undefined;
   }
   const key = KEY_PATTERN.exec(value)?.[1];
-  return key === undefined || key.length > LONGEST_KEY ? undefined : (key as ApiKey);
+  return key === undefined || key.length > MAXIMUM_KEY_LENGTH ? undefined : (key as ApiKey);
 }
 
 /** See the head of this file. */
@@ -76,18 +76,18 @@
   route: Route,
   rawHeaders: readonly string[],
   names: HeaderNames,
-  standing: () => TableStanding,
+  freshness: () => ConfigurationFreshness,
 ): Authentication {
   const { tenants } = table;
   if (tenants === undefined || route.isPublic) {
     return OPEN;
   }
-  const key = keyOf(rawHeaders, names.key);
+  const key = parseKey(rawHeaders, names.key);
   if (key === undefined) {
     return NO_KEY;
   }
   const tenant = tenants.get(digestOfKey(key));
-  const { isProven, areKeysFresh } = standing();
+  const { isProven, areKeysFresh } = freshness();
   if (tenant === undefined) {
     return isProven ? UNKNOWN_KEY : UNPROVEN_KEY;
   }
--- a/src/relay/stages/door.ts
+++ b/src/relay/stages/ingress-request.ts
@@ -15,7 +15,7 @@
 }
 
 /** See the head of this file. Each stage fills in what it finds out, and relies on the stages before it. */
-export interface Door {
+export interface IngressRequest {
   readonly context: RelayContext;
   readonly head: RequestHead;
   /** Configuration that the request is judged by. */
@@ -27,6 +27,6 @@
 }
 
 /** A door as a request comes. */
-export function createDoor(context: RelayContext, head: RequestHead): Door {
+export function createIngressRequest(context: RelayContext, head: RequestHead): IngressRequest {
   return { context, head, table: undefined, route: undefined, id: undefined, tenant: undefined };
 }
--- a/src/relay/stages/door-stages.ts
+++ b/src/relay/stages/ingress-stages.ts
@@ -7,14 +7,14 @@
 import type { OwnAnswer } from '../answers/own-answers.js';
 import { findRoute, hostName } from '../request/routing-table.js';
 import { authenticate } from './authenticate.js';
-import type { Door } from './door.js';
+import type { IngressRequest } from './ingress-request.js';
 import type { StageRefusal } from './stage.js';
 import { MEMORY_STAGE } from './memory-stage.js';
 
 /** One stage at the door: undefined lets the request go on. */
-export interface DoorStage {
+export interface IngressStage {
   readonly name: string;
-  readonly check: (door: Door) => OwnAnswer | undefined;
+  readonly check: (ingress: IngressRequest) => OwnAnswer | undefined;
 }
 
 /** A configuration follows within this time of a start: the store or a peer has it. */
@@ -54,15 +54,15 @@
   return bytes + (rawHeaders.length / 2) * HEADER_LINE_BYTES;
 }
 
-const configuration: DoorStage = {
+const configuration: IngressStage = {
   name: 'configuration',
-  check: (door) => {
-    door.table = door.context.currentTable();
-    return door.table === undefined ? NO_CONFIGURATION : undefined;
+  check: (ingress) => {
+    ingress.table = ingress.context.currentTable();
+    return ingress.table === undefined ? NO_CONFIGURATION : undefined;
   },
 };
 
-const headerSize: DoorStage = {
+const headerSize: IngressStage = {
   name: 'headerSize',
   check: ({ table, head }) =>
     headerBytes(head.rawHeaders) > table!.limits.headerBytes
@@ -70,29 +70,29 @@
       : undefined,
 };
 
-const route: DoorStage = {
+const route: IngressStage = {
   name: 'route',
-  check: (door) => {
-    const { table, head, context } = door;
-    door.route = findRoute(table!, hostName(head.header('host') ?? ''), head.path);
-    if (door.route !== undefined) {
+  check: (ingress) => {
+    const { table, head, context } = ingress;
+    ingress.route = findRoute(table!, hostName(head.header('host') ?? ''), head.path);
+    if (ingress.route !== undefined) {
       return undefined;
     }
     return context.isTableProven() ? NO_ROUTE : ROUTE_UNKNOWN;
   },
 };
 
-const identifier: DoorStage = {
+const identifier: IngressStage = {
   name: 'identifier',
-  check: (door) => {
-    const { requestId } = door.context.names;
-    door.id = door.head.header(requestId);
-    const isMissing = door.id === undefined || door.id === '';
+  check: (ingress) => {
+    const { requestId } = ingress.context.names;
+    ingress.id = ingress.head.header(requestId);
+    const isMissing = ingress.id === undefined || ingress.id === '';
     return isMissing ? refusal(400, `the header ${requestId} is missing`) : undefined;
   },
 };
 
-const bodySize: DoorStage = {
+const bodySize: IngressStage = {
   name: 'bodySize',
   check: ({ table, head }) =>
     Number(head.header('content-length') ?? 0) > table!.limits.bodyBytes
@@ -100,21 +100,27 @@
       : undefined,
 };
 
-const key: DoorStage = {
+const key: IngressStage = {
   name: 'key',
-  check: (door) => {
-    const { context, head } = door;
-    const whose = authenticate(door.table!, door.route!, head.rawHeaders, context.names, () => ({
-      isProven: context.isTableProven(),
-      areKeysFresh: context.areKeysFresh(),
-    }));
-    door.tenant = whose.tag === 'Known' ? whose.tenant : undefined;
-    return whose.tag === 'Refused' ? whose.answer : undefined;
+  check: (ingress) => {
+    const { context, head } = ingress;
+    const authentication = authenticate(
+      ingress.table!,
+      ingress.route!,
+      head.rawHeaders,
+      context.names,
+      () => ({
+        isProven: context.isTableProven(),
+        areKeysFresh: context.areKeysFresh(),
+      }),
+    );
+    ingress.tenant = authentication.tag === 'Known' ? authentication.tenant : undefined;
+    return authentication.tag === 'Refused' ? authentication.answer : undefined;
   },
 };
 
 /** When the head is read. */
-export const HEAD_STAGES: readonly DoorStage[] = [
+export const HEAD_STAGES: readonly IngressStage[] = [
   configuration,
   headerSize,
   route,
@@ -125,12 +131,15 @@
 ];
 
 /** When the body is read too, by the configuration then in force. */
-export const BODY_STAGES: readonly DoorStage[] = [key];
+export const BODY_STAGES: readonly IngressStage[] = [key];
 
 /** Passes a request through stages; undefined lets it go on. */
-export function passDoor(door: Door, stages: readonly DoorStage[]): StageRefusal | undefined {
+export function runIngressStages(
+  ingress: IngressRequest,
+  stages: readonly IngressStage[],
+): StageRefusal | undefined {
   for (const { name, check } of stages) {
-    const answer = check(door);
+    const answer = check(ingress);
     if (answer !== undefined) {
       return { stage: name, answer };
     }
--- a/src/relay/stages/preparation-stage.ts
+++ b/src/relay/stages/preparation-stage.ts
@@ -4,42 +4,42 @@
  * beyond the tokens handed out is given back when the request is over.
  */
 import { budgetSpent, noSuchTurn, outOfReach } from '../answers/own-answers.js';
-import { nameForTenant } from '../request/tenant.js';
-import type { Passage } from './passage.js';
+import { tenantScopedId } from '../request/tenant.js';
+import type { RequestState } from './request-state.js';
 import { GO_ON, refuseWith } from './stage.js';
-import type { RequestStage, StageEnd } from './stage.js';
+import type { RequestStage, StageOutcome } from './stage.js';
 
 /** Longest time for a reservation or a chain, in milliseconds: the rest of its time is for the runner. */
-const STATE_MILLISECONDS = 700;
+const REPLICA_TIMEOUT_MILLISECONDS = 700;
 
-type Resume = (end: StageEnd) => void;
+type Resume = (outcome: StageOutcome) => void;
 
-function replicaTimeoutMilliseconds(passage: Passage): number {
-  return Math.min(STATE_MILLISECONDS, passage.remainingMilliseconds);
+function replicaTimeoutMilliseconds(requestState: RequestState): number {
+  return Math.min(REPLICA_TIMEOUT_MILLISECONDS, requestState.remainingMilliseconds);
 }
 
-function outOfReachHere({ context }: Passage, what: 'turns' | 'account'): StageEnd {
+function refuseUnreachable({ context }: RequestState, what: 'turns' | 'account'): StageOutcome {
   return refuseWith(outOfReach(what, context.turns.isReachable));
 }
 
-function needsChain({ request }: Passage): boolean {
+function needsChain({ request }: RequestState): boolean {
   return request.route.retained && request.previousTurn !== undefined;
 }
 
-function needsReservation({ request }: Passage): boolean {
+function needsReservation({ request }: RequestState): boolean {
   return request.route.kind === 'stream' && request.program?.budgetTokens !== undefined;
 }
 
 /** Puts the earlier turns before the new input, then reserves. */
-function readChain(passage: Passage, resume: Resume): void {
-  const { request, context } = passage;
-  const turn = nameForTenant(request.tenant, request.previousTurn ?? '');
-  context.turns.readChain(turn, replicaTimeoutMilliseconds(passage), (chain) => {
+function readChain(requestState: RequestState, resume: Resume): void {
+  const { request, context } = requestState;
+  const turn = tenantScopedId(request.tenant, request.previousTurn ?? '');
+  context.turns.readChain(turn, replicaTimeoutMilliseconds(requestState), (chain) => {
     switch (chain.tag) {
       case 'found':
-        passage.replaceBody(Buffer.concat([chain.body, request.body]));
-        if (needsReservation(passage)) {
-          reserve(passage, resume);
+        requestState.replaceBody(Buffer.concat([chain.body, request.body]));
+        if (needsReservation(requestState)) {
+          reserve(requestState, resume);
         } else {
           resume(GO_ON);
         }
@@ -48,41 +48,41 @@
         resume(refuseWith(noSuchTurn()));
         return;
       case 'unsure':
-        resume(outOfReachHere(passage, 'turns'));
+        resume(refuseUnreachable(requestState, 'turns'));
     }
   });
 }
 
-function reserve(passage: Passage, resume: Resume): void {
-  const { request, context } = passage;
+function reserve(requestState: RequestState, resume: Resume): void {
+  const { request, context } = requestState;
   const { id: turn, program, maximumOutputTokens: mostTokens, tenant } = request;
   const budgetTokens = program?.budgetTokens;
-  if (passage.isOver || program === undefined || budgetTokens === undefined) {
+  if (requestState.isFinished || program === undefined || budgetTokens === undefined) {
     resume(GO_ON);
     return;
   }
-  const account = nameForTenant(tenant, program.program);
+  const account = tenantScopedId(tenant, program.program);
   const reservation = { program: account, turn, mostTokens, budgetTokens };
-  context.turns.reserve(reservation, replicaTimeoutMilliseconds(passage), (outcome) => {
+  context.turns.reserve(reservation, replicaTimeoutMilliseconds(requestState), (outcome) => {
     if (outcome === 'spent') {
       resume(refuseWith(budgetSpent()));
       return;
     }
     // Without an answer it may stand at some replicas all the same.
-    passage.onOver((used) => context.turns.settle(account, turn, mostTokens, used));
-    resume(outcome === 'granted' ? GO_ON : outOfReachHere(passage, 'account'));
+    requestState.onFinish((used) => context.turns.settle(account, turn, mostTokens, used));
+    resume(outcome === 'granted' ? GO_ON : refuseUnreachable(requestState, 'account'));
   });
 }
 
 /** See the head of this file. */
 export const PREPARATION_STAGE: RequestStage = {
   name: 'preparation',
-  decide: (passage) => {
-    if (needsChain(passage)) {
-      return { tag: 'Wait', begin: (resume) => readChain(passage, resume) };
+  decide: (requestState) => {
+    if (needsChain(requestState)) {
+      return { tag: 'Wait', begin: (resume) => readChain(requestState, resume) };
     }
-    if (needsReservation(passage)) {
-      return { tag: 'Wait', begin: (resume) => reserve(passage, resume) };
+    if (needsReservation(requestState)) {
+      return { tag: 'Wait', begin: (resume) => reserve(requestState, resume) };
     }
     return GO_ON;
   },
--- a/src/relay/stages/quota-stage.ts
+++ b/src/relay/stages/quota-stage.ts
@@ -5,19 +5,19 @@
 /** See the head of this file. */
 export const QUOTA_STAGE: RequestStage = {
   name: 'quota',
-  decide: ({ request, context, beginsProgram, remainingMilliseconds }) => {
+  decide: ({ request, context, startsProgram: startsProgram, remainingMilliseconds }) => {
     if (request.tenant?.quota === undefined) {
       return GO_ON;
     }
     return {
       tag: 'Wait',
       begin: (resume) =>
-        context.quotas.check(request, beginsProgram, remainingMilliseconds, (refusal) => {
+        context.quotas.check(request, startsProgram, remainingMilliseconds, (refusal) => {
           if (refusal === undefined) {
             resume(GO_ON);
             return;
           }
-          if (beginsProgram && request.program !== undefined) {
+          if (startsProgram && request.program !== undefined) {
             context.admission.forget(request.program.program);
           }
           resume(refuseWith(refusal));
--- a/src/relay/stages/passage.ts
+++ b/src/relay/stages/request-state.ts
@@ -3,87 +3,87 @@
 import type { RelayRequest } from '../request/relay-request.js';
 
 /** Told when the request is over, with the tokens that were handed to the client. */
-export type OverListener = (handedTokens: number) => void;
+export type FinishListener = (deliveredTokens: number) => void;
 
 /** See the head of this file. */
-export class Passage {
+export class RequestState {
   /** What goes on to the runner. */
   body: Buffer;
   /** Local time after which its client or its route waits no longer, in milliseconds. */
-  readonly endAt: number;
-  private isBeginning: boolean;
-  private pickedService: string | undefined;
-  private overListeners: OverListener[] = [];
-  private handedTokens: number | undefined;
+  readonly expiresAt: number;
+  private isProgramStart: boolean;
+  private selectedService: string | undefined;
+  private finishListeners: FinishListener[] = [];
+  private deliveredTokens: number | undefined;
 
   constructor(
     readonly context: RelayContext,
     readonly request: RelayRequest,
   ) {
     this.body = request.body;
-    this.endAt = Math.min(
+    this.expiresAt = Math.min(
       request.arrivedAt + request.route.timeoutMilliseconds,
       request.deadlineAt,
     );
     const { route, program, previousTurn } = request;
-    const isFirst = route.kind === 'stream' && previousTurn === undefined;
-    this.isBeginning = isFirst && !context.admission.knows(program?.program ?? '');
+    const isFirstTurn = route.kind === 'stream' && previousTurn === undefined;
+    this.isProgramStart = isFirstTurn && !context.admission.isAdmitted(program?.program ?? '');
   }
 
   /** Whether it is the first request of a program, as far as is known here. */
-  get beginsProgram(): boolean {
-    return this.isBeginning;
+  get startsProgram(): boolean {
+    return this.isProgramStart;
   }
 
   /** Notes that its program has run through another gateway. */
-  noteUnderWay(): void {
-    this.isBeginning = false;
+  markProgramStarted(): void {
+    this.isProgramStart = false;
   }
 
   /** Milliseconds until its time is over. */
   get remainingMilliseconds(): number {
-    return this.endAt - this.context.runtime.now();
+    return this.expiresAt - this.context.runtime.now();
   }
 
   /** Service that serves it, picked when it is first asked for; undefined when its route has none. */
   get service(): string | undefined {
-    this.pickedService ??= this.context.split.pick(this.request.route, this.key);
-    return this.pickedService;
+    this.selectedService ??= this.context.split.pick(this.request.route, this.routingKey);
+    return this.selectedService;
   }
 
   /** What keeps requests together: the program, the object, or the request alone. */
-  get key(): string {
+  get routingKey(): string {
     const { program, affinityKey, id } = this.request;
     return program?.program ?? affinityKey ?? id;
   }
 
   /** Whether its client was answered or left. */
-  get isOver(): boolean {
-    return this.handedTokens !== undefined;
+  get isFinished(): boolean {
+    return this.deliveredTokens !== undefined;
   }
 
   /** Asks to be told when the request is over; at once if it is. */
-  onOver(listener: OverListener): void {
-    if (this.handedTokens === undefined) {
-      this.overListeners.push(listener);
+  onFinish(listener: FinishListener): void {
+    if (this.deliveredTokens === undefined) {
+      this.finishListeners.push(listener);
     } else {
-      listener(this.handedTokens);
+      listener(this.deliveredTokens);
     }
   }
 
   /** Sets what goes on to the runner where that is not the client's own body; it counts until the end. */
   replaceBody(body: Buffer): void {
     this.body = body;
-    const holding = this.context.memory.open('bodies');
-    holding.set(body.length);
-    this.onOver(() => holding.release());
+    const allocation = this.context.memory.allocate('bodies');
+    allocation.set(body.length);
+    this.onFinish(() => allocation.release());
   }
 
   /** Notes that the request is over. */
-  finish(handedTokens: number): void {
-    this.handedTokens = handedTokens;
-    const listeners = this.overListeners;
-    this.overListeners = [];
-    listeners.forEach((listener) => listener(handedTokens));
+  finish(deliveredTokens: number): void {
+    this.deliveredTokens = deliveredTokens;
+    const listeners = this.finishListeners;
+    this.finishListeners = [];
+    listeners.forEach((listener) => listener(deliveredTokens));
   }
 }
--- a/src/relay/stages/stage.ts
+++ b/src/relay/stages/stage.ts
@@ -3,30 +3,30 @@
  * others: go on, wait until something comes, or refuse. The table of them stands in `call-stages.ts`.
  */
 import type { OwnAnswer } from '../answers/own-answers.js';
-import type { Passage } from './passage.js';
+import type { RequestState } from './request-state.js';
 
 /** The end of a stage. */
-export type StageEnd =
+export type StageOutcome =
   { readonly tag: 'GoOn' } | { readonly tag: 'Refuse'; readonly answer: OwnAnswer };
 
 /** What a stage decides of a request. */
 export type StageDecision =
-  | StageEnd
+  | StageOutcome
   /** `begin` starts what is waited for; it resumes once, and does nothing more once the request is over. */
-  | { readonly tag: 'Wait'; readonly begin: (resume: (end: StageEnd) => void) => void };
+  | { readonly tag: 'Wait'; readonly begin: (resume: (outcome: StageOutcome) => void) => void };
 
 /** One stage. */
 export interface RequestStage {
   /** Stands in logs and metrics. */
   readonly name: string;
-  readonly decide: (passage: Passage) => StageDecision;
+  readonly decide: (requestState: RequestState) => StageDecision;
 }
 
 /** Lets a request go on. */
-export const GO_ON: StageEnd = { tag: 'GoOn' };
+export const GO_ON: StageOutcome = { tag: 'GoOn' };
 
 /** Refuses a request. */
-export function refuseWith(answer: OwnAnswer): StageEnd {
+export function refuseWith(answer: OwnAnswer): StageOutcome {
   return { tag: 'Refuse', answer };
 }
 
@@ -36,57 +36,57 @@
   readonly answer: OwnAnswer;
 }
 
-class StageRun {
-  private step = -1;
-  private open = 0;
-  private over = false;
+class StagePipeline {
+  private stepIndex = -1;
+  private pendingStages = 0;
+  private finished = false;
 
   constructor(
     private readonly steps: readonly (readonly RequestStage[])[],
-    private readonly passage: Passage,
+    private readonly requestState: RequestState,
     private readonly done: (refusal: StageRefusal | undefined) => void,
   ) {}
 
-  nextStep(): void {
-    this.step += 1;
-    const stages = this.steps[this.step];
+  startNextStep(): void {
+    this.stepIndex += 1;
+    const stages = this.steps[this.stepIndex];
     if (stages === undefined) {
       this.finish(undefined);
       return;
     }
-    this.open = stages.length;
+    this.pendingStages = stages.length;
     for (const stage of stages) {
-      if (!this.over) {
-        this.begin(stage);
+      if (!this.finished) {
+        this.startStage(stage);
       }
     }
   }
 
-  private begin(stage: RequestStage): void {
-    const decision = stage.decide(this.passage);
+  private startStage(stage: RequestStage): void {
+    const decision = stage.decide(this.requestState);
     if (decision.tag === 'Wait') {
-      decision.begin((end) => this.end(stage, end));
+      decision.begin((outcome) => this.completeStage(stage, outcome));
     } else {
-      this.end(stage, decision);
+      this.completeStage(stage, decision);
     }
   }
 
-  private end(stage: RequestStage, end: StageEnd): void {
-    if (this.over || this.passage.isOver) {
+  private completeStage(stage: RequestStage, outcome: StageOutcome): void {
+    if (this.finished || this.requestState.isFinished) {
       return;
     }
-    if (end.tag === 'Refuse') {
-      this.finish({ stage: stage.name, answer: end.answer });
+    if (outcome.tag === 'Refuse') {
+      this.finish({ stage: stage.name, answer: outcome.answer });
       return;
     }
-    this.open -= 1;
-    if (this.open === 0) {
-      this.nextStep();
+    this.pendingStages -= 1;
+    if (this.pendingStages === 0) {
+      this.startNextStep();
     }
   }
 
   private finish(refusal: StageRefusal | undefined): void {
-    this.over = true;
+    this.finished = true;
     this.done(refusal);
   }
 }
@@ -95,10 +95,10 @@
  * Passes a request through steps of stages: those of one step begin together, and all must let it go on before
  * the next step. Calls back once, unless the request is over before.
  */
-export function passStages(
+export function runStages(
   steps: readonly (readonly RequestStage[])[],
-  passage: Passage,
+  requestState: RequestState,
   done: (refusal: StageRefusal | undefined) => void,
 ): void {
-  new StageRun(steps, passage, done).nextStep();
+  new StagePipeline(steps, requestState, done).startNextStep();
 }
--- a/src/relay/tries/attempt.ts
+++ b/src/relay/tries/attempt.ts
@@ -12,7 +12,7 @@
   /** The connection stands, and the request goes over it. */
   onConnected(): void;
   /** The connection took the whole request, or the try is over; may come twice. */
-  onTaken(): void;
+  onSendEnd(): void;
   onHead(head: AnswerHead): void;
   onData(chunk: Buffer): void;
   onEnd(): void;
@@ -93,8 +93,8 @@
       agent,
     });
     this.watchConnection(connectMilliseconds);
-    this.client.on('finish', () => listener.onTaken());
-    this.client.on('close', () => listener.onTaken());
+    this.client.on('finish', () => listener.onSendEnd());
+    this.client.on('close', () => listener.onSendEnd());
     this.client.on('response', (response) => this.take(response));
     this.client.on('error', (error) => this.fail(error.message));
     this.client.on('close', () => this.takeClose());
--- a/src/relay/tries/relay-call.ts
+++ b/src/relay/tries/relay-call.ts
@@ -20,15 +20,15 @@
 import { headersToRunner } from '../request/forwarded-headers.js';
 import { mayRepeat } from '../request/relay-request.js';
 import type { RelayRequest } from '../request/relay-request.js';
-import { urgencyOf } from '../request/urgency.js';
+import { rankOf } from '../request/request-rank.js';
 import type { EngineSample } from '../runners/engine-estimate.js';
 import { engineSampleOf } from '../runners/engine-sample.js';
 import { lifeOf } from '../runners/runner.js';
 import type { RunnerLife } from '../runners/runner.js';
 import type { RunnerCandidate, RunnerRecord } from '../runners/runner-book.js';
 import { CALL_STAGES } from '../stages/call-stages.js';
-import { Passage } from '../stages/passage.js';
-import { passStages } from '../stages/stage.js';
+import { RequestState } from '../stages/request-state.js';
+import { runStages } from '../stages/stage.js';
 import type { StageRefusal } from '../stages/stage.js';
 import { maySendTo, mayTryAgain } from './attempt-rules.js';
 import type { TryHistory } from './attempt-rules.js';
@@ -64,7 +64,7 @@
   private current: CurrentTry | undefined;
   private cancelDeadline: CancelTimer = () => undefined;
   private over = false;
-  private readonly passage: Passage;
+  private readonly requestState: RequestState;
   /** Stage that refused it; none where it came to a try. */
   private refusedAt = '';
   private readonly stream: StreamAnswer | undefined;
@@ -79,7 +79,7 @@
     readonly request: RelayRequest,
     readonly answer: ClientAnswer,
   ) {
-    this.passage = new Passage(context, request);
+    this.requestState = new RequestState(context, request);
     this.stream = request.route.kind === 'stream' ? new StreamAnswer(this) : undefined;
     this.reading = new CallReading(context.runtime, {
       readsOn: request.route.retained,
@@ -95,12 +95,12 @@
     this.cancelDeadline = runtime.setTimer(Math.max(0, left), () => this.timeOut());
     this.answer.onLeft(() => this.leave());
     this.answer.comesFrom(this.reading);
-    passStages(CALL_STAGES, this.passage, (refusal) => this.leaveStages(refusal));
+    runStages(CALL_STAGES, this.requestState, (refusal) => this.leaveStages(refusal));
   }
 
   /** Milliseconds until the request's time is over. */
   get remainingMilliseconds(): number {
-    return this.passage.remainingMilliseconds;
+    return this.requestState.remainingMilliseconds;
   }
 
   /** Notes the first byte of the answer that is passed on. */
@@ -189,9 +189,9 @@
   }
 
   private chooseNext(): RunnerCandidate | undefined {
-    const { context, passage, history, refusedBy, failedAt } = this;
+    const { context, requestState: requestState, history, refusedBy, failedAt } = this;
     const mayGoTo = (runner: RunnerLife): boolean => maySendTo(history, runner);
-    return placeRequest(context, passage, { mayGoTo, refusedBy, failedAt });
+    return placeRequest(context, requestState, { mayGoTo, refusedBy, failedAt });
   }
 
   private tryNext(): void {
@@ -218,18 +218,18 @@
     const headers = headersToRunner(request, context.names, {
       runnerId: runner.id,
       remainingMilliseconds: this.remainingMilliseconds,
-      urgency: urgencyOf(request, now),
+      rank: rankOf(request, now),
       lastEventId: this.stream?.lastEventId ?? request.lastEventId,
-      bodyBytes: this.passage.body.length,
+      bodyBytes: this.requestState.body.length,
     });
     const reader = this.nextReader();
     this.answer.noteNewTry();
     const limit = context.currentTable()?.services.get(runner.service)?.maximumConnections;
     const agent = context.connections.agentFor(runner, limit);
     const { method, path, id: requestId } = request;
-    const sent = { requestId, method, path, headers, body: this.passage.body };
+    const sent = { requestId, method, path, headers, body: this.requestState.body };
     const attempt = startAttempt(runner, agent, sent, context.names, CONNECT_MILLISECONDS, {
-      ...context.intake.prepare(lifeOf(runner), this.passage.body.length),
+      ...context.backpressure.prepareSend(lifeOf(runner), this.requestState.body.length),
       onHead: (head) => this.takeHead(head, reader),
       onData: (chunk) => {
         this.noteHeard();
@@ -383,7 +383,7 @@
     this.over = true;
     this.cancelDeadline();
     (this.stream ?? this.plain)?.release();
-    this.passage.finish(this.stream?.handedTokens ?? 0);
+    this.requestState.finish(this.stream?.handedTokens ?? 0);
     const { request, tries, dispatchedAt, firstByteAt } = this;
     const eventCount = this.stream?.eventCount ?? 0;
     const { lastChosen: chosen } = this;
