--- a/features/steps/contention-requests.steps.ts
+++ b/features/steps/contention-requests.steps.ts
@@ -22,7 +22,7 @@
   ranks.forEach((other) => demand.begin('s', other));
   const requestState = requestStateWith('new', [], 0);
   const { context, request } = requestState;
-  const book = { ...context.book, loadOf: () => ({ inFlight, slots: SLOTS, runners: 34 }) };
+  const registry = { ...context.registry, loadOf: () => ({ inFlight, slots: SLOTS, runners: 34 }) };
   const urgency = { tenantPriority: Math.floor(rank / 3), routePriority: rank % 3 };
   const rankedRequest = {
     ...request,
@@ -30,7 +30,7 @@
     route: { ...request.route, priority: urgency.routePriority },
     programDeadlineAt: 3_000,
   };
-  const testContext = { ...context, demand, book } as unknown as RelayContext;
+  const testContext = { ...context, demand, registry } as unknown as RelayContext;
   const decision = ADMISSION_STAGE.decide(
     new RequestState(testContext, rankedRequest as unknown as RelayRequest),
   );
@@ -109,8 +109,8 @@
 ): RequestState {
   const sentParts = Array.from({ length: parts }, (_unused, part) => `${part}:100`).join(',');
   const { context, request } = requestStateWith(program, parsePromptParts(sentParts), 0);
-  const book = { ...context.book, loadOf: () => ({ inFlight, slots: SLOTS, runners: 34 }) };
-  const testContext = { ...context, kindStats: kindStats, book } as unknown as RelayContext;
+  const registry = { ...context.registry, loadOf: () => ({ inFlight, slots: SLOTS, runners: 34 }) };
+  const testContext = { ...context, kindStats: kindStats, registry } as unknown as RelayContext;
   const requestWithDeadline = { ...request, programDeadlineAt: 3_000 };
   return new RequestState(testContext, requestWithDeadline as unknown as RelayRequest);
 }
@@ -184,8 +184,8 @@
   'a program that is refused for want of places leaves the sum of expected waits finite',
   function () {
     const { context, request } = requestStateWithParts('new', 0, new ProgramStats());
-    const book = { ...context.book, loadOf: () => ({ inFlight: 0, slots: 0, runners: 0 }) };
-    const testContext = { ...context, book } as unknown as RelayContext;
+    const registry = { ...context.registry, loadOf: () => ({ inFlight: 0, slots: 0, runners: 0 }) };
+    const testContext = { ...context, registry } as unknown as RelayContext;
     assert.notEqual(ADMISSION_STAGE.decide(new RequestState(testContext, request)).tag, 'GoOn');
     assert.ok(!context.metrics.render().includes('Infinity'));
   },
--- a/features/steps/entries.steps.ts
+++ b/features/steps/entries.steps.ts
@@ -9,7 +9,7 @@
 import type { ItemTakers } from '../../platform/take-item.js';
 import { RefusedItems } from '../../platform/refused-items.js';
 import { RUNNER_PREFIX } from '../../platform/store-keys.js';
-import { RunnerBook } from '../../src/relay/runners/runner-book.js';
+import { RunnerRegistry } from '../../src/relay/runners/runner-registry.js';
 import { createRandom } from '../../src/runtime/random.js';
 import { SimulatedProcess } from '../../src/simulation/simulated-process.js';
 import { VirtualClock } from '../../src/simulation/virtual-clock.js';
@@ -91,7 +91,7 @@
     const runtime = process.begin();
     this.lines = lines;
     this.takers = {
-      book: new RunnerBook(runtime),
+      registry: new RunnerRegistry(runtime),
       directory: new MemberDirectory(runtime),
       refused: new RefusedItems(runtime),
       applyTable: () => undefined,
@@ -116,7 +116,7 @@
 
 function inUse(world: World): string[] {
   return world
-    .takers!.book.candidates(SERVICE, [], new Set())
+    .takers!.registry.candidates(SERVICE, [], new Set())
     .map(({ record }) => record.runner.id)
     .sort();
 }
--- a/features/steps/freshness.steps.ts
+++ b/features/steps/freshness.steps.ts
@@ -6,7 +6,7 @@
   freshnessTimingsFor,
   worstCaseApplyMilliseconds,
 } from '../../src/mirror/freshness-timings.js';
-import { RunnerBook } from '../../src/relay/runners/runner-book.js';
+import { RunnerRegistry } from '../../src/relay/runners/runner-registry.js';
 import type { Runner } from '../../src/relay/runners/runner.js';
 import { createRandom } from '../../src/runtime/random.js';
 import { SimulatedProcess } from '../../src/simulation/simulated-process.js';
@@ -19,7 +19,7 @@
 interface World extends FleetWorld {
   bound: number;
   callsMeanwhile: number;
-  book: RunnerBook;
+  registry: RunnerRegistry;
 }
 
 const SERVICE = 'engines';
@@ -129,8 +129,10 @@
 
 Given('the runners {string} are listed', function (this: World, names: string) {
   this.clock = new VirtualClock();
-  this.book = new RunnerBook(new SimulatedProcess('g', this.clock, createRandom(1)).begin());
-  names.split(' ').forEach((name) => this.book.put(runnerNamed(name)));
+  this.registry = new RunnerRegistry(
+    new SimulatedProcess('g', this.clock, createRandom(1)).begin(),
+  );
+  names.split(' ').forEach((name) => this.registry.put(runnerNamed(name)));
 });
 
 Given(
@@ -140,24 +142,24 @@
     const runtime = new SimulatedProcess('g', this.clock, createRandom(1)).begin();
     const setTimer: typeof runtime.setTimer = (delay, callback) =>
       runtime.setTimer(Math.max(0, delay - 0.5), callback);
-    this.book = new RunnerBook({ ...runtime, setTimer });
-    names.split(' ').forEach((name) => this.book.put(runnerNamed(name)));
+    this.registry = new RunnerRegistry({ ...runtime, setTimer });
+    names.split(' ').forEach((name) => this.registry.put(runnerNamed(name)));
   },
 );
 
 When('the runner {string} leaves', function (this: World, name: string) {
-  this.book.remove(name);
+  this.registry.remove(name);
 });
 
 When(
   'the entries of {string} lapse and may be written again for {int} milliseconds',
   function (this: World, names: string, milliseconds: number) {
-    names.split(' ').forEach((name) => this.book.lapse(name, milliseconds));
+    names.split(' ').forEach((name) => this.registry.scheduleRemoval(name, milliseconds));
   },
 );
 
 When('the entry of {string} is written again', function (this: World, name: string) {
-  this.book.put(runnerNamed(name));
+  this.registry.put(runnerNamed(name));
 });
 
 When('{int} milliseconds pass', function (this: World, milliseconds: number) {
@@ -165,7 +167,7 @@
 });
 
 Then('the runners {string} may get requests', function (this: World, names: string) {
-  const usable = this.book.candidates(SERVICE, [], new Set()).map(({ id }) => id);
+  const usable = this.registry.candidates(SERVICE, [], new Set()).map(({ id }) => id);
   assert.deepEqual(usable.sort(), names.split(' '));
 });
 
--- a/features/steps/memory-accounts.steps.ts
+++ b/features/steps/memory-accounts.steps.ts
@@ -6,30 +6,30 @@
 import type { DataTable } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import { ClientAnswer, WINDOW_BYTES } from '../../src/relay/answers/client-answer.js';
-import { ClientOutlet, PIECE_BYTES } from '../../src/relay/answers/client-outlet.js';
-import type { OutletTarget } from '../../src/relay/answers/client-outlet.js';
-import { ReaderWatch } from '../../src/relay/answers/reader-watch.js';
-import type { ReaderStand } from '../../src/relay/answers/reader-watch.js';
+import { ClientWriter, CHUNK_BYTES } from '../../src/relay/answers/client-writer.js';
+import type { WriterTarget } from '../../src/relay/answers/client-writer.js';
+import { SlowReaderMonitor } from '../../src/relay/answers/slow-reader-monitor.js';
+import type { DeliveryState } from '../../src/relay/answers/slow-reader-monitor.js';
 import { MEMORY_ACCOUNTS } from '../../src/relay/memory/memory-accounts.js';
 import type { MemoryAllocation } from '../../src/relay/memory/memory-accounts.js';
 import { NO_BOUNDS, boundsForBudget } from '../../src/relay/memory/memory-bounds.js';
 import { MemoryBudget, byBytesAndTime } from '../../src/relay/memory/memory-budget.js';
 import type { CutOrder, SlowReader } from '../../src/relay/memory/memory-budget.js';
-import type { RunnerLife } from '../../src/relay/runners/runner.js';
+import type { RunnerIncarnation } from '../../src/relay/runners/runner.js';
 import { RunnerBackpressure } from '../../src/relay/memory/runner-backpressure.js';
 import { RequestCompletion } from '../../src/relay/front/request-completions.js';
 import { StreamAnswer } from '../../src/relay/answers/stream-answer.js';
 import type { AnsweredCall, AnswerHead } from '../../src/relay/answers/answer-reader.js';
 import type { RelayContext } from '../../src/relay/relay-context.js';
-import type { RunnerRecord } from '../../src/relay/runners/runner-book.js';
-import { SilenceWatch } from '../../src/relay/tries/silence-watch.js';
+import type { RunnerRecord } from '../../src/relay/runners/runner-registry.js';
+import { InactivityMonitor } from '../../src/relay/tries/inactivity-monitor.js';
 import { createRandom } from '../../src/runtime/random.js';
 import type { LogFields, Runtime } from '../../src/runtime/runtime.js';
 import { SimulatedProcess } from '../../src/simulation/simulated-process.js';
 import { VirtualClock } from '../../src/simulation/virtual-clock.js';
 
 /** A life of a runner, whichever. */
-const RUNNER = 'r' as RunnerLife;
+const RUNNER = 'r' as RunnerIncarnation;
 
 interface World {
   clock: VirtualClock;
@@ -206,19 +206,19 @@
 /** One watched client in virtual time. */
 class WatchedClient {
   readonly clock = new VirtualClock();
-  stand: ReaderStand = 'held';
+  stand: DeliveryState = 'held';
   hasMemory = true;
   cutAt: number | undefined;
   readonly readAt: number[] = [];
-  readonly watch: ReaderWatch;
+  readonly watch: SlowReaderMonitor;
 
   constructor() {
     const runtime = runtimeOn(this.clock, []);
-    this.watch = new ReaderWatch(runtime, {
-      stand: () => this.stand,
-      hasMemory: () => this.hasMemory,
-      readOn: () => this.readAt.push(this.clock.now),
-      cut: () => (this.cutAt = this.clock.now),
+    this.watch = new SlowReaderMonitor(runtime, {
+      deliveryState: () => this.stand,
+      hasSpareMemory: () => this.hasMemory,
+      extendWindow: () => this.readAt.push(this.clock.now),
+      disconnect: () => (this.cutAt = this.clock.now),
     });
     this.watch.start();
   }
@@ -242,7 +242,7 @@
     const client = new WatchedClient();
     for (let second = 0; second < minutes * 60; second += seconds) {
       advance(client.clock, seconds * 1_000);
-      client.watch.noteTaken();
+      client.watch.noteProgress();
     }
     assert.equal(client.cutAt, undefined);
     const gaps = client.readAt.map((at, index) => at - (client.readAt[index - 1] ?? 0));
@@ -259,7 +259,7 @@
     advance(client.clock, 60_000);
     assert.equal(client.cutAt, undefined);
     client.stand = 'ready';
-    client.watch.noteTaken();
+    client.watch.noteProgress();
     advance(client.clock, seconds * 1_000 - 1_000);
     assert.equal(client.cutAt, undefined);
     advance(client.clock, 2_000);
@@ -268,7 +268,7 @@
 );
 
 /** A client that takes what it is written when the test says so. */
-class ManualTarget implements OutletTarget {
+class ManualTarget implements WriterTarget {
   readonly taken: Buffer[] = [];
   ends = 0;
   private waiting: { readonly bytes: Buffer; readonly done: (() => void) | undefined }[] = [];
@@ -308,14 +308,14 @@
 Then('any bytes reach a client in order, whatever it takes when', function () {
   const step = fc.record({ bytes: fc.uint8Array({ maxLength: 30_000 }), takes: fc.boolean() });
   const listener = {
-    onBehind: () => undefined,
-    onTaken: () => undefined,
-    onCaughtUp: () => undefined,
+    onBackpressure: () => undefined,
+    onProgress: () => undefined,
+    onDrained: () => undefined,
   };
   fc.assert(
     fc.property(fc.array(step, { maxLength: 12 }), (steps) => {
       const target = new ManualTarget(16_384);
-      const outlet = new ClientOutlet(target, listener);
+      const outlet = new ClientWriter(target, listener);
       for (const { bytes, takes } of steps) {
         outlet.push(Buffer.from(bytes));
         if (takes) {
@@ -323,8 +323,8 @@
         }
       }
       outlet.end();
-      while (outlet.heldBytes > 0) {
-        assert.ok(target.ends === 0 || !outlet.isBehind, 'ended while something waits');
+      while (outlet.bufferedBytes > 0) {
+        assert.ok(target.ends === 0 || !outlet.isBackpressured, 'ended while something waits');
         target.take();
       }
       assert.equal(target.ends, 1);
@@ -346,7 +346,7 @@
       backpressure.unsentBytes(RUNNER) >= bound &&
         backpressure.unsentBytes(RUNNER) < bound + 20_000,
     );
-    assert.ok(backpressure.isWritable('other' as RunnerLife));
+    assert.ok(backpressure.isWritable('other' as RunnerIncarnation));
     taken[0]!();
     taken[0]!();
     assert.equal(backpressure.unsentBytes(RUNNER), 20_000 * (taken.length - 1));
@@ -375,17 +375,17 @@
       isClosing: () => false,
     });
     const held: number[] = [];
-    answer.comesFrom({
-      readsOn: false,
-      hold: () => held.push(answer.heldBytes),
-      release: () => undefined,
-      noteNewTry: () => undefined,
+    answer.setSource({
+      ignoresBackpressure: false,
+      pause: () => held.push(answer.heldBytes),
+      resume: () => undefined,
+      noteNewAttempt: () => undefined,
       end: () => undefined,
     });
-    const pass = (): void => answer.write(Buffer.alloc(PIECE_BYTES));
+    const pass = (): void => answer.write(Buffer.alloc(CHUNK_BYTES));
     for (let tries = 1; tries <= 3; tries += 1) {
-      answer.noteNewTry();
-      for (let bytes = 0; bytes <= WINDOW_BYTES + PIECE_BYTES; bytes += PIECE_BYTES) {
+      answer.noteNewAttempt();
+      for (let bytes = 0; bytes <= WINDOW_BYTES + CHUNK_BYTES; bytes += CHUNK_BYTES) {
         pass();
       }
       assert.equal(held.length, tries, `held ${held.length} times`);
@@ -398,14 +398,14 @@
   function () {
     const clock = new VirtualClock();
     const probes: ((reachable: boolean) => void)[] = [];
-    const record = { silence: { unusualMilliseconds: 100 }, heardAt: 0, runner: {} };
+    const record = { inactivity: { timeoutMilliseconds: 100 }, lastActivityAt: 0, runner: {} };
     const context = {
       runtime: runtimeOn(clock, []),
       connections: {
         probe: (_runner: unknown, done: (reachable: boolean) => void) => probes.push(done),
       },
     };
-    const watch = new SilenceWatch(
+    const watch = new InactivityMonitor(
       context as unknown as RelayContext,
       record as unknown as RunnerRecord,
       () => undefined,
--- a/features/steps/memory.steps.ts
+++ b/features/steps/memory.steps.ts
@@ -4,10 +4,10 @@
 import fc from 'fast-check';
 import * as E from 'fp-ts/lib/Either.js';
 import { decodeKeptParts } from '../../platform/kept-parts.js';
-import { KeptMemory } from '../../src/relay/runners/kept-memory.js';
-import type { KeptPart } from '../../src/relay/runners/kept-memory.js';
+import { EngineCacheDiscovery } from '../../src/relay/runners/engine-cache-discovery.js';
+import type { CachedPart } from '../../src/relay/runners/engine-cache-discovery.js';
 import { parsePromptParts, promptKeyOf } from '../../src/relay/request/relay-request.js';
-import { RunnerBook } from '../../src/relay/runners/runner-book.js';
+import { RunnerRegistry } from '../../src/relay/runners/runner-registry.js';
 import type { Runner } from '../../src/relay/runners/runner.js';
 import { hashToNumber } from '../../src/runtime/hashing.js';
 import { createRandom } from '../../src/runtime/random.js';
@@ -18,11 +18,11 @@
 
 interface World {
   memoryClock: VirtualClock;
-  book: RunnerBook;
-  keptBy: Map<string, readonly KeptPart[]>;
-  asked: string[];
+  registry: RunnerRegistry;
+  cachedPartsByRunner: Map<string, readonly CachedPart[]>;
+  queried: string[];
   peerCount: number;
-  told?: Map<number, readonly KeptPart[]>;
+  announced?: Map<number, readonly CachedPart[]>;
 }
 
 function runnerOf(id: string, service: string): Runner {
@@ -32,36 +32,38 @@
 Given('a gateway that has just started beside {int} others', function (this: World, peers: number) {
   this.memoryClock = new VirtualClock();
   const runtime = new SimulatedProcess('g', this.memoryClock, createRandom(3)).begin();
-  this.book = new RunnerBook(runtime);
-  this.keptBy = new Map();
-  this.asked = [];
+  this.registry = new RunnerRegistry(runtime);
+  this.cachedPartsByRunner = new Map();
+  this.queried = [];
   this.peerCount = peers;
-  const memory = new KeptMemory({
+  const discovery = new EngineCacheDiscovery({
     runtime,
-    book: this.book,
+    registry: this.registry,
     read: (runner, done) => {
-      this.asked.push(runner.id);
-      runtime.setTimer(ANSWER_MILLISECONDS, () => done(E.right(this.keptBy.get(runner.id) ?? [])));
+      this.queried.push(runner.id);
+      runtime.setTimer(ANSWER_MILLISECONDS, () =>
+        done(E.right(this.cachedPartsByRunner.get(runner.id) ?? [])),
+      );
     },
-    keepsPrompts: (service) => service === 'engines',
+    cachesPrompts: (service) => service === 'engines',
     peerCount: () => this.peerCount,
-    tell: (runnerHash, parts) => (this.told ??= new Map()).set(runnerHash, parts),
+    announce: (runnerHash, parts) => (this.announced ??= new Map()).set(runnerHash, parts),
   });
-  this.book.onSeen = (runner) => memory.runnerSeen(runner);
+  this.registry.onRunnerAdded = (runner) => discovery.noteRunnerAdded(runner);
 });
 
 When(
   'engine {string} that keeps {string} and plain runner {string} are seen',
   function (this: World, engine: string, parts: string, plain: string) {
-    this.keptBy.set(engine, parsePromptParts(parts));
-    this.book.put(runnerOf(engine, 'engines'));
-    this.book.put(runnerOf(plain, 'plain'));
+    this.cachedPartsByRunner.set(engine, parsePromptParts(parts));
+    this.registry.put(runnerOf(engine, 'engines'));
+    this.registry.put(runnerOf(plain, 'plain'));
   },
 );
 
 When('{int} engines are seen', function (this: World, count: number) {
   for (let index = 0; index < count; index += 1) {
-    this.book.put(runnerOf(`e${index}`, 'engines'));
+    this.registry.put(runnerOf(`e${index}`, 'engines'));
   }
 });
 
@@ -72,7 +74,7 @@
 Then(
   '{int} tokens of the prompt {string} are known to be at {string}',
   function (this: World, tokens: number, prompt: string, runner: string) {
-    const candidates = this.book.candidates('engines', parsePromptParts(prompt), new Set());
+    const candidates = this.registry.candidates('engines', parsePromptParts(prompt), new Set());
     assert.equal(candidates.find(({ id }) => id === runner)?.cachedTokens, tokens);
   },
 );
@@ -81,30 +83,30 @@
   '{int} peers are heard, and each engine is told to keep {int} parts',
   function (this: World, peers: number, parts: number) {
     this.peerCount = peers;
-    for (const { hash } of this.book.candidates('engines', [], new Set())) {
+    for (const { hash } of this.registry.candidates('engines', [], new Set())) {
       for (let part = 0; part < parts; part += 1) {
-        this.book.learnPlace(hash, promptKeyOf(`part ${part}`), 100);
+        this.registry.learnCachedPart(hash, promptKeyOf(`part ${part}`), 100);
       }
     }
   },
 );
 
 Then('its peers are told what {string} keeps', function (this: World, runner: string) {
-  assert.deepEqual(this.told!.get(hashToNumber(runner)), this.keptBy.get(runner));
+  assert.deepEqual(this.announced!.get(hashToNumber(runner)), this.cachedPartsByRunner.get(runner));
 });
 
 Then('at most {int} engines were asked', function (this: World, most: number) {
-  assert.ok(this.asked.length <= most, `${this.asked.length} were asked`);
+  assert.ok(this.queried.length <= most, `${this.queried.length} were asked`);
 });
 
 Then('only {string} was asked', function (this: World, runner: string) {
-  assert.deepEqual(this.asked, [runner]);
+  assert.deepEqual(this.queried, [runner]);
 });
 
 Then(
   'between {int} and {int} engines were asked',
   function (this: World, least: number, most: number) {
-    const { length } = this.asked;
+    const { length } = this.queried;
     assert.ok(length >= least && length <= most, `${length} were asked`);
   },
 );
--- a/features/steps/placement.steps.ts
+++ b/features/steps/placement.steps.ts
@@ -8,20 +8,20 @@
 import type { RunnerView } from '../../src/relay/runners/runner-view.js';
 import type { RelayRequest } from '../../src/relay/request/relay-request.js';
 import { EngineEstimate } from '../../src/relay/runners/engine-estimate.js';
-import { PromptPlaces } from '../../src/relay/runners/prompt-places.js';
+import { PromptCacheEstimate } from '../../src/relay/runners/prompt-cache-estimate.js';
 import { parsePromptParts } from '../../src/relay/request/relay-request.js';
 import { LEAST_URGENT_RANK, rankOf } from '../../src/relay/request/request-rank.js';
 import { EventSplitter } from '../../src/relay/answers/event-splitter.js';
 import { createRoutingTable, findRoute } from '../../src/relay/request/routing-table.js';
 import type { Route } from '../../src/relay/request/routing-table.js';
-import { RunnerPace, ServicePace } from '../../src/relay/runners/service-pace.js';
-import { SilenceEstimate } from '../../src/relay/runners/silence-estimate.js';
+import { RunnerLatency, ServiceLatency } from '../../src/relay/runners/latency-estimate.js';
+import { InactivityEstimate } from '../../src/relay/runners/inactivity-estimate.js';
 import { TrafficSplit } from '../../src/relay/runners/traffic-split.js';
 
 interface World {
   views: RunnerView[];
   chosen: string | undefined;
-  places: PromptPlaces;
+  promptCache: PromptCacheEstimate;
 }
 
 /** An engine that reads 270 tokens in a millisecond. */
@@ -176,13 +176,13 @@
 /** Streams of an engine with some noise, taken by a fresh estimate. */
 function learnFrom(engine: EmulatedEngine, streams: readonly number[]): EngineEstimate {
   const estimate = new EngineEstimate();
-  streams.forEach((unreadTokens, index) => {
+  streams.forEach((uncachedTokens, index) => {
     const running = 1 + (index % 8);
     const noise = ((index % 5) - 2) * 2;
-    estimate.take({
-      unreadTokens,
+    estimate.observe({
+      uncachedTokens,
       running,
-      firstEventMilliseconds: BASE_MILLISECONDS + unreadTokens * engine.perToken + noise,
+      firstEventMilliseconds: BASE_MILLISECONDS + uncachedTokens * engine.perToken + noise,
       pauseMilliseconds: BASE_PAUSE + running * engine.perRequest + noise / 4,
       eventCount: 10,
     });
@@ -221,7 +221,7 @@
 
 Then('streams that stall leave the reading rate of an engine within bounds', function () {
   const sample = fc.record({
-    unreadTokens: fc.option(fc.integer({ min: 0, max: 1e9 }), { nil: undefined }),
+    uncachedTokens: fc.option(fc.integer({ min: 0, max: 1e9 }), { nil: undefined }),
     running: fc.integer({ min: 1, max: 10_000 }),
     firstEventMilliseconds: fc.double({ min: 0, max: 1e9, noNaN: true }),
     pauseMilliseconds: fc.option(fc.double({ min: 0, max: 1e9, noNaN: true }), { nil: undefined }),
@@ -230,7 +230,7 @@
   fc.assert(
     fc.property(fc.array(sample), (samples) => {
       const estimate = new EngineEstimate();
-      samples.forEach((one) => estimate.take(one));
+      samples.forEach((one) => estimate.observe(one));
       assert.ok(estimate.millisecondsPerToken > 0 && estimate.millisecondsPerToken <= 5);
       assert.ok(estimate.eventMillisecondsPerRequest >= 0);
       assert.ok(Number.isFinite(estimate.eventMillisecondsPerRequest));
@@ -239,25 +239,25 @@
 });
 
 Given('a runner with memory for {int} tokens', function (this: World, tokens: number) {
-  this.places = new PromptPlaces(() => tokens);
+  this.promptCache = new PromptCacheEstimate(() => tokens);
 });
 
 When(/^prompts "(.*)" and "(.*)" were read there$/, function (this: World, a: string, b: string) {
-  [a, b].forEach((prompt) => this.places.touch(parsePromptParts(prompt)));
+  [a, b].forEach((prompt) => this.promptCache.touch(parsePromptParts(prompt)));
 });
 
 Then(
   'it keeps {int} tokens of the prompt {string}',
   function (this: World, tokens: number, prompt: string) {
-    assert.equal(this.places.leadingTokens(parsePromptParts(prompt)), tokens);
+    assert.equal(this.promptCache.leadingTokens(parsePromptParts(prompt)), tokens);
   },
 );
 
 /** The unusual silence of a service whose answers had these longest silences. */
-function unusualAfter(silences: readonly number[]): number {
-  const estimate = new SilenceEstimate();
-  silences.forEach((silence) => estimate.take(silence));
-  return estimate.unusualMilliseconds;
+function timeoutAfter(silences: readonly number[]): number {
+  const estimate = new InactivityEstimate();
+  silences.forEach((silence) => estimate.observe(silence));
+  return estimate.timeoutMilliseconds;
 }
 
 Then(
@@ -265,8 +265,8 @@
   function (usual: number, least: number) {
     const around = fc.integer({ min: Math.round(usual * 0.8), max: Math.round(usual * 1.2) });
     const silences = fc.array(around, { minLength: 20, maxLength: 60 });
-    fc.assert(fc.property(silences, (some) => assert.ok(unusualAfter(some) >= least)));
-    fc.assert(fc.property(silences, (some) => assert.ok(unusualAfter(some) <= usual * 2)));
+    fc.assert(fc.property(silences, (some) => assert.ok(timeoutAfter(some) >= least)));
+    fc.assert(fc.property(silences, (some) => assert.ok(timeoutAfter(some) <= usual * 2)));
   },
 );
 
@@ -274,23 +274,23 @@
   'a service that is never silent for long is asked again after {int} milliseconds',
   function (least: number) {
     const silences = fc.array(fc.integer({ min: 0, max: 40 }), { maxLength: 60 });
-    fc.assert(fc.property(silences, (some) => assert.equal(unusualAfter(some), least)));
+    fc.assert(fc.property(silences, (some) => assert.equal(timeoutAfter(some), least)));
   },
 );
 
 Then('no silence is usual beyond {int} milliseconds', function (most: number) {
   const silences = fc.array(fc.integer({ min: 0, max: 1e9 }), { maxLength: 60 });
-  fc.assert(fc.property(silences, (some) => assert.ok(unusualAfter(some) <= most)));
+  fc.assert(fc.property(silences, (some) => assert.ok(timeoutAfter(some) <= most)));
 });
 
 Then('streams of any length leave a usual runner as fast as its service', function () {
   const lengths = fc.array(fc.integer({ min: 4, max: 24 }), { minLength: 40, maxLength: 120 });
   fc.assert(
     fc.property(lengths, fc.integer({ min: 5, max: 60 }), (counts, perEvent) => {
-      const service = new ServicePace();
-      const runners = [new RunnerPace(service), new RunnerPace(service)];
+      const service = new ServiceLatency();
+      const runners = [new RunnerLatency(service), new RunnerLatency(service)];
       counts.forEach((eventCount, index) => {
-        runners[index % 2]!.take({ totalMilliseconds: eventCount * perEvent, eventCount });
+        runners[index % 2]!.observe({ totalMilliseconds: eventCount * perEvent, eventCount });
       });
       const [first, second] = runners.map((runner) => runner.expectedMilliseconds);
       assert.equal(first, second);
@@ -301,14 +301,14 @@
 Then(
   'a runner that takes five times as long is known after {int} requests',
   function (some: number) {
-    const service = new ServicePace();
-    const usual = new RunnerPace(service);
-    const slow = new RunnerPace(service);
+    const service = new ServiceLatency();
+    const usual = new RunnerLatency(service);
+    const slow = new RunnerLatency(service);
     for (let request = 0; request < 200; request += 1) {
-      usual.take({ totalMilliseconds: 100, eventCount: 0 });
+      usual.observe({ totalMilliseconds: 100, eventCount: 0 });
     }
     for (let request = 0; request < some; request += 1) {
-      slow.take({ totalMilliseconds: 500, eventCount: 0 });
+      slow.observe({ totalMilliseconds: 500, eventCount: 0 });
     }
     assert.ok(slow.expectedMilliseconds > usual.expectedMilliseconds * 1.4);
   },
--- a/features/steps/slow-readers.steps.ts
+++ b/features/steps/slow-readers.steps.ts
@@ -11,8 +11,8 @@
 import { ROUTED_HOST, RelayWorld } from '../support/relay-world.js';
 import type { ClientResult, RelayWorldOptions } from '../support/relay-world.js';
 import { SlowClient } from '../support/slow-client.js';
-import { TakingNothing } from '../support/taking-nothing.js';
-import type { RunnerLife } from '../../src/relay/runners/runner.js';
+import { NonReadingRunner } from '../support/non-reading-runner.js';
+import type { RunnerIncarnation } from '../../src/relay/runners/runner.js';
 
 const MEGABYTE = 1024 * 1024;
 /** Twice what the kernel takes on both ways for a client that reads nothing: some 9 MB. */
@@ -26,17 +26,17 @@
  */
 const CROWD_STREAMS = { eventBytes: 64 * 1024, eventCount: 20 };
 const ENDLESS_QUERY = 'stream&events=600';
-const ENDLESS_SHARE = 5;
+const ENDLESS_INTERVAL = 5;
 const ANSWER_BYTES = 8 * MEGABYTE;
 const STEP_MILLISECONDS = 20;
 /** Time in which a request that does not wait is answered, with much to spare. */
 const WAIT_MILLISECONDS = 500;
 /** Time without an event after which a runner waits: less than the pause after which it is read on. */
-const STILL_MILLISECONDS = 300;
+const STALL_MILLISECONDS = 300;
 /** Expected of a runner of which nothing is known. */
-const UNKNOWN_MILLISECONDS = 100;
+const DEFAULT_LATENCY_MILLISECONDS = 100;
 /** Answers that say that the request has not run. */
-const PROMISES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const LONG = { timeout: 60_000 };
 
 interface World {
@@ -44,10 +44,10 @@
   reader: SlowClient;
   readers: SlowClient[];
   usual: { result: ClientResult; milliseconds: number }[][];
-  residentBefore: number;
-  heldMost: number;
-  residentMost: number;
-  stuck?: TakingNothing;
+  initialResidentBytes: number;
+  maximumHeldBytes: number;
+  maximumResidentBytes: number;
+  nonReadingRunner?: NonReadingRunner;
   answers: ClientResult[];
   /** Requests of which anything came to the runner that takes nothing. */
   reached: string[];
@@ -74,18 +74,18 @@
   world.slow = new RelayWorld(options);
   world.readers = [];
   world.usual = [];
-  world.heldMost = 0;
-  world.residentMost = 0;
+  world.maximumHeldBytes = 0;
+  world.maximumResidentBytes = 0;
   await world.slow.start(true);
 }
 
 After(async function (this: Partial<World>) {
-  this.reader?.leave();
-  this.readers?.forEach((reader) => reader.leave());
-  this.stuck?.close();
+  this.reader?.disconnect();
+  this.readers?.forEach((reader) => reader.disconnect());
+  this.nonReadingRunner?.close();
   await this.slow?.stop();
   delete this.slow;
-  delete this.stuck;
+  delete this.nonReadingRunner;
   delete this.reader;
 });
 
@@ -126,11 +126,11 @@
 
 When('it reads on after {int} milliseconds', async function (this: World, pause: number) {
   await sleep(pause);
-  this.reader.readOn();
+  this.reader.resume();
 });
 
 When('it leaves', function (this: World) {
-  this.reader.leave();
+  this.reader.disconnect();
 });
 
 Then(
@@ -143,7 +143,7 @@
     for (let looks = 0; before !== sent(); looks += 1) {
       assert.ok(looks < 20, 'the runner never waits');
       before = sent();
-      await sleep(STILL_MILLISECONDS);
+      await sleep(STALL_MILLISECONDS);
     }
     assert.ok(before < EVENTS, 'all was sent');
     const held = memory.heldBytes;
@@ -171,11 +171,11 @@
 
 Then("no try failed, and nothing was learned of its runner's pace", function (this: World) {
   assert.ok(!this.slow.gateway.metrics.render().includes('ivyloom_relay_failed_tries_total'));
-  const paces = this.slow.gateway.book.candidates('workers', [], new Set());
+  const paces = this.slow.gateway.registry.candidates('workers', [], new Set());
   // Without a sample each runner is as quick as its service, and that as quick as any.
   assert.deepEqual(
-    paces.map(({ record }) => record.pace.expectedMilliseconds),
-    [UNKNOWN_MILLISECONDS, UNKNOWN_MILLISECONDS],
+    paces.map(({ record }) => record.latency.expectedMilliseconds),
+    [DEFAULT_LATENCY_MILLISECONDS, DEFAULT_LATENCY_MILLISECONDS],
   );
 });
 
@@ -185,7 +185,7 @@
   async function (this: World, most: number) {
     const { memory } = this.slow.gateway;
     await until('the cut', most, () => memory.heldBytes === 0);
-    this.reader.readOn();
+    this.reader.resume();
     await until('the close', 3_000, () => this.reader.isClosed);
     assert.ok(!this.reader.isComplete);
   },
@@ -224,7 +224,7 @@
 });
 
 /** Asks in ten lines of thirty; each is answered by a short plain answer. */
-async function askAsUsual(world: World, count: number): Promise<void> {
+async function sendUsualRequests(world: World, count: number): Promise<void> {
   const LINES = 10;
   const done: { result: ClientResult; milliseconds: number }[] = [];
   const line = async (): Promise<void> => {
@@ -242,20 +242,20 @@
   '{int} usual clients ask, one after another of each ten',
   LONG,
   async function (this: World, count: number) {
-    await askAsUsual(this, count);
-    this.heldMost = this.slow.gateway.memory.heldBytes;
-    this.residentMost = process.memoryUsage.rss();
+    await sendUsualRequests(this, count);
+    this.maximumHeldBytes = this.slow.gateway.memory.heldBytes;
+    this.maximumResidentBytes = process.memoryUsage.rss();
   },
 );
 
 async function startReaders(world: World, nothing: number, sips: number): Promise<void> {
-  world.residentBefore = process.memoryUsage.rss();
+  world.initialResidentBytes = process.memoryUsage.rss();
   const { frontPort } = world.slow;
   for (let index = 0; index < sips; index += 1) {
     world.readers.push(new SlowClient(frontPort, 'repeatable', `sip-${index}`, 'sips'));
   }
   for (let index = 0; index < nothing; index += 1) {
-    const query = index % ENDLESS_SHARE === 0 ? ENDLESS_QUERY : 'stream';
+    const query = index % ENDLESS_INTERVAL === 0 ? ENDLESS_QUERY : 'stream';
     world.readers.push(new SlowClient(frontPort, 'stream', `none-${index}`, 'nothing', query));
   }
 }
@@ -267,7 +267,7 @@
     await startReaders(this, nothing, sips);
     const { memory } = this.slow.gateway;
     const slow = (): number => Number(/slow_readers (\d+)/.exec(memory.render())?.[1]);
-    const endless = nothing / ENDLESS_SHARE;
+    const endless = nothing / ENDLESS_INTERVAL;
     await until('all are behind', 20_000, () => slow() + memory.cutCount >= endless);
   },
 );
@@ -304,13 +304,13 @@
   },
 );
 
-function hundredth(milliseconds: readonly number[], part: number): number {
+function quantile(milliseconds: readonly number[], fraction: number): number {
   const sorted = [...milliseconds].sort((left, right) => left - right);
-  return sorted[Math.floor(sorted.length * part)]!;
+  return sorted[Math.floor(sorted.length * fraction)]!;
 }
 
 /** What a client may notice, in milliseconds: half of the time within which an event is to be passed on. */
-const NOTICED_MILLISECONDS = 100;
+const TOLERATED_DELAY_MILLISECONDS = 100;
 
 Then(
   'all usual clients were answered whole, the later ones as soon as the earlier ones',
@@ -322,19 +322,19 @@
       assert.equal(result.status, 200);
       assert.ok(result.complete);
     });
-    const middle = [before!, after!].map((asked) => hundredth(asked, 0.5));
-    const late = [before!, after!].map((asked) => hundredth(asked, 0.95));
+    const middle = [before!, after!].map((asked) => quantile(asked, 0.5));
+    const late = [before!, after!].map((asked) => quantile(asked, 0.95));
     const seen = `median ${middle.join(', ')} ms; 95 in 100 ${late.join(', ')} ms`;
-    assert.ok(middle[1]! <= middle[0]! + NOTICED_MILLISECONDS, seen);
-    assert.ok(late[1]! <= late[0]! + NOTICED_MILLISECONDS, seen);
+    assert.ok(middle[1]! <= middle[0]! + TOLERATED_DELAY_MILLISECONDS, seen);
+    assert.ok(late[1]! <= late[0]! + TOLERATED_DELAY_MILLISECONDS, seen);
   },
 );
 
 Then(
   'the gateway held at most {int} MB for the others, and the process took at most {int} MB more',
   function (this: World, held: number, resident: number) {
-    assert.ok(this.heldMost <= held * MEGABYTE, `${this.heldMost} bytes held`);
-    const more = this.residentMost - this.residentBefore;
+    assert.ok(this.maximumHeldBytes <= held * MEGABYTE, `${this.maximumHeldBytes} bytes held`);
+    const more = this.maximumResidentBytes - this.initialResidentBytes;
     assert.ok(more <= resident * MEGABYTE, `${more} bytes more resident`);
   },
 );
@@ -367,8 +367,8 @@
 
 Given('a gateway with two runners, the first of which takes nothing', async function (this: World) {
   await startWorld(this, { maximumConnections: 200 });
-  this.stuck = new TakingNothing();
-  const port = await this.stuck.listen();
+  this.nonReadingRunner = new NonReadingRunner();
+  const port = await this.nonReadingRunner.listen();
   this.slow.listRunner(0, true, port);
 });
 
@@ -382,7 +382,10 @@
     );
     const { backpressure: intake } = this.slow.gateway;
     const watch = setInterval(() => {
-      this.heldMost = Math.max(this.heldMost, intake.unsentBytes('one' as RunnerLife));
+      this.maximumHeldBytes = Math.max(
+        this.maximumHeldBytes,
+        intake.unsentBytes('one' as RunnerIncarnation),
+      );
     }, 1);
     this.answers = await Promise.all(asked);
     clearInterval(watch);
@@ -392,8 +395,8 @@
 Then(
   'at most {int} bytes wait for the first runner, and the others were answered by the second',
   async function (this: World, most: number) {
-    assert.ok(this.heldMost <= most, `${this.heldMost} bytes waited`);
-    this.reached = await this.stuck!.readIds();
+    assert.ok(this.maximumHeldBytes <= most, `${this.maximumHeldBytes} bytes waited`);
+    this.reached = await this.nonReadingRunner!.readIds();
     const others = this.answers.filter((_, index) => !this.reached.includes(`body-${index}`));
     assert.deepEqual(
       others.map(({ status }) => status),
@@ -409,14 +412,14 @@
     assert.ok(this.reached.length > 0);
     for (const id of this.reached) {
       const { status } = this.answers[Number(id.split('-')[1])]!;
-      assert.ok(!PROMISES.has(status), `${id} reached a runner and got ${status}`);
+      assert.ok(!NOT_RUN_STATUSES.has(status), `${id} reached a runner and got ${status}`);
     }
   },
 );
 
 /** Sends one try over a connection that closes after it, and does not read its answer. */
 function startUnread(world: World, bytes: number, ended: (outcome: string) => void): Attempt {
-  const { runner } = world.slow.gateway.book.candidates('workers', [], new Set())[0]!.record;
+  const { runner } = world.slow.gateway.registry.candidates('workers', [], new Set())[0]!.record;
   let read = 0;
   const attempt = startAttempt(
     runner,
--- a/features/steps/soak.steps.ts
+++ b/features/steps/soak.steps.ts
@@ -10,14 +10,14 @@
 import { TenantCheck } from '../../soak/tenant-check.js';
 import { RelayRunner } from '../../src/emulator/relay-runner.js';
 import { createRandom } from '../../src/runtime/random.js';
-import { LyingGateway } from '../support/lying-gateway.js';
-import type { Lie } from '../support/lying-gateway.js';
+import { FaultyGateway } from '../support/faulty-gateway.js';
+import type { GatewayFault } from '../support/faulty-gateway.js';
 
 const HOST = '127.0.9.1';
 const CLIENTS = 4;
 
 interface World {
-  lyingGateway?: LyingGateway;
+  lyingGateway?: FaultyGateway;
   soakRunner?: RelayRunner;
   told?: Set<string>;
   check?: ConfigurationCheck;
@@ -27,9 +27,9 @@
   this.lyingGateway?.close();
 });
 
-Given('a gateway that lies: {string}', async function (this: World, lie: Lie) {
+Given('a gateway that lies: {string}', async function (this: World, lie: GatewayFault) {
   this.soakRunner = new RelayRunner({ id: 'runner', names: PLATFORM_HEADER_NAMES });
-  this.lyingGateway = new LyingGateway(lie, this.soakRunner);
+  this.lyingGateway = new FaultyGateway(lie, this.soakRunner);
   await this.lyingGateway.listen(HOST, SOAK_PORTS.front);
 });
 
--- a/features/steps/stale-loads.steps.ts
+++ b/features/steps/stale-loads.steps.ts
@@ -7,7 +7,7 @@
 import { Then } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import { chooseRunner } from '../../src/relay/placement/choose-runner.js';
-import { drawCandidates } from '../../src/relay/placement/draw-candidates.js';
+import { sampleCandidates } from '../../src/relay/placement/sample-candidates.js';
 import { chargesWithout } from '../../src/relay/placement/placement-charges.js';
 import type { PlacementNeed } from '../../src/relay/placement/placement-charges.js';
 import type { LoadView } from '../../src/relay/runners/runner-view.js';
@@ -46,7 +46,7 @@
     new Array<number>(GATEWAYS).fill(0),
   );
   /** The loads as they were told at the last times, the oldest first. */
-  private told: Loads[] = [];
+  private published: Loads[] = [];
   /** Requests beyond the places of their runners, summed over all requests sent. */
   excess = 0;
   sent = 0;
@@ -54,16 +54,16 @@
   constructor(private readonly draw: Draw) {}
 
   run(): this {
-    this.tell();
+    this.publish();
     this.sendNext();
     this.clock.runUntil(LENGTH_MILLISECONDS);
     return this;
   }
 
-  private tell(): void {
-    this.told.push(this.loads.map((byGateway) => [...byGateway]));
-    this.told = this.told.slice(-1 - AGE_MILLISECONDS / PERIOD_MILLISECONDS);
-    this.clock.schedule(PERIOD_MILLISECONDS, () => this.tell());
+  private publish(): void {
+    this.published.push(this.loads.map((byGateway) => [...byGateway]));
+    this.published = this.published.slice(-1 - AGE_MILLISECONDS / PERIOD_MILLISECONDS);
+    this.clock.schedule(PERIOD_MILLISECONDS, () => this.publish());
   }
 
   private sendNext(): void {
@@ -83,8 +83,11 @@
   }
 
   private viewOf(index: number, gateway: number, now: readonly number[]): LoadView {
-    const told = this.told[0]![index]!;
-    const others = told.reduce((sum, count, from) => sum + (from === gateway ? 0 : count), 0);
+    const publishedLoads = this.published[0]![index]!;
+    const others = publishedLoads.reduce(
+      (sum, count, from) => sum + (from === gateway ? 0 : count),
+      0,
+    );
     return {
       id: String(index),
       hash: index,
@@ -104,7 +107,7 @@
   function () {
     const all = new StaleLoads((views) => views).run();
     const drawn = new StaleLoads((views, random) =>
-      drawCandidates(views, AGE_MILLISECONDS, random),
+      sampleCandidates(views, AGE_MILLISECONDS, random),
     ).run();
     const [excessOfAll, excess] = [all.excess / all.sent, drawn.excess / drawn.sent];
     assert.ok(excessOfAll > 10, `${excessOfAll}`);
@@ -114,7 +117,7 @@
 
 Then('where others send little before it is known, all runners are weighed', function () {
   const views = Array.from({ length: RUNNERS }, (_, index) => viewWith(index, 0, 2));
-  assert.equal(drawCandidates(views, AGE_MILLISECONDS / 3, createRandom(1)).length, RUNNERS);
+  assert.equal(sampleCandidates(views, AGE_MILLISECONDS / 3, createRandom(1)).length, RUNNERS);
 });
 
 function viewWith(index: number, cachedTokens: number, inFlightOfOthers: number): LoadView {
@@ -136,7 +139,7 @@
   fc.assert(
     fc.property(kept, fc.nat(), (tokens, seed) => {
       const views = tokens.map((kept, index) => viewWith(index, kept, PLACES));
-      const weighed = drawCandidates(views, AGE_MILLISECONDS, createRandom(seed + 1));
+      const weighed = sampleCandidates(views, AGE_MILLISECONDS, createRandom(seed + 1));
       const most = Math.max(...tokens);
       assert.ok(weighed.some(({ cachedTokens }) => cachedTokens === most));
       assert.equal(new Set(weighed).size, weighed.length);
--- a/features/support/contention-requests.ts
+++ b/features/support/contention-requests.ts
@@ -28,7 +28,7 @@
     metrics: new RelayMetrics(),
     runtime: { now: () => 0, log: () => undefined },
     split: { pick: () => 's' },
-    book: {
+    registry: {
       loadOf: () => ({ inFlight: 0, slots: 6, runners: 1 }),
       engineCosts: () => new EngineEstimate(),
       candidates: () => [{ cachedTokens: cachedTokens }],
--- a/features/support/lying-gateway.ts
+++ b/features/support/faulty-gateway.ts
@@ -13,7 +13,7 @@
 import type { RelayRunner } from '../../src/emulator/relay-runner.js';
 
 /** Promises that it may break; `nothing` keeps them all. */
-export type Lie =
+export type GatewayFault =
   | 'nothing'
   /** Gives the answer of another request. */
   | 'foreignAnswer'
@@ -52,14 +52,14 @@
 const MOST_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
 
 /** See the head of this file. */
-export class LyingGateway {
+export class FaultyGateway {
   private readonly server: Server;
   private readonly chains = new Map<string, string>();
-  private readonly handed = new Map<string, number>();
+  private readonly deliveredTokens = new Map<string, number>();
   private limitedCount = 0;
 
   constructor(
-    private readonly lie: Lie,
+    private readonly fault: GatewayFault,
     private readonly runner: RelayRunner,
   ) {
     this.server = createServer((request, response) => {
@@ -82,7 +82,7 @@
 
   private answer(request: IncomingMessage, response: ServerResponse, body: string): void {
     const id = String(request.headers[NAMES.requestId]);
-    if (this.lie === 'forgetsRoutes') {
+    if (this.fault === 'forgetsRoutes') {
       response.writeHead(404).end();
       return;
     }
@@ -96,14 +96,14 @@
       return;
     }
     this.run(request, id, body);
-    if (this.lie === 'runsTwice') {
+    if (this.fault === 'runsTwice') {
       this.run(request, id, body);
     }
-    if (this.lie === 'refusesAfterRun') {
+    if (this.fault === 'refusesAfterRun') {
       response.writeHead(503).end();
       return;
     }
-    const owner = this.lie === 'foreignAnswer' ? 'another' : id;
+    const owner = this.fault === 'foreignAnswer' ? 'another' : id;
     response.writeHead(200, this.signature).end(`answer of ${this.runner.id} to ${owner}`);
   }
 
@@ -116,19 +116,19 @@
     const program = String(request.headers[NAMES.program]);
     const budget = Number(request.headers[NAMES.tokenBudget]);
     const previous = request.headers[NAMES.previousTurn];
-    const handed = this.handed.get(program) ?? 0;
-    if (handed + MOST_TOKENS > budget && this.lie !== 'ignoresBudget') {
+    const handed = this.deliveredTokens.get(program) ?? 0;
+    if (handed + MOST_TOKENS > budget && this.fault !== 'ignoresBudget') {
       response.writeHead(402).end();
       return;
     }
-    if (previous !== undefined && this.lie === 'forgetsTurns') {
+    if (previous !== undefined && this.fault === 'forgetsTurns') {
       response.writeHead(404).end();
       return;
     }
-    const chain = this.lie === 'mixesChains' ? 'of nobody;' : this.chains.get(String(previous));
+    const chain = this.fault === 'mixesChains' ? 'of nobody;' : this.chains.get(String(previous));
     this.run(request, id, (chain ?? '') + input);
     const events = this.events(request.url ?? '');
-    this.handed.set(program, handed + events.length * SOAK_TOKENS_PER_EVENT);
+    this.deliveredTokens.set(program, handed + events.length * SOAK_TOKENS_PER_EVENT);
     const output = events.map((event) => `event ${event}\n`).join('');
     this.chains.set(id, (chain ?? '') + input + output);
     response.writeHead(200, { ...this.signature, 'content-type': 'text/event-stream' });
@@ -138,21 +138,23 @@
   private events(path: string): number[] {
     const count = path.startsWith('/long/') ? LONG_EVENTS : SOAK_EVENTS;
     const all = Array.from({ length: count }, (_, index) => index + 1);
-    if (this.lie === 'endsEarly') {
+    if (this.fault === 'endsEarly') {
       return all.slice(0, -1);
     }
-    return this.lie === 'skipsEvent' ? all.filter((event) => event !== 2) : all;
+    return this.fault === 'skipsEvent' ? all.filter((event) => event !== 2) : all;
   }
 
   /** Status with which a request is refused for its key or its tenant's limit. */
   private refusalOf({ headers }: IncomingMessage): number | undefined {
     const tenant = TENANTS[String(headers[NAMES.key])];
     if (tenant === undefined) {
-      return this.lie === 'servesOldKeys' ? undefined : 401;
+      return this.fault === 'servesOldKeys' ? undefined : 401;
     }
     if (tenant === LIMITED_TENANT) {
       this.limitedCount += 1;
-      return this.limitedCount > LIMITED_REQUESTS && this.lie !== 'ignoresLimit' ? 429 : undefined;
+      return this.limitedCount > LIMITED_REQUESTS && this.fault !== 'ignoresLimit'
+        ? 429
+        : undefined;
     }
     return undefined;
   }
@@ -160,9 +162,10 @@
   private run(request: IncomingMessage, requestId: string, body: string): void {
     const { method = '', url: path = '' } = request;
     const { [NAMES.key]: key, ...others } = request.headers;
-    const tenant = this.lie === 'namesAnother' ? 'another' : TENANTS[String(key)];
-    const told = { ...others, [NAMES.tenant]: tenant };
-    const headers = this.lie === 'passesKey' ? { ...told, [NAMES.key]: key } : told;
+    const tenant = this.fault === 'namesAnother' ? 'another' : TENANTS[String(key)];
+    const otherHeaders = { ...others, [NAMES.tenant]: tenant };
+    const headers =
+      this.fault === 'passesKey' ? { ...otherHeaders, [NAMES.key]: key } : otherHeaders;
     this.runner.runs.push({
       requestId,
       method,
--- a/features/support/taking-nothing.ts
+++ b/features/support/non-reading-runner.ts
@@ -7,7 +7,7 @@
 const REQUEST_ID = new RegExp(`${DEFAULT_HEADER_NAMES.requestId}: (\\S+)`, 'gi');
 
 /** See the head of this file. */
-export class TakingNothing {
+export class NonReadingRunner {
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
 
--- a/features/support/relay-world.ts
+++ b/features/support/relay-world.ts
@@ -211,7 +211,15 @@
   listRunner(index: number, ready: boolean, atPort?: number): void {
     const id = ['one', 'two'][index]!;
     const port = atPort ?? this.runnerPorts[index]!;
-    this.gateway.book.put({ id, service: SERVICE, host: HOST, port, zone: ZONE, slots: 4, ready });
+    this.gateway.registry.put({
+      id,
+      service: SERVICE,
+      host: HOST,
+      port,
+      zone: ZONE,
+      slots: 4,
+      ready,
+    });
   }
 
   /** Ends the replicas. */
--- a/features/support/slow-client.ts
+++ b/features/support/slow-client.ts
@@ -8,8 +8,8 @@
 /** Time that a client tells it waits, in milliseconds. */
 const TIMEOUT_MILLISECONDS = 20_000;
 /** Bytes that a slow reader takes at a time, and the pause between, in milliseconds. */
-const SIP_BYTES = 4;
-const SIP_MILLISECONDS = 1_000;
+const TRICKLE_BYTES = 4;
+const TRICKLE_INTERVAL_MILLISECONDS = 1_000;
 
 const END_OF_HEAD = 4;
 const LAST_CHUNK = '0\r\n\r\n';
@@ -32,8 +32,8 @@
       port,
       host: HOST,
       onread: {
-        buffer: Buffer.alloc(pace === 'sips' ? SIP_BYTES : 65_536),
-        callback: (bytes, buffer) => this.take(Buffer.from(buffer.subarray(0, bytes))),
+        buffer: Buffer.alloc(pace === 'sips' ? TRICKLE_BYTES : 65_536),
+        callback: (bytes, buffer) => this.receive(Buffer.from(buffer.subarray(0, bytes))),
       },
     });
     this.socket.on('error', () => undefined);
@@ -74,20 +74,20 @@
   }
 
   /** Reads everything from now on. */
-  readOn(): void {
+  resume(): void {
     this.pace = 'all';
     this.socket.resume();
   }
 
   /** Closes the connection. */
-  leave(): void {
+  disconnect(): void {
     this.socket.destroy();
   }
 
-  private take(bytes: Buffer): boolean {
+  private receive(bytes: Buffer): boolean {
     this.chunks.push(bytes);
     if (this.pace === 'sips') {
-      setTimeout(() => this.socket.resume(), SIP_MILLISECONDS).unref();
+      setTimeout(() => this.socket.resume(), TRICKLE_INTERVAL_MILLISECONDS).unref();
       return false;
     }
     return this.pace === 'all';
--- a/src/relay/admission/quota-gate.ts
+++ b/src/relay/admission/quota-gate.ts
@@ -5,8 +5,8 @@
  */
 import type { RandomSource } from '../../runtime/random.js';
 import type { QuotaClient } from '../../turns/quota-client.js';
-import type { OwnAnswer } from '../answers/own-answers.js';
-import { outOfReach, quotaSpent } from '../answers/own-answers.js';
+import type { LocalAnswer } from '../answers/local-answers.js';
+import { dependencyUnavailable, quotaExceeded } from '../answers/local-answers.js';
 import { ProgramSizes } from './program-sizes.js';
 import type { RelayMetrics } from '../relay-metrics.js';
 import type { RelayRequest } from '../request/relay-request.js';
@@ -47,7 +47,7 @@
     request: RelayRequest,
     isNewProgram: boolean,
     remainingMilliseconds: number,
-    done: (refusal: OwnAnswer | undefined) => void,
+    done: (refusal: LocalAnswer | undefined) => void,
   ): void {
     const { tenant, configurationVersion: version } = request;
     if (tenant?.quota === undefined) {
@@ -71,10 +71,10 @@
           return;
         case 'Exhausted':
           this.countRefusal(tenant.id);
-          done(quotaSpent(outcome.waitMilliseconds, random.uniform()));
+          done(quotaExceeded(outcome.waitMilliseconds, random.uniform()));
           return;
         case 'OutOfReach':
-          done(outOfReach('quota', isReachable()));
+          done(dependencyUnavailable('quota', isReachable()));
       }
     });
   }
--- a/src/relay/answers/answer-reader.ts
+++ b/src/relay/answers/answer-reader.ts
@@ -49,7 +49,7 @@
   /** A whole answer was passed on. */
   finishAnswered(status: number): void;
   /** The try under way failed although its connection stands. */
-  failCurrent(failure: AttemptFailure): void;
+  failAttempt(failure: AttemptFailure): void;
   /** Breaks off an answer that has begun and can't be finished. */
-  breakOff(reason: string): void;
+  abort(reason: string): void;
 }
--- a/src/relay/answers/client-answer.ts
+++ b/src/relay/answers/client-answer.ts
@@ -10,10 +10,10 @@
 import type { MemoryBudget, SlowReader } from '../memory/memory-budget.js';
 import { headersToClient } from '../request/forwarded-headers.js';
 import type { AnswerHead } from './answer-reader.js';
-import { ClientOutlet, PIECE_BYTES } from './client-outlet.js';
-import type { OwnAnswer } from './own-answers.js';
-import { ReaderWatch } from './reader-watch.js';
-import type { ReaderStand } from './reader-watch.js';
+import { ClientWriter, CHUNK_BYTES } from './client-writer.js';
+import type { LocalAnswer } from './local-answers.js';
+import { SlowReaderMonitor } from './slow-reader-monitor.js';
+import type { DeliveryState } from './slow-reader-monitor.js';
 
 /**
  * Bytes that a client may be behind before its runner is held: a hundred usual events, so that a client that pauses
@@ -24,13 +24,13 @@
 /** Where the answer comes from, as long as it comes. */
 export interface AnswerSource {
   /** Whether it is read on whatever the client takes. */
-  readonly readsOn: boolean;
+  readonly ignoresBackpressure: boolean;
   /** Reads nothing more from the runner. */
-  hold(): void;
+  pause(): void;
   /** Reads on. */
-  release(): void;
+  resume(): void;
   /** A try that begins is read. */
-  noteNewTry(): void;
+  noteNewAttempt(): void;
   /** The client does not take its answer, which is cut. */
   end(reason: string): void;
 }
@@ -51,29 +51,29 @@
 export class ClientAnswer implements SlowReader {
   private headSent = false;
   private ended = false;
-  private held = false;
+  private sourcePaused = false;
   private windowBytes = WINDOW_BYTES;
   private source: AnswerSource | undefined;
-  private readonly outlet: ClientOutlet;
-  private readonly watch: ReaderWatch;
-  private readonly holding: MemoryAllocation;
+  private readonly writer: ClientWriter;
+  private readonly monitor: SlowReaderMonitor;
+  private readonly allocation: MemoryAllocation;
 
   constructor(
     private readonly response: ServerResponse,
     private readonly options: ClientAnswerOptions,
   ) {
     const { runtime, memory } = options;
-    this.holding = memory.allocate('answers');
-    this.outlet = new ClientOutlet(response, {
-      onBehind: () => this.noteBehind(),
-      onTaken: () => this.noteTaken(),
-      onCaughtUp: () => this.noteCaughtUp(),
+    this.allocation = memory.allocate('answers');
+    this.writer = new ClientWriter(response, {
+      onBackpressure: () => this.handleBackpressure(),
+      onProgress: () => this.handleProgress(),
+      onDrained: () => this.handleDrained(),
     });
-    this.watch = new ReaderWatch(runtime, {
-      stand: () => this.stand,
-      hasMemory: () => memory.canBufferSlowReaders,
-      readOn: () => this.readOn(),
-      cut: (reason) => this.cut(reason),
+    this.monitor = new SlowReaderMonitor(runtime, {
+      deliveryState: () => this.deliveryState,
+      hasSpareMemory: () => memory.canBufferSlowReaders,
+      extendWindow: () => this.extendWindow(),
+      disconnect: (reason) => this.cut(reason),
     });
     options.completion.onComplete(() => this.release());
   }
@@ -90,16 +90,16 @@
 
   /** Bytes that the client has not taken yet. */
   get heldBytes(): number {
-    return this.outlet.heldBytes;
+    return this.writer.bufferedBytes;
   }
 
   /** Time since the client last took something, in milliseconds; it counts while the client is behind. */
   get idleMilliseconds(): number {
-    return this.watch.idleMilliseconds;
+    return this.monitor.idleMilliseconds;
   }
 
   /** Calls back when the client left before the end of its answer. */
-  onLeft(listener: () => void): void {
+  onDisconnect(listener: () => void): void {
     this.options.completion.onComplete(() => {
       if (!this.response.writableFinished) {
         listener();
@@ -108,19 +108,19 @@
   }
 
   /** Names what is read for this answer. */
-  comesFrom(source: AnswerSource): void {
+  setSource(source: AnswerSource): void {
     this.source = source;
   }
 
   /** Another runner is read from now on: only what it sends may hold it. */
-  noteNewTry(): void {
-    this.held = false;
+  noteNewAttempt(): void {
+    this.sourcePaused = false;
     this.windowBytes = WINDOW_BYTES;
-    this.source?.noteNewTry();
+    this.source?.noteNewAttempt();
   }
 
   /** Gives an answer of the relay itself. */
-  sendOwn(answer: OwnAnswer, requestId: string | undefined): void {
+  sendLocal(answer: LocalAnswer, requestId: string | undefined): void {
     const { status, detail, verdict, retryAfterSeconds } = answer;
     const title = STATUS_CODES[status] ?? 'Error';
     const body = Buffer.from(`${JSON.stringify({ title, status, detail, verdict })}\n`);
@@ -146,12 +146,12 @@
     headers.push('content-length', String(body.length));
     this.writeHead(head.status, head.reason, headers);
     this.ended = true;
-    if (body.length <= PIECE_BYTES) {
+    if (body.length <= CHUNK_BYTES) {
       this.response.end(body);
       return;
     }
-    this.outlet.push(body);
-    this.outlet.end();
+    this.writer.push(body);
+    this.writer.end();
   }
 
   /** Begins to pass on a runner's stream. */
@@ -165,16 +165,16 @@
     if (this.response.destroyed) {
       return;
     }
-    this.outlet.push(bytes);
-    if (this.outlet.isBehind) {
-      this.noteHeld();
+    this.writer.push(bytes);
+    if (this.writer.isBackpressured) {
+      this.noteBuffered();
     }
   }
 
   /** Ends a stream as complete. */
   end(): void {
     this.ended = true;
-    this.outlet.end();
+    this.writer.end();
   }
 
   /** Breaks the connection, so that what was sent can't look complete. */
@@ -190,7 +190,7 @@
       event: 'memory.cut',
       request: requestId,
       reason,
-      stand: this.stand,
+      stand: this.deliveryState,
       held: this.heldBytes,
       idle: Math.round(this.idleMilliseconds),
     });
@@ -199,66 +199,66 @@
     this.release();
   }
 
-  private get stand(): ReaderStand {
+  private get deliveryState(): DeliveryState {
     if (this.ended) {
       return 'ready';
     }
-    return this.source?.readsOn === true ? 'readOn' : 'held';
+    return this.source?.ignoresBackpressure === true ? 'readOn' : 'held';
   }
 
-  private noteBehind(): void {
+  private handleBackpressure(): void {
     this.options.memory.addReader(this);
-    this.watch.start();
-    this.noteHeld();
+    this.monitor.start();
+    this.noteBuffered();
   }
 
   /** Some more waits for the client. */
-  private noteHeld(): void {
+  private noteBuffered(): void {
     const { heldBytes } = this;
-    this.watch.noteRead();
-    if (heldBytes > this.windowBytes && !this.held && this.stand === 'held') {
-      this.held = true;
-      this.source?.hold();
+    this.monitor.noteRead();
+    if (heldBytes > this.windowBytes && !this.sourcePaused && this.deliveryState === 'held') {
+      this.sourcePaused = true;
+      this.source?.pause();
     }
-    this.holding.set(heldBytes);
+    this.allocation.set(heldBytes);
   }
 
-  private noteTaken(): void {
-    this.watch.noteTaken();
-    this.holding.set(this.heldBytes);
-    if (this.held && this.heldBytes <= WINDOW_BYTES / 2) {
-      this.letSourceGo();
+  private handleProgress(): void {
+    this.monitor.noteProgress();
+    this.allocation.set(this.heldBytes);
+    if (this.sourcePaused && this.heldBytes <= WINDOW_BYTES / 2) {
+      this.resumeSource();
     }
   }
 
-  private noteCaughtUp(): void {
-    this.watch.stop();
+  private handleDrained(): void {
+    this.monitor.stop();
     this.options.memory.removeReader(this);
     this.windowBytes = WINDOW_BYTES;
-    this.holding.set(0);
-    if (this.held) {
-      this.letSourceGo();
+    this.allocation.set(0);
+    if (this.sourcePaused) {
+      this.resumeSource();
     }
   }
 
   /** The runner must not go unread for long: one more window is read. */
-  private readOn(): void {
-    if (this.held) {
+  private extendWindow(): void {
+    if (this.sourcePaused) {
       this.windowBytes = this.heldBytes + WINDOW_BYTES;
-      this.letSourceGo();
+      this.resumeSource();
     }
   }
 
-  private letSourceGo(): void {
-    this.held = false;
-    this.source?.release();
+  private resumeSource(): void {
+    this.sourcePaused = false;
+    this.source?.resume();
   }
 
   private release(): void {
-    this.watch.stop();
+    this.monitor.stop();
     this.options.memory.removeReader(this);
-    this.outlet.drop();
-    this.holding.release();
+    this.writer.discard();
+    this.allocation.release();
   }
 
   private writeHead(status: number, reason: string, headers: string[]): void {
--- a/src/relay/answers/client-outlet.ts
+++ b/src/relay/answers/client-writer.ts
@@ -7,10 +7,10 @@
  * Bytes handed to a client that is behind at a time: a reader of a few kilobytes a second still shows that it
  * reads within the time that it has.
  */
-export const PIECE_BYTES = 8 * 1024;
+export const CHUNK_BYTES = 8 * 1024;
 
 /** What an outlet writes to: the part of Node's response that it uses. */
-export interface OutletTarget {
+export interface WriterTarget {
   /** Bytes that the target itself holds. */
   readonly writableLength: number;
   write(bytes: Buffer, done?: (error: Error | null | undefined) => void): boolean;
@@ -19,57 +19,57 @@
 }
 
 /** Told what becomes of a client that is behind. */
-export interface OutletListener {
+export interface WriterListener {
   /** It began to be behind. */
-  onBehind(): void;
+  onBackpressure(): void;
   /** It has taken some of what waited. */
-  onTaken(): void;
+  onProgress(): void;
   /** All is taken but what the target holds. */
-  onCaughtUp(): void;
+  onDrained(): void;
 }
 
 /** See the head of this file. */
-export class ClientOutlet {
+export class ClientWriter {
   private queue: Buffer[] = [];
   private queuedBytes = 0;
-  private behind = false;
+  private backpressured = false;
   private ended = false;
 
   constructor(
-    private readonly target: OutletTarget,
-    private readonly listener: OutletListener,
+    private readonly target: WriterTarget,
+    private readonly listener: WriterListener,
   ) {}
 
   /** Bytes that the client has not taken. */
-  get heldBytes(): number {
+  get bufferedBytes(): number {
     return this.queuedBytes + this.target.writableLength;
   }
 
   /** Whether the client is behind. */
-  get isBehind(): boolean {
-    return this.behind;
+  get isBackpressured(): boolean {
+    return this.backpressured;
   }
 
   /** Hands over bytes. */
   push(bytes: Buffer): void {
-    if (this.behind || bytes.length > PIECE_BYTES) {
+    if (this.backpressured || bytes.length > CHUNK_BYTES) {
       this.enqueue(bytes);
     } else if (!this.target.write(bytes)) {
-      this.fallBehind();
-      this.target.once('drain', () => this.take());
+      this.startBackpressure();
+      this.target.once('drain', () => this.handleProgress());
     }
   }
 
   /** Ends the answer once all is taken. */
   end(): void {
     this.ended = true;
-    if (!this.behind) {
+    if (!this.backpressured) {
       this.target.end();
     }
   }
 
   /** Forgets what waits. */
-  drop(): void {
+  discard(): void {
     this.queue = [];
     this.queuedBytes = 0;
   }
@@ -77,51 +77,51 @@
   private enqueue(bytes: Buffer): void {
     this.queue.push(bytes);
     this.queuedBytes += bytes.length;
-    if (!this.behind) {
-      this.fallBehind();
-      this.writePiece();
+    if (!this.backpressured) {
+      this.startBackpressure();
+      this.writeChunk();
     }
   }
 
-  private fallBehind(): void {
-    this.behind = true;
-    this.listener.onBehind();
+  private startBackpressure(): void {
+    this.backpressured = true;
+    this.listener.onBackpressure();
   }
 
-  private take(): void {
-    this.listener.onTaken();
-    this.writePiece();
+  private handleProgress(): void {
+    this.listener.onProgress();
+    this.writeChunk();
   }
 
-  private writePiece(): void {
-    const piece = this.takePiece();
-    if (piece !== undefined) {
-      this.target.write(piece, (error) => {
+  private writeChunk(): void {
+    const chunk = this.takeChunk();
+    if (chunk !== undefined) {
+      this.target.write(chunk, (error) => {
         if (error === null || error === undefined) {
-          this.take();
+          this.handleProgress();
         }
       });
       return;
     }
-    this.behind = false;
-    this.listener.onCaughtUp();
+    this.backpressured = false;
+    this.listener.onDrained();
     if (this.ended) {
       this.target.end();
     }
   }
 
-  private takePiece(): Buffer | undefined {
+  private takeChunk(): Buffer | undefined {
     const first = this.queue[0];
     if (first === undefined) {
       return undefined;
     }
-    const piece = first.subarray(0, PIECE_BYTES);
-    if (piece.length === first.length) {
+    const chunk = first.subarray(0, CHUNK_BYTES);
+    if (chunk.length === first.length) {
       this.queue.shift();
     } else {
-      this.queue[0] = first.subarray(PIECE_BYTES);
+      this.queue[0] = first.subarray(CHUNK_BYTES);
     }
-    this.queuedBytes -= piece.length;
-    return piece;
+    this.queuedBytes -= chunk.length;
+    return chunk;
   }
 }
--- a/src/relay/answers/event-splitter.ts
+++ b/src/relay/answers/event-splitter.ts
@@ -17,8 +17,8 @@
 const SPACE = 0x20;
 const DATA_FIELD = Buffer.from('data:');
 const ID_FIELD = Buffer.from('id:');
-const EMPTY = Buffer.alloc(0);
-const JOINT = Buffer.from('\n');
+const EMPTY_BUFFER = Buffer.alloc(0);
+const LINE_SEPARATOR = Buffer.from('\n');
 
 /** Longest event that is taken, in bytes. */
 export const MAXIMUM_EVENT_BYTES = 1024 * 1024;
@@ -55,7 +55,7 @@
     const line = bytes.subarray(start, end);
     const dataValue = fieldValue(line, DATA_FIELD);
     if (dataValue !== undefined) {
-      data.push(...(data.length > 0 ? [JOINT, dataValue] : [dataValue]));
+      data.push(...(data.length > 0 ? [LINE_SEPARATOR, dataValue] : [dataValue]));
     } else {
       id = fieldValue(line, ID_FIELD)?.toString('latin1') ?? id;
     }
@@ -71,7 +71,7 @@
 
 /** See the head of this file. */
 export class EventSplitter {
-  private rest: Buffer = EMPTY;
+  private rest: Buffer = EMPTY_BUFFER;
 
   /** Takes a chunk; returns the events that are whole now. Throws on one beyond the bound. */
   push(chunk: Buffer): StreamEvent[] {
@@ -90,7 +90,7 @@
   /** Bytes after the last whole event. */
   takeRest(): Buffer {
     const rest = this.rest;
-    this.rest = EMPTY;
+    this.rest = EMPTY_BUFFER;
     return rest;
   }
 }
--- a/src/relay/answers/plain-answer.ts
+++ b/src/relay/answers/plain-answer.ts
@@ -11,10 +11,10 @@
   private bytes = 0;
   private head: AnswerHead | undefined;
 
-  private readonly holding: MemoryAllocation;
+  private readonly allocation: MemoryAllocation;
 
   constructor(private readonly call: AnsweredCall) {
-    this.holding = call.context.memory.allocate('answers');
+    this.allocation = call.context.memory.allocate('answers');
   }
 
   onHead(head: AnswerHead): void {
@@ -24,9 +24,9 @@
   onData(chunk: Buffer): void {
     this.chunks.push(chunk);
     this.bytes += chunk.length;
-    this.holding.set(this.bytes);
+    this.allocation.set(this.bytes);
     if (this.bytes > MAXIMUM_ANSWER_BYTES) {
-      this.call.failCurrent({ tag: 'BadAnswer', detail: 'the answer exceeds the bound' });
+      this.call.failAttempt({ tag: 'BadAnswer', detail: 'the answer exceeds the bound' });
     }
   }
 
@@ -42,6 +42,6 @@
 
   release(): void {
     this.chunks.length = 0;
-    this.holding.release();
+    this.allocation.release();
   }
 }
--- a/src/relay/answers/reader-watch.ts
+++ b/src/relay/answers/slow-reader-monitor.ts
@@ -5,7 +5,7 @@
 import type { CancelTimer, Runtime } from '../../runtime/runtime.js';
 
 /** How the answer of a client that is behind stands. */
-export type ReaderStand =
+export type DeliveryState =
   /** Its runner is read no faster than the client takes. */
   | 'held'
   /** Its runner is read on, whatever the client takes: the answer is kept for others as well. */
@@ -14,65 +14,65 @@
   | 'ready';
 
 /** Time between two looks, in milliseconds: half the least time that counts. */
-const LOOK_MILLISECONDS = 500;
+const CHECK_INTERVAL_MILLISECONDS = 500;
 /**
  * Time that a runner is left unread for a client's sake, in milliseconds: runners cut answers off that stay
  * unread for some seconds, and one step of the way to the runner and back is to spare.
  */
-const UNREAD_MILLISECONDS = 1_000;
+const MAXIMUM_PAUSE_MILLISECONDS = 1_000;
 /**
  * Time that a client may take nothing while its runner is working, in milliseconds: longer than a lost packet, a
  * change of a mobile link or a pause of its process takes.
  */
-const IDLE_MILLISECONDS = 5_000;
+const IDLE_TIMEOUT_MILLISECONDS = 5_000;
 /** The same while memory is short, and the runner is therefore not read on: before the runner cuts it off. */
-const SHORT_IDLE_MILLISECONDS = 2_000;
+const LOW_MEMORY_IDLE_TIMEOUT_MILLISECONDS = 2_000;
 /** Time that a client may take nothing of an answer that is ready, in milliseconds: nothing else waits for it. */
-const READY_IDLE_MILLISECONDS = 20_000;
+const READY_IDLE_TIMEOUT_MILLISECONDS = 20_000;
 
 /** What a watch knows of its answer and does with it. */
-export interface WatchedReader {
-  stand(): ReaderStand;
+export interface MonitoredReader {
+  deliveryState(): DeliveryState;
   /** Whether there is memory for waiting. */
-  hasMemory(): boolean;
+  hasSpareMemory(): boolean;
   /** Reads a little more from the runner. */
-  readOn(): void;
+  extendWindow(): void;
   /** Ends the answer. */
-  cut(reason: string): void;
+  disconnect(reason: string): void;
 }
 
 /** See the head of this file. */
-export class ReaderWatch {
+export class SlowReaderMonitor {
   private cancelTimer: CancelTimer = () => undefined;
-  private takenAt = 0;
-  private readAt = 0;
+  private lastProgressAt = 0;
+  private lastReadAt = 0;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly reader: WatchedReader,
+    private readonly reader: MonitoredReader,
   ) {}
 
   /** Time since the client last took something, in milliseconds. */
   get idleMilliseconds(): number {
-    return this.runtime.now() - this.takenAt;
+    return this.runtime.now() - this.lastProgressAt;
   }
 
   /** The client began to be behind. */
   start(): void {
-    this.takenAt = this.runtime.now();
-    this.readAt = this.takenAt;
+    this.lastProgressAt = this.runtime.now();
+    this.lastReadAt = this.lastProgressAt;
     this.cancelTimer();
-    this.look();
+    this.check();
   }
 
   /** The client has taken something. */
-  noteTaken(): void {
-    this.takenAt = this.runtime.now();
+  noteProgress(): void {
+    this.lastProgressAt = this.runtime.now();
   }
 
   /** The runner was read. */
   noteRead(): void {
-    this.readAt = this.runtime.now();
+    this.lastReadAt = this.runtime.now();
   }
 
   /** The client has caught up or is gone. */
@@ -80,28 +80,34 @@
     this.cancelTimer();
   }
 
-  private get limitMilliseconds(): number {
-    switch (this.reader.stand()) {
+  private get idleTimeoutMilliseconds(): number {
+    switch (this.reader.deliveryState()) {
       case 'ready':
-        return READY_IDLE_MILLISECONDS;
+        return READY_IDLE_TIMEOUT_MILLISECONDS;
       case 'readOn':
         return Infinity;
       case 'held':
-        return this.reader.hasMemory() ? IDLE_MILLISECONDS : SHORT_IDLE_MILLISECONDS;
+        return this.reader.hasSpareMemory()
+          ? IDLE_TIMEOUT_MILLISECONDS
+          : LOW_MEMORY_IDLE_TIMEOUT_MILLISECONDS;
     }
   }
 
-  private look(): void {
+  private check(): void {
     const { reader, runtime } = this;
-    if (this.idleMilliseconds >= this.limitMilliseconds) {
-      reader.cut('the client takes nothing of its answer');
+    if (this.idleMilliseconds >= this.idleTimeoutMilliseconds) {
+      reader.disconnect('the client takes nothing of its answer');
       return;
     }
-    const unread = runtime.now() - this.readAt;
-    if (reader.stand() === 'held' && unread >= UNREAD_MILLISECONDS && reader.hasMemory()) {
-      this.readAt = runtime.now();
-      reader.readOn();
+    const unread = runtime.now() - this.lastReadAt;
+    if (
+      reader.deliveryState() === 'held' &&
+      unread >= MAXIMUM_PAUSE_MILLISECONDS &&
+      reader.hasSpareMemory()
+    ) {
+      this.lastReadAt = runtime.now();
+      reader.extendWindow();
     }
-    this.cancelTimer = runtime.setTimer(LOOK_MILLISECONDS, () => this.look());
+    this.cancelTimer = runtime.setTimer(CHECK_INTERVAL_MILLISECONDS, () => this.check());
   }
 }
--- a/src/relay/answers/stream-answer.ts
+++ b/src/relay/answers/stream-answer.ts
@@ -11,7 +11,7 @@
 
 const LINE_FEED = Buffer.from('\n');
 /** Longest time for storing a turn, in milliseconds. */
-const KEEP_MILLISECONDS = 1_500;
+const STORE_TIMEOUT_MILLISECONDS = 1_500;
 const MILLISECONDS_IN_SECOND = 1_000;
 
 /** See the head of this file. */
@@ -26,14 +26,14 @@
   private splitter = new EventSplitter();
   private head: AnswerHead | undefined;
   private readonly output: Buffer[] = [];
-  private readonly holding: MemoryAllocation;
+  private readonly allocation: MemoryAllocation;
 
   constructor(private readonly call: AnsweredCall) {
-    this.holding = call.context.memory.allocate('turns');
+    this.allocation = call.context.memory.allocate('turns');
   }
 
   /** Tokens handed to the client. */
-  get handedTokens(): number {
+  get deliveredTokens(): number {
     const { route } = this.call.request;
     const services = this.call.context.currentTable()?.services;
     const perEvent = Math.max(
@@ -49,7 +49,7 @@
     if ((this.head?.status ?? 0) >= FIRST_REDIRECT) {
       // The part of an error's body is of no turn.
       this.output.length = 0;
-      this.holding.set(0);
+      this.allocation.set(0);
     }
     this.head = undefined;
     return !this.call.answer.started || this.call.request.route.resumable;
@@ -66,14 +66,14 @@
     const status = this.head?.status ?? 0;
     if (status >= FIRST_REDIRECT) {
       this.output.push(chunk);
-      this.holding.add(chunk.length);
+      this.allocation.add(chunk.length);
       return;
     }
     try {
-      this.splitter.push(chunk).forEach((event) => this.pass(event));
+      this.splitter.push(chunk).forEach((event) => this.forward(event));
     } catch (cause) {
       const detail = cause instanceof Error ? cause.message : String(cause);
-      this.call.failCurrent({ tag: 'BadAnswer', detail });
+      this.call.failAttempt({ tag: 'BadAnswer', detail });
     }
   }
 
@@ -89,18 +89,18 @@
     }
     const rest = this.splitter.takeRest();
     if (rest.length > 0) {
-      this.call.failCurrent({ tag: 'Lost', detail: 'the stream ended inside an event' });
+      this.call.failAttempt({ tag: 'Lost', detail: 'the stream ended inside an event' });
       return;
     }
-    this.keepThenEnd(head.status);
+    this.storeThenEnd(head.status);
   }
 
   release(): void {
     this.output.length = 0;
-    this.holding.release();
+    this.allocation.release();
   }
 
-  private pass(event: StreamEvent): void {
+  private forward(event: StreamEvent): void {
     this.call.noteFirstByte();
     this.lastEventAt = this.call.context.runtime.now();
     this.firstEventAt ??= this.lastEventAt;
@@ -109,13 +109,13 @@
       this.eventCount += 1;
       if (this.call.request.route.retained) {
         this.output.push(event.data, LINE_FEED);
-        this.holding.add(event.data.length + LINE_FEED.length);
+        this.allocation.add(event.data.length + LINE_FEED.length);
       }
     }
     this.call.answer.write(event.bytes);
   }
 
-  private keepThenEnd(status: number): void {
+  private storeThenEnd(status: number): void {
     const { request, context } = this.call;
     if (!request.route.retained) {
       this.call.answer.end();
@@ -132,13 +132,13 @@
       output: Buffer.concat(this.output),
       retentionMilliseconds: request.route.retentionSeconds * MILLISECONDS_IN_SECOND,
     };
-    const timeout = Math.min(KEEP_MILLISECONDS, this.call.remainingMilliseconds);
+    const timeout = Math.min(STORE_TIMEOUT_MILLISECONDS, this.call.remainingMilliseconds);
     context.turns.storeTurn(turn, timeout, (kept) => {
       if (kept) {
         this.call.answer.end();
         this.call.finishAnswered(status);
       } else {
-        this.call.breakOff('the turn could not be kept');
+        this.call.abort('the turn could not be kept');
       }
     });
   }
--- a/src/relay/front/relay-front.ts
+++ b/src/relay/front/relay-front.ts
@@ -3,8 +3,8 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { ClientAnswer } from '../answers/client-answer.js';
-import { memoryShort } from '../answers/own-answers.js';
-import type { OwnAnswer } from '../answers/own-answers.js';
+import { memoryLimitReached } from '../answers/local-answers.js';
+import type { LocalAnswer } from '../answers/local-answers.js';
 import type { RelayContext } from '../relay-context.js';
 import type { RoutingTable } from '../request/routing-table.js';
 import { createIngressRequest } from '../stages/ingress-request.js';
@@ -26,10 +26,10 @@
 /** Stage named where a request is refused while its body is read. */
 const BODY_STAGE = 'body';
 /** What is answered where a body could not be read. */
-const BODY_REFUSALS: Readonly<Record<Exclude<BodyResult['tag'], 'Whole'>, () => OwnAnswer>> = {
+const BODY_REFUSALS: Readonly<Record<Exclude<BodyResult['tag'], 'Whole'>, () => LocalAnswer>> = {
   TooLarge: () => refusal(413, 'the body exceeds the bound'),
   Late: () => refusal(408, 'the body did not come in time'),
-  NoMemory: memoryShort,
+  NoMemory: memoryLimitReached,
 };
 
 /** See the head of this file. */
@@ -149,7 +149,7 @@
     });
     this.context.metrics.count('ivyloom_relay_door_refusals_total', `status="${ownAnswer.status}"`);
     request.resume();
-    answer.sendOwn(ownAnswer, id);
+    answer.sendLocal(ownAnswer, id);
   }
 
   private readRequestBody(
--- a/src/relay/memory/runner-backpressure.ts
+++ b/src/relay/memory/runner-backpressure.ts
@@ -2,7 +2,7 @@
  * What was handed to each runner's connections and not taken by it. A runner that takes nothing gets no more
  * than a bounded amount; placement leaves it out until it takes.
  */
-import type { RunnerLife } from '../runners/runner.js';
+import type { RunnerIncarnation } from '../runners/runner.js';
 
 /**
  * Bytes that one runner may leave untaken, unless they are of a single request: several usual bodies of some tens
@@ -20,20 +20,20 @@
 
 /** See the head of this file. */
 export class RunnerBackpressure {
-  private readonly unsent = new Map<RunnerLife, number>();
+  private readonly unsent = new Map<RunnerIncarnation, number>();
 
   /** Bytes that a runner has not taken. */
-  unsentBytes(runner: RunnerLife): number {
+  unsentBytes(runner: RunnerIncarnation): number {
     return this.unsent.get(runner) ?? 0;
   }
 
   /** Whether a runner may be sent another request. */
-  isWritable(runner: RunnerLife): boolean {
+  isWritable(runner: RunnerIncarnation): boolean {
     return this.unsentBytes(runner) < MAXIMUM_UNSENT_BYTES;
   }
 
   /** Notes bytes handed to a runner; the returned function notes that they are taken or given up, once. */
-  trackUnsent(runner: RunnerLife, bytes: number): () => void {
+  trackUnsent(runner: RunnerIncarnation, bytes: number): () => void {
     this.adjust(runner, bytes);
     let isCounted = true;
     return () => {
@@ -45,7 +45,7 @@
   }
 
   /** Bytes that are to go to a runner, counted once they do. */
-  prepareSend(runner: RunnerLife, bytes: number): PendingSend {
+  prepareSend(runner: RunnerIncarnation, bytes: number): PendingSend {
     let hasEnded = false;
     let release = (): void => undefined;
     return {
@@ -74,7 +74,7 @@
     return `${lines.join('\n')}\n`;
   }
 
-  private adjust(runner: RunnerLife, bytes: number): void {
+  private adjust(runner: RunnerIncarnation, bytes: number): void {
     if (bytes === 0) {
       return;
     }
--- a/src/relay/placement/place-request.ts
+++ b/src/relay/placement/place-request.ts
@@ -1,20 +1,20 @@
 /** Chooses the runner of a request's next try from what is believed of the runners of its service. */
 import { hashToNumber } from '../../runtime/hashing.js';
 import type { RelayContext } from '../relay-context.js';
-import type { RunnerLife } from '../runners/runner.js';
-import type { RunnerCandidate } from '../runners/runner-book.js';
+import type { RunnerIncarnation } from '../runners/runner.js';
+import type { RunnerCandidate } from '../runners/runner-registry.js';
 import type { RequestState } from '../stages/request-state.js';
 import { chooseRunner } from './choose-runner.js';
-import { drawCandidates } from './draw-candidates.js';
+import { sampleCandidates } from './sample-candidates.js';
 import type { PlacementNeed } from './placement-charges.js';
 
 /** What the tries so far leave to choose from. */
-export interface OpenRunners {
-  readonly mayGoTo: (runner: RunnerLife) => boolean;
+export interface RunnerConstraints {
+  readonly isAllowed: (runner: RunnerIncarnation) => boolean;
   /** Runners that refused it: asking them again at once helps nobody. */
-  readonly refusedBy: ReadonlySet<RunnerLife>;
+  readonly refusedBy: ReadonlySet<RunnerIncarnation>;
   /** Runners at which a try failed: taken only when no other is left. */
-  readonly failedAt: ReadonlySet<RunnerLife>;
+  readonly failedAt: ReadonlySet<RunnerIncarnation>;
 }
 
 function needOf(context: RelayContext, requestState: RequestState, service: string): PlacementNeed {
@@ -26,7 +26,7 @@
     bodyBytes: body.length,
     affinityHash:
       request.promptParts[0]?.key ?? hashToNumber(request.program?.session ?? routingKey),
-    engine: isEngine ? context.book.engineCosts(service) : undefined,
+    engine: isEngine ? context.registry.engineCosts(service) : undefined,
   };
 }
 
@@ -37,20 +37,20 @@
 export function placeRequest(
   context: RelayContext,
   requestState: RequestState,
-  { mayGoTo, refusedBy, failedAt }: OpenRunners,
+  { isAllowed, refusedBy, failedAt }: RunnerConstraints,
 ): RunnerCandidate | undefined {
   const { service, request } = requestState;
   if (service === undefined) {
     return undefined;
   }
-  const all = context.book.candidates(service, request.promptParts, refusedBy);
-  const allowed = all.filter((candidate) => mayGoTo(candidate.id));
-  const taking = allowed.filter((candidate) => context.backpressure.isWritable(candidate.id));
-  const open = taking.length > 0 ? taking : allowed;
-  const fresh = open.filter((candidate) => !failedAt.has(candidate.id));
-  const usable = fresh.length > 0 ? fresh : open;
+  const all = context.registry.candidates(service, request.promptParts, refusedBy);
+  const allowed = all.filter((candidate) => isAllowed(candidate.id));
+  const accepting = allowed.filter((candidate) => context.backpressure.isWritable(candidate.id));
+  const available = accepting.length > 0 ? accepting : allowed;
+  const untried = available.filter((candidate) => !failedAt.has(candidate.id));
+  const usable = untried.length > 0 ? untried : available;
   const weighed = context.samplesCandidates
-    ? drawCandidates(usable, context.book.loadAgeMilliseconds(), context.runtime.random)
+    ? sampleCandidates(usable, context.registry.loadAgeMilliseconds(), context.runtime.random)
     : usable;
   return chooseRunner(weighed, needOf(context, requestState, service), context.charges);
 }
--- a/src/relay/placement/placement-charges.ts
+++ b/src/relay/placement/placement-charges.ts
@@ -23,28 +23,28 @@
 export type PlacementCharge = (view: RunnerView, need: PlacementNeed) => number;
 
 /** Part of its reading and generating time by which a request holds up each one beside it. */
-const HELD_UP_SHARE = 0.5;
+const INTERFERENCE_FACTOR = 0.5;
 /** Charge for a runner with all places taken, as a share of the mean time there. */
-const CROWDED_SHARE = 1;
+const CROWDING_WEIGHT = 1;
 /** How late the charge for taken places sets in: the first ones hardly delay one another. */
-const CROWDED_EXPONENT = 3;
+const CROWDING_EXPONENT = 3;
 /** Charge for leaving the zone, whatever the request, and for each thousand bytes that leave it. */
 const ZONE_MILLISECONDS = 3;
 const ZONE_MILLISECONDS_PER_KILOBYTE = 1;
-const LARGEST_ZONE_MILLISECONDS = 60;
+const MAXIMUM_ZONE_MILLISECONDS = 60;
 const BYTES_IN_KILOBYTE = 1_000;
 /** Charge for a connection that has to be made first: a new one may also take a place for a moment. */
 const CONNECTION_MILLISECONDS = 15;
 /** Largest advantage of the runner that the affinity prefers. */
-const AFFINITY_MILLISECONDS = 8;
+const MAXIMUM_AFFINITY_MILLISECONDS = 8;
 const HASH_RANGE = 2 ** 32;
 
-function placesOf(view: RunnerView): number {
+function slotsOf(view: RunnerView): number {
   return Math.max(1, view.slots);
 }
 
-function runningBeside(view: RunnerView): number {
-  return Math.min(view.inFlight, placesOf(view));
+function runningRequests(view: RunnerView): number {
+  return Math.min(view.inFlight, slotsOf(view));
 }
 
 /** All charges by name. */
@@ -54,21 +54,21 @@
 
   /** Waiting for a place. */
   queue: (view) => {
-    const waiting = Math.max(0, view.inFlight + 1 - placesOf(view));
-    return (waiting * view.meanMilliseconds) / placesOf(view);
+    const waiting = Math.max(0, view.inFlight + 1 - slotsOf(view));
+    return (waiting * view.meanMilliseconds) / slotsOf(view);
   },
 
   /** Places that are taken: others may fill the rest before the request is there. */
   crowding: (view) => {
-    const taken = runningBeside(view) / placesOf(view);
-    return view.meanMilliseconds * CROWDED_SHARE * taken ** CROWDED_EXPONENT;
+    const taken = runningRequests(view) / slotsOf(view);
+    return view.meanMilliseconds * CROWDING_WEIGHT * taken ** CROWDING_EXPONENT;
   },
 
   /** Reading what is not kept there, which also holds up all that run at the same time. */
   reading: (view, need) => {
-    const unread = Math.max(0, need.promptTokens - view.cachedTokens);
-    const heldUp = runningBeside(view) * HELD_UP_SHARE;
-    return unread * (need.engine?.millisecondsPerToken ?? 0) * (1 + heldUp);
+    const uncachedTokens = Math.max(0, need.promptTokens - view.cachedTokens);
+    const delayedRequests = runningRequests(view) * INTERFERENCE_FACTOR;
+    return uncachedTokens * (need.engine?.millisecondsPerToken ?? 0) * (1 + delayedRequests);
   },
 
   /** Generating beside others: each slows the others' events and its own. */
@@ -77,7 +77,7 @@
       return 0;
     }
     const { eventMillisecondsPerRequest, meanEvents } = need.engine;
-    const slowed = runningBeside(view) * (1 + HELD_UP_SHARE);
+    const slowed = runningRequests(view) * (1 + INTERFERENCE_FACTOR);
     return eventMillisecondsPerRequest * meanEvents * slowed;
   },
 
@@ -87,7 +87,7 @@
       return 0;
     }
     const bytes = (need.bodyBytes / BYTES_IN_KILOBYTE) * ZONE_MILLISECONDS_PER_KILOBYTE;
-    return Math.min(LARGEST_ZONE_MILLISECONDS, ZONE_MILLISECONDS + bytes);
+    return Math.min(MAXIMUM_ZONE_MILLISECONDS, ZONE_MILLISECONDS + bytes);
   },
 
   /** Opening a connection to a plain service; at an engine it costs little beside what is kept there. */
@@ -96,7 +96,7 @@
 
   /** Requests about the same thing prefer the same runner. */
   affinity: (view, need) =>
-    (mixHashes(need.affinityHash, view.hash) / HASH_RANGE) * AFFINITY_MILLISECONDS,
+    (mixHashes(need.affinityHash, view.hash) / HASH_RANGE) * MAXIMUM_AFFINITY_MILLISECONDS,
 } as const satisfies Readonly<Record<string, PlacementCharge>>;
 
 /** Name of a charge. */
--- a/src/relay/placement/draw-candidates.ts
+++ b/src/relay/placement/sample-candidates.ts
@@ -9,9 +9,9 @@
 import type { LoadView, RunnerView } from '../runners/runner-view.js';
 
 /** Runners that are drawn. */
-const DRAWN_RUNNERS = 2;
+const SAMPLED_RUNNERS = 2;
 /** Requests of others to one runner that aren't known yet, up to which all runners are weighed. */
-const MOST_UNSEEN = 1;
+const MAXIMUM_UNSEEN_REQUESTS = 1;
 
 /** Requests that others are likely to have sent to one runner since their loads were told. */
 export function unseenRequests(views: readonly LoadView[], ageMilliseconds: number): number {
@@ -23,7 +23,7 @@
 }
 
 /** The one that keeps the most from a place of the list on; none that keeps nothing. */
-function mostKeeping<View extends RunnerView>(
+function mostCached<View extends RunnerView>(
   views: readonly View[],
   start: number,
 ): View | undefined {
@@ -41,20 +41,23 @@
  * The runners to be weighed.
  * @param ageMilliseconds age of what others tell of their requests
  */
-export function drawCandidates<View extends LoadView>(
+export function sampleCandidates<View extends LoadView>(
   views: readonly View[],
   ageMilliseconds: number,
   random: RandomSource,
 ): readonly View[] {
-  const weighed = DRAWN_RUNNERS + 1;
-  if (views.length <= weighed || unseenRequests(views, ageMilliseconds) <= MOST_UNSEEN) {
+  const maximumCandidates = SAMPLED_RUNNERS + 1;
+  if (
+    views.length <= maximumCandidates ||
+    unseenRequests(views, ageMilliseconds) <= MAXIMUM_UNSEEN_REQUESTS
+  ) {
     return views;
   }
-  const drawn = new Set<View>();
-  while (drawn.size < DRAWN_RUNNERS) {
-    drawn.add(random.pick(views));
+  const sampled = new Set<View>();
+  while (sampled.size < SAMPLED_RUNNERS) {
+    sampled.add(random.pick(views));
   }
   // From a drawn place on, so that gateways don't agree on the first of many that keep as much.
-  const keeping = mostKeeping(views, random.integer(0, views.length - 1));
-  return keeping === undefined ? [...drawn] : [...drawn.add(keeping)];
+  const mostCachedView = mostCached(views, random.integer(0, views.length - 1));
+  return mostCachedView === undefined ? [...sampled] : [...sampled.add(mostCachedView)];
 }
--- a/src/relay/relay-context.ts
+++ b/src/relay/relay-context.ts
@@ -10,7 +10,7 @@
 import type { PlacementCharge } from './placement/placement-charges.js';
 import type { QuotaGate } from './admission/quota-gate.js';
 import type { RelayMetrics } from './relay-metrics.js';
-import type { RunnerBook } from './runners/runner-book.js';
+import type { RunnerRegistry } from './runners/runner-registry.js';
 import type { RunnerConnections } from './tries/runner-connections.js';
 import type { TrafficSplit } from './runners/traffic-split.js';
 import type { RoutingTable } from './request/routing-table.js';
@@ -20,7 +20,7 @@
   readonly runtime: Runtime;
   readonly zone: string;
   readonly names: HeaderNames;
-  readonly book: RunnerBook;
+  readonly registry: RunnerRegistry;
   readonly connections: RunnerConnections;
   readonly admission: ProgramAdmission;
   readonly kindStats: ProgramStats;
--- a/src/relay/relay-gateway.ts
+++ b/src/relay/relay-gateway.ts
@@ -22,7 +22,7 @@
 import { RelayFront } from './front/relay-front.js';
 import { RelayMetrics } from './relay-metrics.js';
 import type { RoutingTable } from './request/routing-table.js';
-import { RunnerBook } from './runners/runner-book.js';
+import { RunnerRegistry } from './runners/runner-registry.js';
 import { RunnerConnections } from './tries/runner-connections.js';
 import { TrafficSplit } from './runners/traffic-split.js';
 
@@ -62,7 +62,7 @@
 
 /** See the head of this file. */
 export class RelayGateway {
-  readonly book: RunnerBook;
+  readonly registry: RunnerRegistry;
   readonly metrics = new RelayMetrics();
   /** Figures that all gateways add up. */
   readonly tallies = new AggregateRegistry();
@@ -84,15 +84,15 @@
   constructor(private readonly options: RelayGatewayOptions) {
     const { runtime, zone, names, turns } = options;
     this.memory = new MemoryBudget(runtime, options.memoryBounds ?? NO_BOUNDS);
-    this.book = new RunnerBook(runtime);
-    this.book.memoryTokensOf = (service) => this.table?.services.get(service)?.memoryTokens;
+    this.registry = new RunnerRegistry(runtime);
+    this.registry.cacheCapacityOf = (service) => this.table?.services.get(service)?.memoryTokens;
     const connections = new RunnerConnections(runtime);
-    this.book.hasIdleConnection = (runner) => connections.hasIdle(runner);
+    this.registry.hasIdleConnection = (runner) => connections.hasIdle(runner);
     const context: RelayContext = {
       runtime,
       zone,
       names,
-      book: this.book,
+      registry: this.registry,
       connections,
       admission: new ProgramAdmission(runtime.random),
       kindStats: new ProgramStats(),
--- a/src/relay/runners/engine-estimate.ts
+++ b/src/relay/runners/engine-estimate.ts
@@ -18,7 +18,7 @@
 /** What one stream that was answered whole showed of its engine. */
 export interface EngineSample {
   /** Prompt tokens that were not kept there; undefined when that was not known for sure. */
-  readonly unreadTokens: number | undefined;
+  readonly uncachedTokens: number | undefined;
   /** Requests that were there when it was sent, this one included. */
   readonly running: number;
   /** From sending to the first event, in milliseconds. */
@@ -29,91 +29,97 @@
 }
 
 /** First guesses: a token is read in 1/30 ms; nothing is known of how requests slow one another. */
-const FIRST_MILLISECONDS_PER_TOKEN = 1 / 30;
-const FIRST_BASE_MILLISECONDS = 50;
-const FIRST_PAUSE_MILLISECONDS = 20;
-const FIRST_EVENTS = 10;
+const INITIAL_MILLISECONDS_PER_TOKEN = 1 / 30;
+const INITIAL_BASE_MILLISECONDS = 50;
+const INITIAL_PAUSE_MILLISECONDS = 20;
+const INITIAL_EVENT_COUNT = 10;
 /** Bounds that any engine lies within. */
-const LEAST_MILLISECONDS_PER_TOKEN = 1 / 5_000;
-const MOST_MILLISECONDS_PER_TOKEN = 5;
+const MINIMUM_MILLISECONDS_PER_TOKEN = 1 / 5_000;
+const MAXIMUM_MILLISECONDS_PER_TOKEN = 5;
 /** Weight of the past after one more stream: some two hundred streams count. */
-const FORGETTING = 0.995;
+const FORGETTING_FACTOR = 0.995;
 /** Weight of the newest stream in the mean number of events. */
-const EVENTS_SHARE = 0.02;
+const EVENT_COUNT_WEIGHT = 0.02;
 /** Features of the fits are scaled to be about one. */
-const TOKENS_IN_UNIT = 1_000;
-const REQUESTS_IN_UNIT = 10;
+const TOKENS_PER_FEATURE_UNIT = 1_000;
+const REQUESTS_PER_FEATURE_UNIT = 10;
 /** An observation beyond so many times the expected one, and some milliseconds, counts as that. */
-const LARGEST_RATIO = 4;
-const LARGEST_EXCESS_MILLISECONDS = 50;
+const MAXIMUM_OUTLIER_RATIO = 4;
+const MAXIMUM_OUTLIER_EXCESS_MILLISECONDS = 50;
 
 /** Spreads of the first guesses, as wide as the noise of one stream. */
-const WIDE = [1, 1, 1] as const;
+const INITIAL_VARIANCES = [1, 1, 1] as const;
 
 function dot(left: readonly number[], right: readonly number[]): number {
   return left.reduce((sum, value, index) => sum + value * right[index]!, 0);
 }
 
 /** Observes a time, held below what one stalled stream could make of it. */
-function observeBounded(
+function observeClamped(
   fit: RecursiveLeastSquares,
   features: readonly number[],
   milliseconds: number,
 ): void {
   const expected = Math.max(0, dot(fit.coefficients, features));
-  const most = expected * LARGEST_RATIO + LARGEST_EXCESS_MILLISECONDS;
-  fit.observe(features, Math.min(milliseconds, most));
+  const maximum = expected * MAXIMUM_OUTLIER_RATIO + MAXIMUM_OUTLIER_EXCESS_MILLISECONDS;
+  fit.observe(features, Math.min(milliseconds, maximum));
 }
 
 /** See the head of this file. */
 export class EngineEstimate implements EngineCosts {
   /** Time to the first event by 1, tokens to be read, and requests beside it. */
-  private readonly firstEvent = new RecursiveLeastSquares(
-    [FIRST_BASE_MILLISECONDS, FIRST_MILLISECONDS_PER_TOKEN * TOKENS_IN_UNIT, 0],
-    WIDE,
-    FORGETTING,
+  private readonly firstEventFit = new RecursiveLeastSquares(
+    [INITIAL_BASE_MILLISECONDS, INITIAL_MILLISECONDS_PER_TOKEN * TOKENS_PER_FEATURE_UNIT, 0],
+    INITIAL_VARIANCES,
+    FORGETTING_FACTOR,
   );
   /** Pause between events by 1 and requests beside it. */
-  private readonly pause = new RecursiveLeastSquares(
-    [FIRST_PAUSE_MILLISECONDS, 0],
-    WIDE.slice(1),
-    FORGETTING,
+  private readonly pauseFit = new RecursiveLeastSquares(
+    [INITIAL_PAUSE_MILLISECONDS, 0],
+    INITIAL_VARIANCES.slice(1),
+    FORGETTING_FACTOR,
   );
-  private events = FIRST_EVENTS;
+  private meanEventCount = INITIAL_EVENT_COUNT;
   private streamCount = 0;
 
   /** Takes what one stream showed. */
-  take(sample: EngineSample): void {
-    const { unreadTokens, running, firstEventMilliseconds, pauseMilliseconds } = sample;
-    const beside = running / REQUESTS_IN_UNIT;
+  observe(sample: EngineSample): void {
+    const { uncachedTokens, running, firstEventMilliseconds, pauseMilliseconds } = sample;
+    const scaledRequests = running / REQUESTS_PER_FEATURE_UNIT;
     this.streamCount += 1;
-    const share = Math.max(EVENTS_SHARE, 1 / this.streamCount);
-    this.events += (sample.eventCount - this.events) * share;
-    if (unreadTokens !== undefined) {
-      const features = [1, unreadTokens / TOKENS_IN_UNIT, beside];
-      observeBounded(this.firstEvent, features, firstEventMilliseconds);
+    const weight = Math.max(EVENT_COUNT_WEIGHT, 1 / this.streamCount);
+    this.meanEventCount += (sample.eventCount - this.meanEventCount) * weight;
+    if (uncachedTokens !== undefined) {
+      const features = [1, uncachedTokens / TOKENS_PER_FEATURE_UNIT, scaledRequests];
+      observeClamped(this.firstEventFit, features, firstEventMilliseconds);
     }
     if (pauseMilliseconds !== undefined) {
-      observeBounded(this.pause, [1, beside], pauseMilliseconds);
+      observeClamped(this.pauseFit, [1, scaledRequests], pauseMilliseconds);
     }
   }
 
   get millisecondsPerToken(): number {
-    const learned = this.firstEvent.coefficients[1]! / TOKENS_IN_UNIT;
-    return Math.min(MOST_MILLISECONDS_PER_TOKEN, Math.max(LEAST_MILLISECONDS_PER_TOKEN, learned));
+    const learned = this.firstEventFit.coefficients[1]! / TOKENS_PER_FEATURE_UNIT;
+    return Math.min(
+      MAXIMUM_MILLISECONDS_PER_TOKEN,
+      Math.max(MINIMUM_MILLISECONDS_PER_TOKEN, learned),
+    );
   }
 
   get eventMillisecondsPerRequest(): number {
-    return Math.max(0, this.pause.coefficients[1]! / REQUESTS_IN_UNIT);
+    return Math.max(0, this.pauseFit.coefficients[1]! / REQUESTS_PER_FEATURE_UNIT);
   }
 
   get meanEvents(): number {
-    return this.events;
+    return this.meanEventCount;
   }
 
   /** Time that a stream of mean length takes beside so many others, its reading left out, in milliseconds. */
-  streamMilliseconds(beside: number): number {
-    const pause = dot(this.pause.coefficients, [1, beside / REQUESTS_IN_UNIT]);
-    return this.events * Math.max(0, pause);
+  streamMilliseconds(concurrentRequests: number): number {
+    const pause = dot(this.pauseFit.coefficients, [
+      1,
+      concurrentRequests / REQUESTS_PER_FEATURE_UNIT,
+    ]);
+    return this.meanEventCount * Math.max(0, pause);
   }
 }
--- a/src/relay/runners/engine-sample.ts
+++ b/src/relay/runners/engine-sample.ts
@@ -1,7 +1,7 @@
 /** What an answered stream shows of the engine that made it. */
 import type { EngineSample } from './engine-estimate.js';
 import type { RelayRequest } from '../request/relay-request.js';
-import type { RunnerCandidate } from './runner-book.js';
+import type { RunnerCandidate } from './runner-registry.js';
 
 /** Events of one stream and when they came; local times in milliseconds. */
 export interface StreamTimes {
@@ -12,13 +12,13 @@
 }
 
 /** Fewest events whose mean pause tells anything. */
-const EVENTS_WITH_PAUSE = 4;
+const MINIMUM_EVENTS_FOR_PAUSE = 4;
 
 /**
  * Tokens that the runner had to read; undefined when another node may have sent the prompt there
  * before without this one's knowledge, as after a start.
  */
-function surelyUnreadTokens(
+function knownUncachedTokens(
   request: RelayRequest,
   { cachedTokens }: RunnerCandidate,
 ): number | undefined {
@@ -27,10 +27,10 @@
   if (last === undefined) {
     return undefined;
   }
-  const before = promptTokens - last.tokens;
-  const beginsLine = route.retained && previousTurn === undefined;
-  const isSure = cachedTokens > before || (beginsLine && cachedTokens >= before);
-  return isSure ? promptTokens - cachedTokens : undefined;
+  const earlierTokens = promptTokens - last.tokens;
+  const startsChain = route.retained && previousTurn === undefined;
+  const isKnown = cachedTokens > earlierTokens || (startsChain && cachedTokens >= earlierTokens);
+  return isKnown ? promptTokens - cachedTokens : undefined;
 }
 
 /** The sample of one stream that its first try answered whole. */
@@ -41,9 +41,9 @@
 ): EngineSample {
   const { sentAt, firstEventAt, lastEventAt, eventCount } = times;
   const pauses = eventCount - 1;
-  const hasPause = eventCount >= EVENTS_WITH_PAUSE;
+  const hasPause = eventCount >= MINIMUM_EVENTS_FOR_PAUSE;
   return {
-    unreadTokens: surelyUnreadTokens(request, chosen),
+    uncachedTokens: knownUncachedTokens(request, chosen),
     running: chosen.inFlight + 1,
     firstEventMilliseconds: firstEventAt - sentAt,
     pauseMilliseconds: hasPause ? (lastEventAt - firstEventAt) / pauses : undefined,
--- a/src/relay/runners/service-pace.ts
+++ b/src/relay/runners/latency-estimate.ts
@@ -5,17 +5,17 @@
  */
 
 /** Weight of the newest sample in the running means. */
-const MEAN_SHARE = 0.1;
+const RUNNER_MEAN_WEIGHT = 0.1;
 /** Weight of the newest sample in the mean of a whole service. */
-const SERVICE_SHARE = 0.02;
+const SERVICE_MEAN_WEIGHT = 0.02;
 const DEFAULT_MEAN_MILLISECONDS = 100;
 /** Largest ratio of a runner's mean to its service's that is taken for noise. */
 const NOISE_RATIO = 1.4;
 /** Bounds of the scaling of one sample, so that a stream of one event does not count for many. */
-const LARGEST_SCALE = 3;
+const MAXIMUM_SCALE = 3;
 
 /** One request that was answered whole. */
-export interface PaceSample {
+export interface LatencySample {
   /** From sending to the end, in milliseconds. */
   readonly totalMilliseconds: number;
   /** Events of a stream; 0 for other answers. */
@@ -23,7 +23,7 @@
 }
 
 /** Means of one service. */
-export class ServicePace {
+export class ServiceLatency {
   private meanEvents = 0;
   private mean = DEFAULT_MEAN_MILLISECONDS;
   private sampleCount = 0;
@@ -34,11 +34,11 @@
   }
 
   /** Takes a sample; returns its time scaled to a request of mean length. */
-  take(sample: PaceSample): number {
+  observe(sample: LatencySample): number {
     const scaled = sample.totalMilliseconds * this.scaleOf(sample.eventCount);
     this.sampleCount += 1;
-    const share = Math.max(SERVICE_SHARE, 1 / this.sampleCount);
-    this.mean += (scaled - this.mean) * share;
+    const weight = Math.max(SERVICE_MEAN_WEIGHT, 1 / this.sampleCount);
+    this.mean += (scaled - this.mean) * weight;
     return scaled;
   }
 
@@ -49,29 +49,29 @@
     if (this.meanEvents === 0) {
       this.meanEvents = eventCount;
     }
-    this.meanEvents += (eventCount - this.meanEvents) * SERVICE_SHARE;
-    return Math.min(LARGEST_SCALE, Math.max(1 / LARGEST_SCALE, this.meanEvents / eventCount));
+    this.meanEvents += (eventCount - this.meanEvents) * SERVICE_MEAN_WEIGHT;
+    return Math.min(MAXIMUM_SCALE, Math.max(1 / MAXIMUM_SCALE, this.meanEvents / eventCount));
   }
 }
 
 /** Mean of one runner, which begins as its service's. */
-export class RunnerPace {
+export class RunnerLatency {
   private mean: number | undefined;
 
-  constructor(private readonly service: ServicePace) {}
+  constructor(private readonly service: ServiceLatency) {}
 
   /** Takes a sample of this runner. */
-  take(sample: PaceSample): void {
-    const scaled = this.service.take(sample);
+  observe(sample: LatencySample): void {
+    const scaled = this.service.observe(sample);
     const before = this.mean ?? this.service.meanMilliseconds;
-    this.mean = before + (scaled - before) * MEAN_SHARE;
+    this.mean = before + (scaled - before) * RUNNER_MEAN_WEIGHT;
   }
 
   /** Expected time of a request here, in milliseconds: the service's unless this one differs clearly. */
   get expectedMilliseconds(): number {
-    const usual = this.service.meanMilliseconds;
-    const own = this.mean ?? usual;
-    const isUsual = own < usual * NOISE_RATIO && own * NOISE_RATIO > usual;
-    return isUsual ? usual : own;
+    const serviceMean = this.service.meanMilliseconds;
+    const own = this.mean ?? serviceMean;
+    const isWithinNoise = own < serviceMean * NOISE_RATIO && own * NOISE_RATIO > serviceMean;
+    return isWithinNoise ? serviceMean : own;
   }
 }
--- a/src/relay/runners/prompt-places.ts
+++ b/src/relay/runners/prompt-cache-estimate.ts
@@ -5,7 +5,7 @@
 const MAXIMUM_PARTS = 8_192;
 
 /** See the head of this file. Parts unused for the longest give way first. */
-export class PromptPlaces {
+export class PromptCacheEstimate {
   /** Tokens by part, the least lately used first. */
   private readonly tokensByPart = new Map<PromptKey, number>();
   private totalTokens = 0;
--- a/src/relay/runners/runner-book.ts
+++ b/src/relay/runners/runner-registry.ts
@@ -2,19 +2,19 @@
 import type { CancelTimer, Runtime } from '../../runtime/runtime.js';
 import { EngineEstimate } from './engine-estimate.js';
 import type { EngineSample } from './engine-estimate.js';
-import { PromptPlaces } from './prompt-places.js';
+import { PromptCacheEstimate } from './prompt-cache-estimate.js';
 import type { PromptKey, PromptPart } from '../request/relay-request.js';
-import { isEarlierLife, lifeHash, lifeOf } from './runner.js';
-import type { Runner, RunnerLife } from './runner.js';
+import { isEarlierIncarnation, incarnationHash, incarnationOf } from './runner.js';
+import type { Runner, RunnerIncarnation } from './runner.js';
 import type { LoadView, ServiceLoad } from './runner-view.js';
-import { SilenceEstimate } from './silence-estimate.js';
-import { RunnerPace, ServicePace } from './service-pace.js';
-import type { PaceSample } from './service-pace.js';
+import { InactivityEstimate } from './inactivity-estimate.js';
+import { RunnerLatency, ServiceLatency } from './latency-estimate.js';
+import type { LatencySample } from './latency-estimate.js';
 
 /** Time for which a runner that left the list may still be used when no other is left. */
-const GONE_GRACE_MILLISECONDS = 1_200;
-const FIRST_DISTRUST_MILLISECONDS = 300;
-const LONGEST_DISTRUST_MILLISECONDS = 3_000;
+const REMOVED_GRACE_MILLISECONDS = 1_200;
+const INITIAL_BACKOFF_MILLISECONDS = 300;
+const MAXIMUM_BACKOFF_MILLISECONDS = 3_000;
 
 /** Beliefs about one runner. */
 export interface RunnerRecord {
@@ -24,63 +24,63 @@
   /** Requests of this node that are there now. */
   inFlight: number;
   /** Local time at which it left the list; undefined while it is listed. */
-  goneAt: number | undefined;
+  removedAt: number | undefined;
   /** Stops the wait for an entry that lapsed while the store was away; undefined while none does. */
-  cancelLapse: CancelTimer | undefined;
+  cancelRemoval: CancelTimer | undefined;
   /** Not used before this time, after it could not be reached. */
-  distrustedUntil: number;
+  unhealthyUntil: number;
   failures: number;
   /** True from the time its address took no connection until it answers again. */
-  outOfReach: boolean;
+  unreachable: boolean;
   /** Local time at which a byte last came from it, in milliseconds. */
-  heardAt: number;
-  readonly pace: RunnerPace;
+  lastActivityAt: number;
+  readonly latency: RunnerLatency;
   /** Usual silences of its service. */
-  readonly silence: SilenceEstimate;
-  readonly places: PromptPlaces;
+  readonly inactivity: InactivityEstimate;
+  readonly promptCache: PromptCacheEstimate;
 }
 
 /** A runner that may be chosen. */
 export interface RunnerCandidate extends LoadView {
-  readonly id: RunnerLife;
+  readonly id: RunnerIncarnation;
   readonly record: RunnerRecord;
 }
 
 /** What is learned of all runners of one service together. */
-interface LearnedOfService {
-  readonly pace: ServicePace;
+interface ServiceEstimates {
+  readonly latency: ServiceLatency;
   readonly engine: EngineEstimate;
-  readonly silence: SilenceEstimate;
+  readonly inactivity: InactivityEstimate;
 }
 
 /** See the head of this file. */
-export class RunnerBook {
+export class RunnerRegistry {
   private readonly records = new Map<string, RunnerRecord>();
-  private readonly byService = new Map<string, Set<RunnerRecord>>();
-  private readonly byHash = new Map<number, RunnerRecord>();
-  private readonly learned = new Map<string, LearnedOfService>();
+  private readonly recordsByService = new Map<string, Set<RunnerRecord>>();
+  private readonly recordsByHash = new Map<number, RunnerRecord>();
+  private readonly estimatesByService = new Map<string, ServiceEstimates>();
 
   /** Requests of other gateways at a runner, by the hash of its name. */
   inFlightOfOthers: (runnerHash: number) => number = () => 0;
   /** Age of what is known of other gateways' requests, in milliseconds. */
   loadAgeMilliseconds: () => number = () => 0;
   /** Tokens that a runner of a service has memory for; undefined while that is not known. */
-  memoryTokensOf: (service: string) => number | undefined = () => undefined;
+  cacheCapacityOf: (service: string) => number | undefined = () => undefined;
   /** A runner begins to keep parts of a prompt that this node has not known there. */
-  onKept: (runnerHash: number, parts: readonly PromptPart[]) => void = () => undefined;
+  onPartsCached: (runnerHash: number, parts: readonly PromptPart[]) => void = () => undefined;
   /** A runner is seen that was not known before. */
-  onSeen: (runner: Runner) => void = () => undefined;
+  onRunnerAdded: (runner: Runner) => void = () => undefined;
   /** Whether a connection to a runner is open and idle. */
   hasIdleConnection: (runner: Runner) => boolean = () => false;
 
   constructor(private readonly runtime: Runtime) {}
 
   /** Requests of this gateway at each runner that has some, by its life. */
-  ownLoads(): Map<RunnerLife, number> {
-    const loads = new Map<RunnerLife, number>();
+  ownLoads(): Map<RunnerIncarnation, number> {
+    const loads = new Map<RunnerIncarnation, number>();
     for (const { runner, inFlight } of this.records.values()) {
       if (inFlight > 0) {
-        loads.set(lifeOf(runner), inFlight);
+        loads.set(incarnationOf(runner), inFlight);
       }
     }
     return loads;
@@ -93,15 +93,15 @@
       this.add(runner);
       return;
     }
-    if (isEarlierLife(runner, known.runner)) {
-      this.ignoreEarlierLife(runner, known.runner);
+    if (isEarlierIncarnation(runner, known.runner)) {
+      this.logEarlierIncarnation(runner, known.runner);
       return;
     }
-    if (lifeOf(runner) !== lifeOf(known.runner) && runner.bornAt !== undefined) {
-      this.beginLife(runner, known);
+    if (incarnationOf(runner) !== incarnationOf(known.runner) && runner.startedAt !== undefined) {
+      this.replaceIncarnation(runner, known);
       return;
     }
-    if (known.runner.ready !== runner.ready || known.goneAt !== undefined) {
+    if (known.runner.ready !== runner.ready || known.removedAt !== undefined) {
       const { id, service, ready } = runner;
       this.runtime.log('info', 'runner changed', {
         event: 'runner.changed',
@@ -111,26 +111,30 @@
       });
     }
     // An entry that no longer tells its start is the same life's.
-    known.runner = { ...runner, bornAt: known.runner.bornAt };
-    known.goneAt = undefined;
-    known.cancelLapse?.();
-    known.cancelLapse = undefined;
+    known.runner = { ...runner, startedAt: known.runner.startedAt };
+    known.removedAt = undefined;
+    known.cancelRemoval?.();
+    known.cancelRemoval = undefined;
   }
 
   /**
    * Notes that an entry went while its runner could not renew it, since the store was away. The runner
    * is used as before: it writes itself down again within the milliseconds, or is gone.
    */
-  lapse(id: string, milliseconds: number): void {
+  scheduleRemoval(id: string, milliseconds: number): void {
     const record = this.records.get(id);
-    if (record === undefined || record.goneAt !== undefined || record.cancelLapse !== undefined) {
+    if (
+      record === undefined ||
+      record.removedAt !== undefined ||
+      record.cancelRemoval !== undefined
+    ) {
       return;
     }
     const wait = Math.round(milliseconds);
     const fields = { event: 'runner.lapsed', runner: id, service: record.runner.service, wait };
     this.runtime.log('info', 'entry of a runner lapsed with the store away', fields);
-    record.cancelLapse = this.runtime.setTimer(milliseconds, () => {
-      record.cancelLapse = undefined;
+    record.cancelRemoval = this.runtime.setTimer(milliseconds, () => {
+      record.cancelRemoval = undefined;
       this.remove(id);
     });
   }
@@ -138,30 +142,32 @@
   /** Notes that an entry is gone from the list. */
   remove(id: string): void {
     const record = this.records.get(id);
-    if (record === undefined || record.goneAt !== undefined) {
+    if (record === undefined || record.removedAt !== undefined) {
       return;
     }
-    const goneAt = this.runtime.now();
-    record.goneAt = goneAt;
+    const removedAt = this.runtime.now();
+    record.removedAt = removedAt;
     const { service } = record.runner;
     this.runtime.log('info', 'runner left', { event: 'runner.left', runner: id, service });
-    this.runtime.setTimer(GONE_GRACE_MILLISECONDS, () => this.forget(id, goneAt));
+    this.runtime.setTimer(REMOVED_GRACE_MILLISECONDS, () =>
+      this.deleteIfStillRemoved(id, removedAt),
+    );
   }
 
   /** Runners of a service that may get a request, the trusted ones only if there are any. */
   candidates(
     service: string,
     parts: readonly PromptPart[],
-    excluded: ReadonlySet<RunnerLife>,
+    excluded: ReadonlySet<RunnerIncarnation>,
   ): RunnerCandidate[] {
     const now = this.runtime.now();
-    const usable = [...(this.byService.get(service) ?? [])].filter(
-      (record) => !excluded.has(lifeOf(record.runner)),
+    const usable = [...(this.recordsByService.get(service) ?? [])].filter(
+      (record) => !excluded.has(incarnationOf(record.runner)),
     );
-    const listed = usable.filter((record) => record.runner.ready && record.goneAt === undefined);
-    const trusted = listed.filter((record) => record.distrustedUntil <= now);
+    const listed = usable.filter((record) => record.runner.ready && record.removedAt === undefined);
+    const healthy = listed.filter((record) => record.unhealthyUntil <= now);
     const chosen =
-      trusted.length > 0 ? trusted : listed.length > 0 ? listed : usable.filter(isGone);
+      healthy.length > 0 ? healthy : listed.length > 0 ? listed : usable.filter(isRemoved);
     return chosen.map((record) => this.viewOf(record, parts));
   }
 
@@ -170,8 +176,9 @@
     let inFlight = 0;
     let slots = 0;
     let runners = 0;
-    for (const { runner, hash, goneAt, inFlight: own } of this.byService.get(service) ?? []) {
-      if (runner.ready && goneAt === undefined) {
+    for (const { runner, hash, removedAt, inFlight: own } of this.recordsByService.get(service) ??
+      []) {
+      if (runner.ready && removedAt === undefined) {
         inFlight += own + this.inFlightOfOthers(hash);
         slots += runner.slots;
         runners += 1;
@@ -181,57 +188,61 @@
   }
 
   /** Notes that a request is sent to a runner. */
-  begin(record: RunnerRecord, parts: readonly PromptPart[]): void {
+  noteRequestSent(record: RunnerRecord, parts: readonly PromptPart[]): void {
     record.inFlight += 1;
-    const changed = record.places.touch(parts);
+    const changed = record.promptCache.touch(parts);
     if (changed.length > 0) {
-      this.onKept(record.hash, changed);
+      this.onPartsCached(record.hash, changed);
     }
   }
 
   /** Notes that a request there is over; `whole` tells how long it took if it was answered whole. */
-  finish(record: RunnerRecord, whole: PaceSample | undefined, engine?: EngineSample): void {
+  noteRequestEnded(
+    record: RunnerRecord,
+    latencySample: LatencySample | undefined,
+    engineSample?: EngineSample,
+  ): void {
     record.inFlight -= 1;
-    if (whole !== undefined) {
-      record.pace.take(whole);
-      this.trust(record);
+    if (latencySample !== undefined) {
+      record.latency.observe(latencySample);
+      this.markHealthy(record);
     }
-    if (engine !== undefined) {
-      this.learnedOf(record.runner.service).engine.take(engine);
+    if (engineSample !== undefined) {
+      this.estimatesOf(record.runner.service).engine.observe(engineSample);
     }
   }
 
   /** What the engines of a service cost, as far as it was learned. */
   engineCosts(service: string): EngineEstimate {
-    return this.learnedOf(service).engine;
+    return this.estimatesOf(service).engine;
   }
 
   /** Takes another gateway's word that a runner keeps a part of a prompt. */
-  learnPlace(runnerHash: number, key: PromptKey, tokens: number): void {
-    this.byHash.get(runnerHash)?.places.learn(key, tokens);
+  learnCachedPart(runnerHash: number, key: PromptKey, tokens: number): void {
+    this.recordsByHash.get(runnerHash)?.promptCache.learn(key, tokens);
   }
 
   /** Number of parts of prompts that a runner is believed to keep. */
-  partsKeptAt(runnerHash: number): number {
-    return this.byHash.get(runnerHash)?.places.partCount ?? 0;
+  cachedPartCount(runnerHash: number): number {
+    return this.recordsByHash.get(runnerHash)?.promptCache.partCount ?? 0;
   }
 
   /** Notes that a runner could not be reached or spoilt an answer. */
-  distrust(record: RunnerRecord, reason: string): void {
+  markUnhealthy(record: RunnerRecord, reason: string): void {
     record.failures += 1;
     const pause = Math.min(
-      LONGEST_DISTRUST_MILLISECONDS,
-      FIRST_DISTRUST_MILLISECONDS * 2 ** (record.failures - 1),
+      MAXIMUM_BACKOFF_MILLISECONDS,
+      INITIAL_BACKOFF_MILLISECONDS * 2 ** (record.failures - 1),
     );
-    record.distrustedUntil = this.runtime.now() + pause;
+    record.unhealthyUntil = this.runtime.now() + pause;
     const fields = { event: 'runner.distrusted', runner: record.runner.id, reason, pause };
     this.runtime.log('warn', 'runner distrusted', fields);
   }
 
   /** Notes that a runner's address takes no connection: it ended or is cut off. */
-  noteOutOfReach(record: RunnerRecord, reason: string): void {
-    record.outOfReach = true;
-    this.distrust(record, reason);
+  markUnreachable(record: RunnerRecord, reason: string): void {
+    record.unreachable = true;
+    this.markUnhealthy(record, reason);
   }
 
   private viewOf(record: RunnerRecord, parts: readonly PromptPart[]): RunnerCandidate {
@@ -240,14 +251,14 @@
     const inFlightOfOthers = this.inFlightOfOthers(record.hash);
     return {
       record,
-      id: lifeOf(record.runner),
+      id: incarnationOf(record.runner),
       hash: record.hash,
       zone,
       slots,
       inFlight: record.inFlight + inFlightOfOthers,
       inFlightOfOthers,
-      meanMilliseconds: record.pace.expectedMilliseconds,
-      cachedTokens: record.places.leadingTokens(parts),
+      meanMilliseconds: record.latency.expectedMilliseconds,
+      cachedTokens: record.promptCache.leadingTokens(parts),
       // Looked up only where a charge asks for it: at hundreds of runners that is dear.
       get hasIdleConnection() {
         return hasIdleConnection(record.runner);
@@ -255,58 +266,61 @@
     };
   }
 
-  private trust(record: RunnerRecord): void {
-    record.outOfReach = false;
+  private markHealthy(record: RunnerRecord): void {
+    record.unreachable = false;
     if (record.failures > 0) {
       record.failures = 0;
-      record.distrustedUntil = 0;
+      record.unhealthyUntil = 0;
       const fields = { event: 'runner.trusted', runner: record.runner.id };
       this.runtime.log('info', 'runner trusted again', fields);
     }
   }
 
   /** Nothing that was believed of the earlier life is true of this one. */
-  private beginLife(runner: Runner, before: RunnerRecord): void {
-    before.cancelLapse?.();
-    this.drop(before);
-    const { id, service, bornAt } = runner;
-    const fields = { event: 'runner.reborn', runner: id, service, bornAt: bornAt ?? 0 };
+  private replaceIncarnation(runner: Runner, before: RunnerRecord): void {
+    before.cancelRemoval?.();
+    this.deleteRecord(before);
+    const { id, service, startedAt } = runner;
+    const fields = { event: 'runner.reborn', runner: id, service, bornAt: startedAt ?? 0 };
     this.runtime.log('info', 'runner started again', fields);
     this.add(runner);
   }
 
-  private ignoreEarlierLife({ id, bornAt = 0 }: Runner, { bornAt: known = 0 }: Runner): void {
-    const fields = { event: 'runner.earlierLife', runner: id, bornAt, known };
+  private logEarlierIncarnation(
+    { id, startedAt: startedAt = 0 }: Runner,
+    { startedAt: known = 0 }: Runner,
+  ): void {
+    const fields = { event: 'runner.earlierLife', runner: id, bornAt: startedAt, known };
     this.runtime.log('warn', 'entry of an earlier life of a runner ignored', fields);
   }
 
-  private drop(record: RunnerRecord): void {
+  private deleteRecord(record: RunnerRecord): void {
     this.records.delete(record.runner.id);
-    this.byHash.delete(record.hash);
-    this.byService.get(record.runner.service)?.delete(record);
+    this.recordsByHash.delete(record.hash);
+    this.recordsByService.get(record.runner.service)?.delete(record);
   }
 
   private add(runner: Runner): void {
     const record: RunnerRecord = {
       runner,
-      hash: lifeHash(runner),
+      hash: incarnationHash(runner),
       inFlight: 0,
-      goneAt: undefined,
-      cancelLapse: undefined,
-      distrustedUntil: 0,
+      removedAt: undefined,
+      cancelRemoval: undefined,
+      unhealthyUntil: 0,
       failures: 0,
-      outOfReach: false,
-      heardAt: this.runtime.now(),
-      pace: new RunnerPace(this.learnedOf(runner.service).pace),
-      silence: this.learnedOf(runner.service).silence,
-      places: new PromptPlaces(() => this.memoryTokensOf(runner.service) ?? Infinity),
+      unreachable: false,
+      lastActivityAt: this.runtime.now(),
+      latency: new RunnerLatency(this.estimatesOf(runner.service).latency),
+      inactivity: this.estimatesOf(runner.service).inactivity,
+      promptCache: new PromptCacheEstimate(() => this.cacheCapacityOf(runner.service) ?? Infinity),
     };
     this.records.set(runner.id, record);
-    this.byHash.set(record.hash, record);
-    const ofService = this.byService.get(runner.service) ?? new Set();
-    this.byService.set(runner.service, ofService.add(record));
+    this.recordsByHash.set(record.hash, record);
+    const ofService = this.recordsByService.get(runner.service) ?? new Set();
+    this.recordsByService.set(runner.service, ofService.add(record));
     const { id, service, ready } = runner;
-    this.onSeen(runner);
+    this.onRunnerAdded(runner);
     this.runtime.log('info', 'runner seen', { event: 'runner.seen', runner: id, service, ready });
   }
 
@@ -314,27 +328,27 @@
    * Forgets a runner, unless it is back or left once more since. The clock is not asked again: timers may come a
    * fraction of a millisecond early, and one that then did nothing would leave the runner usable for ever.
    */
-  private forget(id: string, goneAt: number): void {
+  private deleteIfStillRemoved(id: string, removedAt: number): void {
     const record = this.records.get(id);
-    if (record?.goneAt === goneAt) {
-      this.drop(record);
+    if (record?.removedAt === removedAt) {
+      this.deleteRecord(record);
     }
   }
 
-  private learnedOf(service: string): LearnedOfService {
-    let learned = this.learned.get(service);
-    if (learned === undefined) {
-      learned = {
-        pace: new ServicePace(),
+  private estimatesOf(service: string): ServiceEstimates {
+    let estimates = this.estimatesByService.get(service);
+    if (estimates === undefined) {
+      estimates = {
+        latency: new ServiceLatency(),
         engine: new EngineEstimate(),
-        silence: new SilenceEstimate(),
+        inactivity: new InactivityEstimate(),
       };
-      this.learned.set(service, learned);
+      this.estimatesByService.set(service, estimates);
     }
-    return learned;
+    return estimates;
   }
 }
 
-function isGone(record: RunnerRecord): boolean {
-  return record.goneAt !== undefined && record.runner.ready;
+function isRemoved(record: RunnerRecord): boolean {
+  return record.removedAt !== undefined && record.runner.ready;
 }
--- a/src/relay/runners/traffic-split.ts
+++ b/src/relay/runners/traffic-split.ts
@@ -36,7 +36,7 @@
     if (service === undefined) {
       return undefined;
     }
-    this.note(shares, key, service);
+    this.recordPick(shares, key, service);
     return service;
   }
 
@@ -51,7 +51,7 @@
     return fresh;
   }
 
-  private note(shares: RouteShares, key: string, service: string): void {
+  private recordPick(shares: RouteShares, key: string, service: string): void {
     shares.counts.set(service, (shares.counts.get(service) ?? 0) + 1);
     shares.total += 1;
     shares.serviceByKey.delete(key);
--- a/src/relay/stages/admission-stage.ts
+++ b/src/relay/stages/admission-stage.ts
@@ -1,15 +1,15 @@
 /** Programs under way go on; new ones begin as long as they can bear the wait that they would meet. */
-import { overloaded } from '../answers/own-answers.js';
+import { overloaded } from '../answers/local-answers.js';
 import type { AdmissionDecision } from '../admission/program-admission.js';
 import { demandAhead } from '../admission/demand-ahead.js';
 import type { AdmissionInputs } from '../admission/predicted-wait.js';
 import { isLate, baseRankOf, rankOf } from '../request/request-rank.js';
-import type { RunnerLife } from '../runners/runner.js';
+import type { RunnerIncarnation } from '../runners/runner.js';
 import type { RequestState } from './request-state.js';
 import { GO_ON, refuseWith } from './stage.js';
 import type { RequestStage } from './stage.js';
 
-const NO_RUNNERS: ReadonlySet<RunnerLife> = new Set();
+const NO_RUNNERS: ReadonlySet<RunnerIncarnation> = new Set();
 
 /** Time until the program should be over, in milliseconds; undefined where none is told. */
 function programRemaining({ context, request }: RequestState): number | undefined {
@@ -25,8 +25,8 @@
   rank: number,
 ): AdmissionInputs {
   const { context, request } = requestState;
-  const { book, demand, kindStats: kindStats } = context;
-  const { inFlight, slots, runners } = book.loadOf(service);
+  const { registry, demand, kindStats: kindStats } = context;
+  const { inFlight, slots, runners } = registry.loadOf(service);
   const demandByRank = {
     inFlight,
     lessUrgent: demand.countLessUrgent(service, rank),
@@ -36,7 +36,9 @@
   return {
     ...demandAhead(demandByRank),
     slots,
-    turnMilliseconds: book.engineCosts(service).streamMilliseconds(slots / Math.max(1, runners)),
+    turnMilliseconds: registry
+      .engineCosts(service)
+      .streamMilliseconds(slots / Math.max(1, runners)),
     turns: kindStats.expectedTurns(request.route.name),
     programRemainingMilliseconds: programRemaining(requestState),
     requestRemainingMilliseconds: requestState.remainingMilliseconds,
@@ -50,7 +52,7 @@
 function isPromptCached({ context, request }: RequestState, service: string): boolean {
   const { promptParts } = request;
   const sharedTokens = promptParts.slice(0, -1).reduce((sum, { tokens }) => sum + tokens, 0);
-  const views = context.book.candidates(service, promptParts, NO_RUNNERS);
+  const views = context.registry.candidates(service, promptParts, NO_RUNNERS);
   return views.some(({ cachedTokens }) => cachedTokens > sharedTokens);
 }
 
@@ -87,7 +89,7 @@
 }
 
 function logDecision({ context, request }: RequestState, decision: AdmissionDecision): void {
-  const { runtime, book, metrics } = context;
+  const { runtime, registry, metrics } = context;
   const {
     cause,
     inputs: inputs,
@@ -119,7 +121,7 @@
     turns: Number(inputs.turns.toFixed(1)),
     left: Math.round(inputs.programRemainingMilliseconds ?? -1),
     pause: Math.round(retryDelayMilliseconds ?? -1),
-    age: Math.round(book.loadAgeMilliseconds()),
+    age: Math.round(registry.loadAgeMilliseconds()),
   });
 }
 
--- a/src/relay/stages/authenticate.ts
+++ b/src/relay/stages/authenticate.ts
@@ -3,9 +3,9 @@
  * client, so it is given only where the newest configuration is known not to have the key; and a key
  * that may have been taken away since is not served.
  */
-import type { OwnAnswer } from '../answers/own-answers.js';
+import type { LocalAnswer } from '../answers/local-answers.js';
 import type { HeaderNames } from '../request/header-names.js';
-import { RETRY_WITHOUT_PROOF_SECONDS } from '../answers/own-answers.js';
+import { RETRY_WITHOUT_PROOF_SECONDS } from '../answers/local-answers.js';
 import type { Route, RoutingTable } from '../request/routing-table.js';
 import { digestOfKey } from '../request/tenant.js';
 import type { ApiKey, Tenant } from '../request/tenant.js';
@@ -29,9 +29,9 @@
   /** The configuration has no tenants, or the route needs no key. */
   | { readonly tag: 'Open' }
   | { readonly tag: 'Known'; readonly tenant: Tenant }
-  | { readonly tag: 'Refused'; readonly answer: OwnAnswer };
+  | { readonly tag: 'Refused'; readonly answer: LocalAnswer };
 
-function refused(answer: Omit<OwnAnswer, 'verdict'>): Authentication {
+function refused(answer: Omit<LocalAnswer, 'verdict'>): Authentication {
   return { tag: 'Refused', answer: { ...answer, verdict: 'NotRun' } };
 }
 
--- a/src/relay/stages/ingress-stages.ts
+++ b/src/relay/stages/ingress-stages.ts
@@ -3,8 +3,8 @@
  * waits here. The key is looked up once more when the body is read: what is decided by a proof counts from
  * that moment.
  */
-import { RETRY_WITHOUT_PROOF_SECONDS } from '../answers/own-answers.js';
-import type { OwnAnswer } from '../answers/own-answers.js';
+import { RETRY_WITHOUT_PROOF_SECONDS } from '../answers/local-answers.js';
+import type { LocalAnswer } from '../answers/local-answers.js';
 import { findRoute, hostName } from '../request/routing-table.js';
 import { authenticate } from './authenticate.js';
 import type { IngressRequest } from './ingress-request.js';
@@ -14,7 +14,7 @@
 /** One stage at the door: undefined lets the request go on. */
 export interface IngressStage {
   readonly name: string;
-  readonly check: (ingress: IngressRequest) => OwnAnswer | undefined;
+  readonly check: (ingress: IngressRequest) => LocalAnswer | undefined;
 }
 
 /** A configuration follows within this time of a start: the store or a peer has it. */
@@ -22,19 +22,19 @@
 /** Bytes that each header takes beside its name and value. */
 const HEADER_LINE_BYTES = 4;
 
-const NO_CONFIGURATION: OwnAnswer = {
+const NO_CONFIGURATION: LocalAnswer = {
   status: 503,
   detail: 'no configuration is known here yet',
   verdict: 'NotRun',
   retryAfterSeconds: RETRY_WITHOUT_CONFIGURATION_SECONDS,
 };
-const NO_ROUTE: OwnAnswer = {
+const NO_ROUTE: LocalAnswer = {
   status: 404,
   detail: 'no route takes this host and path',
   verdict: 'NotRun',
 };
 /** The route may have been added since: a 404 would be final for the client. */
-const ROUTE_UNKNOWN: OwnAnswer = {
+const ROUTE_UNKNOWN: LocalAnswer = {
   status: 503,
   detail: 'no route is known here, and the newest configuration could not be read',
   verdict: 'NotRun',
@@ -42,7 +42,7 @@
 };
 
 /** A refusal of what the client sent. */
-export function refusal(status: number, detail: string): OwnAnswer {
+export function refusal(status: number, detail: string): LocalAnswer {
   return { status, detail, verdict: 'NotRun' };
 }
 
--- a/src/relay/stages/preparation-stage.ts
+++ b/src/relay/stages/preparation-stage.ts
@@ -3,7 +3,7 @@
  * program's token account. Both need the replicas; requests without them pass at once. What was reserved
  * beyond the tokens handed out is given back when the request is over.
  */
-import { budgetSpent, noSuchTurn, outOfReach } from '../answers/own-answers.js';
+import { budgetExhausted, turnNotFound, dependencyUnavailable } from '../answers/local-answers.js';
 import { tenantScopedId } from '../request/tenant.js';
 import type { RequestState } from './request-state.js';
 import { GO_ON, refuseWith } from './stage.js';
@@ -19,7 +19,7 @@
 }
 
 function refuseUnreachable({ context }: RequestState, what: 'turns' | 'account'): StageOutcome {
-  return refuseWith(outOfReach(what, context.turns.isReachable));
+  return refuseWith(dependencyUnavailable(what, context.turns.isReachable));
 }
 
 function needsChain({ request }: RequestState): boolean {
@@ -45,7 +45,7 @@
         }
         return;
       case 'missing':
-        resume(refuseWith(noSuchTurn()));
+        resume(refuseWith(turnNotFound()));
         return;
       case 'unsure':
         resume(refuseUnreachable(requestState, 'turns'));
@@ -65,7 +65,7 @@
   const reservation = { program: account, turn, mostTokens, budgetTokens };
   context.turns.reserve(reservation, replicaTimeoutMilliseconds(requestState), (outcome) => {
     if (outcome === 'spent') {
-      resume(refuseWith(budgetSpent()));
+      resume(refuseWith(budgetExhausted()));
       return;
     }
     // Without an answer it may stand at some replicas all the same.
--- a/src/relay/stages/stage.ts
+++ b/src/relay/stages/stage.ts
@@ -2,12 +2,12 @@
  * What a request passes between the door and its first try. A stage decides by itself, with no regard to the
  * others: go on, wait until something comes, or refuse. The table of them stands in `call-stages.ts`.
  */
-import type { OwnAnswer } from '../answers/own-answers.js';
+import type { LocalAnswer } from '../answers/local-answers.js';
 import type { RequestState } from './request-state.js';
 
 /** The end of a stage. */
 export type StageOutcome =
-  { readonly tag: 'GoOn' } | { readonly tag: 'Refuse'; readonly answer: OwnAnswer };
+  { readonly tag: 'GoOn' } | { readonly tag: 'Refuse'; readonly answer: LocalAnswer };
 
 /** What a stage decides of a request. */
 export type StageDecision =
@@ -26,14 +26,14 @@
 export const GO_ON: StageOutcome = { tag: 'GoOn' };
 
 /** Refuses a request. */
-export function refuseWith(answer: OwnAnswer): StageOutcome {
+export function refuseWith(answer: LocalAnswer): StageOutcome {
   return { tag: 'Refuse', answer };
 }
 
 /** A request that was refused, and by which stage. */
 export interface StageRefusal {
   readonly stage: string;
-  readonly answer: OwnAnswer;
+  readonly answer: LocalAnswer;
 }
 
 class StagePipeline {
--- a/src/relay/tries/attempt.ts
+++ b/src/relay/tries/attempt.ts
@@ -46,7 +46,7 @@
   resume(): void;
 }
 
-const STATUS_NOT_MINE = 421;
+const STATUS_MISDIRECTED_REQUEST = 421;
 
 function readHead(response: IncomingMessage, names: HeaderNames): AnswerHead {
   const status = response.statusCode ?? 0;
@@ -55,7 +55,8 @@
     reason: response.statusMessage ?? '',
     rawHeaders: response.rawHeaders,
     headers: response.headers,
-    notExecuted: response.headers[names.notExecuted] !== undefined || status === STATUS_NOT_MINE,
+    notExecuted:
+      response.headers[names.notExecuted] !== undefined || status === STATUS_MISDIRECTED_REQUEST,
     closing: response.headers.connection?.toLowerCase() === 'close',
   };
 }
@@ -74,7 +75,7 @@
   private readonly client: ClientRequest;
   private response: IncomingMessage | undefined;
   private sent = false;
-  private over = false;
+  private finished = false;
 
   constructor(
     private readonly runner: Runner,
@@ -95,19 +96,19 @@
     this.watchConnection(connectMilliseconds);
     this.client.on('finish', () => listener.onSendEnd());
     this.client.on('close', () => listener.onSendEnd());
-    this.client.on('response', (response) => this.take(response));
+    this.client.on('response', (response) => this.handleResponse(response));
     this.client.on('error', (error) => this.fail(error.message));
-    this.client.on('close', () => this.takeClose());
+    this.client.on('close', () => this.handleClose());
     this.client.end(request.body);
   }
 
   cancel(): void {
-    this.over = true;
+    this.finished = true;
     this.client.destroy();
   }
 
   ignoreRest(): void {
-    this.over = true;
+    this.finished = true;
     this.response?.resume();
   }
 
@@ -148,56 +149,59 @@
     }
   }
 
-  private take(response: IncomingMessage): void {
-    if (this.over) {
+  private handleResponse(response: IncomingMessage): void {
+    if (this.finished) {
       return;
     }
     const head = readHead(response, this.names);
     if (!belongsTo(head, this.names, this.request.requestId)) {
       const id = String(head.headers[this.names.requestId]);
-      this.finish({ tag: 'BadAnswer', detail: `answer of request ${id} from ${this.runner.id}` });
+      this.reportFailure({
+        tag: 'BadAnswer',
+        detail: `answer of request ${id} from ${this.runner.id}`,
+      });
       this.client.destroy();
       return;
     }
     this.response = response;
     noteKeepAlive(response.socket, firstValue(response.headers['keep-alive']));
     response.on('data', (chunk: Buffer) => {
-      if (!this.over) {
+      if (!this.finished) {
         this.listener.onData(chunk);
       }
     });
-    response.on('end', () => this.end(response));
+    response.on('end', () => this.handleEnd(response));
     response.on('aborted', () => this.fail('answer cut off'));
     response.on('error', (error) => this.fail(error.message));
     this.listener.onHead(head);
   }
 
   /** An answer that came whole and is not read yet ends when it is read: a runner may close behind it. */
-  private takeClose(): void {
+  private handleClose(): void {
     if (this.response?.complete !== true) {
       this.fail('connection closed');
     }
   }
 
-  private end(response: IncomingMessage): void {
-    if (this.over) {
+  private handleEnd(response: IncomingMessage): void {
+    if (this.finished) {
       return;
     }
     if (!response.complete) {
       this.fail('answer cut off');
       return;
     }
-    this.over = true;
+    this.finished = true;
     this.listener.onEnd();
   }
 
   private fail(detail: string): void {
-    this.finish({ tag: this.sent ? 'Lost' : 'NeverSent', detail });
+    this.reportFailure({ tag: this.sent ? 'Lost' : 'NeverSent', detail });
   }
 
-  private finish(failure: AttemptFailure): void {
-    if (!this.over) {
-      this.over = true;
+  private reportFailure(failure: AttemptFailure): void {
+    if (!this.finished) {
+      this.finished = true;
       this.listener.onFailure(failure);
     }
   }
--- a/src/relay/tries/call-reading.ts
+++ b/src/relay/tries/call-flow-control.ts
@@ -5,55 +5,55 @@
 import type { Runtime } from '../../runtime/runtime.js';
 import type { AnswerSource } from '../answers/client-answer.js';
 import type { Attempt } from './attempt.js';
-import type { SilenceWatch } from './silence-watch.js';
+import type { InactivityMonitor } from './inactivity-monitor.js';
 
 /** What the reading needs of its call. */
-export interface ReadCall {
+export interface FlowControlledCall {
   /** Whether the runner is read on whatever the client takes. */
-  readonly readsOn: boolean;
+  readonly ignoresBackpressure: boolean;
   /** The try under way. */
-  current(): { readonly attempt: Attempt; readonly silence: SilenceWatch } | undefined;
+  current(): { readonly attempt: Attempt; readonly inactivity: InactivityMonitor } | undefined;
   /** Ends the call, since its client takes nothing. */
   end(reason: string): void;
 }
 
 /** See the head of this file. */
-export class CallReading implements AnswerSource {
-  private since: number | undefined;
-  private ended = 0;
-  private stopped = false;
+export class CallFlowControl implements AnswerSource {
+  private pausedAt: number | undefined;
+  private pastPauses = 0;
+  private everPaused = false;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly call: ReadCall,
+    private readonly call: FlowControlledCall,
   ) {}
 
-  get readsOn(): boolean {
-    return this.call.readsOn;
+  get ignoresBackpressure(): boolean {
+    return this.call.ignoresBackpressure;
   }
 
   /** Whether reading ever stopped: times of the runner then say nothing of it. */
-  get wasStopped(): boolean {
-    return this.stopped;
+  get wasPaused(): boolean {
+    return this.everPaused;
   }
 
   /** All pauses so far, in milliseconds. */
   get pausedMilliseconds(): number {
-    return this.ended + (this.since === undefined ? 0 : this.runtime.now() - this.since);
+    return this.pastPauses + (this.pausedAt === undefined ? 0 : this.runtime.now() - this.pausedAt);
   }
 
-  hold(): void {
-    this.stopped = true;
-    this.since ??= this.runtime.now();
+  pause(): void {
+    this.everPaused = true;
+    this.pausedAt ??= this.runtime.now();
     const current = this.call.current();
     current?.attempt.pause();
-    current?.silence.pause();
+    current?.inactivity.pause();
   }
 
-  release(): void {
-    this.noteNewTry();
+  resume(): void {
+    this.noteNewAttempt();
     const current = this.call.current();
-    current?.silence.resume();
+    current?.inactivity.resume();
     current?.attempt.resume();
   }
 
@@ -62,8 +62,8 @@
   }
 
   /** A try that begins is read. */
-  noteNewTry(): void {
-    this.ended = this.pausedMilliseconds;
-    this.since = undefined;
+  noteNewAttempt(): void {
+    this.pastPauses = this.pausedMilliseconds;
+    this.pausedAt = undefined;
   }
 }
--- a/src/relay/tries/call-log.ts
+++ b/src/relay/tries/call-log.ts
@@ -2,20 +2,20 @@
 import type { LogFields } from '../../runtime/runtime.js';
 import type { RelayContext } from '../relay-context.js';
 import type { RelayRequest } from '../request/relay-request.js';
-import type { RunnerCandidate, RunnerRecord } from '../runners/runner-book.js';
+import type { RunnerCandidate, RunnerRecord } from '../runners/runner-registry.js';
 
 /** Told in place of a time that never came, such as that of the first try of a request without one. */
-const NEVER = -1;
+const NOT_AVAILABLE = -1;
 
 /** One try that failed. */
-export interface FailedTry {
+export interface FailedAttempt {
   readonly request: string;
   readonly record: RunnerRecord;
   /** How it failed. */
   readonly tag: string;
   readonly detail: string;
   /** Tries of the request so far, this one included. */
-  readonly tries: number;
+  readonly attemptCount: number;
   /** Local time at which the try was sent, in milliseconds. */
   readonly startedAt: number;
 }
@@ -24,7 +24,7 @@
 export interface CallEnd {
   readonly request: RelayRequest;
   readonly outcome: string;
-  readonly tries: number;
+  readonly attemptCount: number;
   /** Local times in milliseconds; undefined when it never came to that. */
   readonly dispatchedAt: number | undefined;
   readonly firstByteAt: number | undefined;
@@ -38,9 +38,9 @@
 }
 
 /** Logs and counts a try that failed. */
-export function logFailedTry(context: RelayContext, failed: FailedTry): void {
+export function logFailedAttempt(context: RelayContext, failed: FailedAttempt): void {
   const { runtime, metrics } = context;
-  const { request, record, tag, detail, tries, startedAt } = failed;
+  const { request, record, tag, detail, attemptCount: tries, startedAt } = failed;
   metrics.count('ivyloom_relay_failed_tries_total', `tag="${tag}"`);
   runtime.log('info', 'try failed', {
     event: 'relay.try',
@@ -70,12 +70,12 @@
 function inputsOf(context: RelayContext, { request, chosen }: CallEnd): PlacementInputs {
   const { programDeadlineAt, arrivedAt, promptTokens } = request;
   const deadline =
-    programDeadlineAt === undefined ? NEVER : Math.round(programDeadlineAt - arrivedAt);
+    programDeadlineAt === undefined ? NOT_AVAILABLE : Math.round(programDeadlineAt - arrivedAt);
   if (chosen === undefined) {
-    return { deadline, unread: NEVER, reading: NEVER, running: NEVER };
+    return { deadline, unread: NOT_AVAILABLE, reading: NOT_AVAILABLE, running: NOT_AVAILABLE };
   }
   const unread = Math.max(0, promptTokens - chosen.cachedTokens);
-  const costs = context.book.engineCosts(chosen.record.runner.service);
+  const costs = context.registry.engineCosts(chosen.record.runner.service);
   const reading = Math.round(unread * costs.millisecondsPerToken);
   return { deadline, unread, reading, running: chosen.inFlight };
 }
@@ -83,11 +83,19 @@
 /** Logs and counts the end of a call. */
 export function logCallEnd(context: RelayContext, end: CallEnd): void {
   const { runtime, metrics } = context;
-  const { request, outcome, tries, dispatchedAt, firstByteAt, eventCount, fields } = end;
+  const {
+    request,
+    outcome,
+    attemptCount: tries,
+    dispatchedAt,
+    firstByteAt,
+    eventCount,
+    fields,
+  } = end;
   const { deadline, unread, reading, running } = inputsOf(context, end);
   const { id, route, program, tenant, arrivedAt, configurationVersion } = request;
   const sinceArrival = (at: number | undefined): number =>
-    at === undefined ? NEVER : Math.round(at - arrivedAt);
+    at === undefined ? NOT_AVAILABLE : Math.round(at - arrivedAt);
   const total = runtime.now() - arrivedAt;
   metrics.count('ivyloom_relay_requests_total', `kind="${route.kind}",outcome="${outcome}"`);
   metrics.observe('ivyloom_relay_request_milliseconds', total);
--- a/src/relay/tries/silence-watch.ts
+++ b/src/relay/tries/inactivity-monitor.ts
@@ -1,44 +1,44 @@
 /** Notices that a runner has fallen silent: probes its address, since a dead one never answers. */
 import type { CancelTimer } from '../../runtime/runtime.js';
 import type { RelayContext } from '../relay-context.js';
-import type { RunnerRecord } from '../runners/runner-book.js';
+import type { RunnerRecord } from '../runners/runner-registry.js';
 
 /** How much longer the next silence may be after a probe that found the runner in reach. */
-const PATIENCE_FACTOR = 2;
+const TIMEOUT_BACKOFF_FACTOR = 2;
 
 /** Watches the runner of one try until it is stopped. */
-export class SilenceWatch {
+export class InactivityMonitor {
   private cancelTimer: CancelTimer = () => undefined;
   private stopped = false;
   private paused = false;
-  private heardAt: number;
+  private lastActivityAt: number;
   /** Longest time without a byte so far, in milliseconds. */
-  private longestSilence = 0;
+  private longestInactivity = 0;
   /** Silence after which the address is probed, in milliseconds. */
-  private limit: number;
+  private timeoutMilliseconds: number;
 
   constructor(
     private readonly context: RelayContext,
     private readonly record: RunnerRecord,
     /** Told once, when the runner's address takes no connection any more. */
-    private readonly onOutOfReach: () => void,
+    private readonly onUnreachable: () => void,
   ) {
-    this.heardAt = context.runtime.now();
-    this.limit = record.silence.unusualMilliseconds;
-    this.lookAfter(this.limit);
+    this.lastActivityAt = context.runtime.now();
+    this.timeoutMilliseconds = record.inactivity.timeoutMilliseconds;
+    this.scheduleCheck(this.timeoutMilliseconds);
   }
 
   /** Notes a byte from the runner. */
-  noteHeard(): void {
+  noteActivity(): void {
     const now = this.context.runtime.now();
-    this.longestSilence = Math.max(this.longestSilence, now - this.heardAt);
-    this.heardAt = now;
-    this.record.heardAt = now;
+    this.longestInactivity = Math.max(this.longestInactivity, now - this.lastActivityAt);
+    this.lastActivityAt = now;
+    this.record.lastActivityAt = now;
   }
 
   /** Notes that the answer came whole: its silences were usual ones. */
-  noteWhole(): void {
-    this.record.silence.take(this.longestSilence);
+  noteAnswerComplete(): void {
+    this.record.inactivity.observe(this.longestInactivity);
   }
 
   /** The runner is not read for a while: its silence says nothing. */
@@ -51,8 +51,8 @@
   resume(): void {
     if (this.paused && !this.stopped) {
       this.paused = false;
-      this.heardAt = this.context.runtime.now();
-      this.lookAfter(this.limit);
+      this.lastActivityAt = this.context.runtime.now();
+      this.scheduleCheck(this.timeoutMilliseconds);
     }
   }
 
@@ -62,39 +62,39 @@
     this.cancelTimer();
   }
 
-  private lookAfter(milliseconds: number): void {
+  private scheduleCheck(milliseconds: number): void {
     this.cancelTimer();
-    this.cancelTimer = this.context.runtime.setTimer(milliseconds, () => this.look());
+    this.cancelTimer = this.context.runtime.setTimer(milliseconds, () => this.check());
   }
 
-  private look(): void {
+  private check(): void {
     if (this.stopped || this.paused) {
       return;
     }
     const { runtime, connections } = this.context;
-    const silence = runtime.now() - Math.max(this.heardAt, this.record.heardAt);
-    if (silence < this.limit) {
-      this.lookAfter(this.limit - silence);
+    const inactivity = runtime.now() - Math.max(this.lastActivityAt, this.record.lastActivityAt);
+    if (inactivity < this.timeoutMilliseconds) {
+      this.scheduleCheck(this.timeoutMilliseconds - inactivity);
       return;
     }
-    connections.probe(this.record.runner, (reachable) => this.judge(reachable));
+    connections.probe(this.record.runner, (reachable) => this.handleProbe(reachable));
   }
 
-  private judge(reachable: boolean): void {
+  private handleProbe(reachable: boolean): void {
     if (this.stopped || this.paused) {
       return;
     }
     if (reachable) {
       // Others that wait for this runner need not ask again so soon.
-      this.record.heardAt = this.context.runtime.now();
-      this.limit *= PATIENCE_FACTOR;
-      this.lookAfter(this.limit);
+      this.record.lastActivityAt = this.context.runtime.now();
+      this.timeoutMilliseconds *= TIMEOUT_BACKOFF_FACTOR;
+      this.scheduleCheck(this.timeoutMilliseconds);
       return;
     }
-    const { book, connections } = this.context;
+    const { registry, connections } = this.context;
     this.stop();
-    book.noteOutOfReach(this.record, 'silent and out of reach');
-    this.onOutOfReach();
+    registry.markUnreachable(this.record, 'silent and out of reach');
+    this.onUnreachable();
     connections.closeAll(this.record.runner);
   }
 }
--- a/src/relay/tries/relay-call.ts
+++ b/src/relay/tries/relay-call.ts
@@ -11,8 +11,8 @@
   AttemptFailure,
 } from '../answers/answer-reader.js';
 import type { ClientAnswer } from '../answers/client-answer.js';
-import { answerLost, noAnswerInTime, notTaken } from '../answers/own-answers.js';
-import type { OwnAnswer } from '../answers/own-answers.js';
+import { answerLost, answerTimedOut, noRunnerAvailable } from '../answers/local-answers.js';
+import type { LocalAnswer } from '../answers/local-answers.js';
 import { PlainAnswer } from '../answers/plain-answer.js';
 import { StreamAnswer } from '../answers/stream-answer.js';
 import { placeRequest } from '../placement/place-request.js';
@@ -23,53 +23,53 @@
 import { rankOf } from '../request/request-rank.js';
 import type { EngineSample } from '../runners/engine-estimate.js';
 import { engineSampleOf } from '../runners/engine-sample.js';
-import { lifeOf } from '../runners/runner.js';
-import type { RunnerLife } from '../runners/runner.js';
-import type { RunnerCandidate, RunnerRecord } from '../runners/runner-book.js';
+import { incarnationOf } from '../runners/runner.js';
+import type { RunnerIncarnation } from '../runners/runner.js';
+import type { RunnerCandidate, RunnerRecord } from '../runners/runner-registry.js';
 import { CALL_STAGES } from '../stages/call-stages.js';
 import { RequestState } from '../stages/request-state.js';
 import { runStages } from '../stages/stage.js';
 import type { StageRefusal } from '../stages/stage.js';
-import { maySendTo, mayTryAgain } from './attempt-rules.js';
-import type { TryHistory } from './attempt-rules.js';
+import { maySendTo, mayRetry } from './attempt-rules.js';
+import type { AttemptHistory } from './attempt-rules.js';
 import { startAttempt } from './attempt.js';
 import type { Attempt } from './attempt.js';
-import { logCallEnd, logFailedTry } from './call-log.js';
-import { FIRST_SERVER_ERROR, judgeAnswer } from './judge-answer.js';
-import { CallReading } from './call-reading.js';
+import { logCallEnd, logFailedAttempt } from './call-log.js';
+import { FIRST_SERVER_ERROR, classifyAnswer } from './classify-answer.js';
+import { CallFlowControl } from './call-flow-control.js';
 import { CONNECT_MILLISECONDS } from './runner-connections.js';
-import { SilenceWatch } from './silence-watch.js';
+import { InactivityMonitor } from './inactivity-monitor.js';
 
 /** Kept between a request's time and the answer that it is over, in milliseconds. */
-const END_SLACK_MILLISECONDS = 30;
+const DEADLINE_GRACE_MILLISECONDS = 30;
 
 /** One try under way. */
-interface CurrentTry {
+interface CurrentAttempt {
   readonly attempt: Attempt;
   readonly record: RunnerRecord;
   readonly startedAt: number;
-  readonly silence: SilenceWatch;
+  readonly inactivity: InactivityMonitor;
   /** What its runner was believed to be like when it was chosen. */
   readonly chosen: RunnerCandidate;
 }
 
 /** See the head of this file. */
 export class RelayCall implements AnsweredCall {
-  private readonly sentTo = new Set<RunnerLife>();
-  private readonly failedAt = new Set<RunnerLife>();
+  private readonly sentTo = new Set<RunnerIncarnation>();
+  private readonly failedAt = new Set<RunnerIncarnation>();
   /** Runners that refused the request: asking them again at once helps nobody. */
-  private readonly refusedBy = new Set<RunnerLife>();
-  private tries = 0;
+  private readonly refusedBy = new Set<RunnerIncarnation>();
+  private attemptCount = 0;
   private mayHaveRun = false;
-  private current: CurrentTry | undefined;
+  private current: CurrentAttempt | undefined;
   private cancelDeadline: CancelTimer = () => undefined;
-  private over = false;
+  private finished = false;
   private readonly requestState: RequestState;
   /** Stage that refused it; none where it came to a try. */
-  private refusedAt = '';
+  private refusingStage = '';
   private readonly stream: StreamAnswer | undefined;
   private plain: PlainAnswer | undefined;
-  private readonly reading: CallReading;
+  private readonly flowControl: CallFlowControl;
   private firstByteAt: number | undefined;
   private dispatchedAt: number | undefined;
   private lastChosen: RunnerCandidate | undefined;
@@ -81,21 +81,21 @@
   ) {
     this.requestState = new RequestState(context, request);
     this.stream = request.route.kind === 'stream' ? new StreamAnswer(this) : undefined;
-    this.reading = new CallReading(context.runtime, {
-      readsOn: request.route.retained,
+    this.flowControl = new CallFlowControl(context.runtime, {
+      ignoresBackpressure: request.route.retained,
       current: () => this.current,
-      end: (reason) => this.breakOff(reason),
+      end: (reason) => this.abort(reason),
     });
   }
 
   /** Begins. */
   start(): void {
     const { runtime } = this.context;
-    const left = this.remainingMilliseconds + END_SLACK_MILLISECONDS;
-    this.cancelDeadline = runtime.setTimer(Math.max(0, left), () => this.timeOut());
-    this.answer.onLeft(() => this.leave());
-    this.answer.comesFrom(this.reading);
-    runStages(CALL_STAGES, this.requestState, (refusal) => this.leaveStages(refusal));
+    const remaining = this.remainingMilliseconds + DEADLINE_GRACE_MILLISECONDS;
+    this.cancelDeadline = runtime.setTimer(Math.max(0, remaining), () => this.handleDeadline());
+    this.answer.onDisconnect(() => this.handleDisconnect());
+    this.answer.setSource(this.flowControl);
+    runStages(CALL_STAGES, this.requestState, (refusal) => this.handleStagesDone(refusal));
   }
 
   /** Milliseconds until the request's time is over. */
@@ -110,111 +110,115 @@
 
   /** A whole answer was passed on. */
   finishAnswered(status: number): void {
-    const current = this.takeCurrent();
+    const current = this.clearCurrent();
     if (current !== undefined) {
-      const { runtime, book } = this.context;
-      current.silence.noteWhole();
+      const { runtime, registry } = this.context;
+      current.inactivity.noteAnswerComplete();
       const totalMilliseconds = runtime.now() - current.startedAt;
       const eventCount = this.stream?.eventCount ?? 0;
       const isWhole = status < FIRST_REDIRECT;
       const pace =
-        isWhole && !this.reading.wasStopped ? { totalMilliseconds, eventCount } : undefined;
-      book.finish(current.record, pace, isWhole ? this.engineSampleOf(current) : undefined);
+        isWhole && !this.flowControl.wasPaused ? { totalMilliseconds, eventCount } : undefined;
+      registry.noteRequestEnded(
+        current.record,
+        pace,
+        isWhole ? this.engineSampleOf(current) : undefined,
+      );
     }
     this.finish('answered', { status, runner: current?.record.runner.id ?? '' });
   }
 
   /** The try under way failed although its connection stands. */
-  failCurrent(failure: AttemptFailure): void {
+  failAttempt(failure: AttemptFailure): void {
     this.current?.attempt.cancel();
-    this.takeFailure(failure);
+    this.handleFailure(failure);
   }
 
   /** Breaks off an answer that has begun and can't be finished. */
-  breakOff(reason: string): void {
-    this.dropCurrent();
+  abort(reason: string): void {
+    this.cancelCurrent();
     this.answer.abort();
     this.finish('broken', { reason });
   }
 
   /** Ends the call with an answer of the relay. */
-  refuse(answer: OwnAnswer): void {
-    if (this.over) {
+  refuse(answer: LocalAnswer): void {
+    if (this.finished) {
       return;
     }
-    this.dropCurrent();
+    this.cancelCurrent();
     if (this.answer.started) {
-      this.breakOff(answer.detail);
+      this.abort(answer.detail);
       return;
     }
-    this.answer.sendOwn(answer, this.request.id);
+    this.answer.sendLocal(answer, this.request.id);
     this.finish('refused', {
       status: answer.status,
       verdict: answer.verdict,
-      stage: this.refusedAt,
+      stage: this.refusingStage,
       reason: answer.detail,
       retryAfter: answer.retryAfterSeconds ?? -1,
     });
   }
 
-  private leaveStages(refusal: StageRefusal | undefined): void {
+  private handleStagesDone(refusal: StageRefusal | undefined): void {
     if (refusal === undefined) {
-      this.tryNext();
+      this.startNextAttempt();
       return;
     }
     const { stage, answer } = refusal;
-    this.refusedAt = stage;
+    this.refusingStage = stage;
     this.context.metrics.count('ivyloom_relay_stage_refusals_total', `stage="${stage}"`);
     this.refuse(answer);
   }
 
-  private get history(): TryHistory {
+  private get history(): AttemptHistory {
     return {
       mayRepeat: mayRepeat(this.request.route),
       maximumAttempts: this.request.route.maximumAttempts,
       sentTo: this.sentTo,
-      tries: this.tries,
+      attemptCount: this.attemptCount,
       mayHaveRun: this.mayHaveRun,
     };
   }
 
   /** What an answered stream showed of its engine; undefined where it shows nothing. */
-  private engineSampleOf({ chosen, startedAt: sentAt }: CurrentTry): EngineSample | undefined {
-    const { stream, request, tries } = this;
-    if (stream?.firstEventAt === undefined || tries > 1 || this.reading.wasStopped) {
+  private engineSampleOf({ chosen, startedAt: sentAt }: CurrentAttempt): EngineSample | undefined {
+    const { stream, request, attemptCount } = this;
+    if (stream?.firstEventAt === undefined || attemptCount > 1 || this.flowControl.wasPaused) {
       return undefined;
     }
     const { firstEventAt, lastEventAt, eventCount } = stream;
     return engineSampleOf(request, chosen, { sentAt, firstEventAt, lastEventAt, eventCount });
   }
 
-  private chooseNext(): RunnerCandidate | undefined {
+  private chooseRunner(): RunnerCandidate | undefined {
     const { context, requestState: requestState, history, refusedBy, failedAt } = this;
-    const mayGoTo = (runner: RunnerLife): boolean => maySendTo(history, runner);
-    return placeRequest(context, requestState, { mayGoTo, refusedBy, failedAt });
+    const isAllowed = (runner: RunnerIncarnation): boolean => maySendTo(history, runner);
+    return placeRequest(context, requestState, { isAllowed, refusedBy, failedAt });
   }
 
-  private tryNext(): void {
-    if (this.over) {
+  private startNextAttempt(): void {
+    if (this.finished) {
       return;
     }
-    const chosen = mayTryAgain(this.history) ? this.chooseNext() : undefined;
+    const chosen = mayRetry(this.history) ? this.chooseRunner() : undefined;
     if (chosen === undefined || this.remainingMilliseconds <= 0) {
       this.giveUp(chosen === undefined ? 'no runner may take it' : 'its time is over');
       return;
     }
-    this.tries += 1;
-    this.send(chosen);
+    this.attemptCount += 1;
+    this.startAttemptAt(chosen);
   }
 
-  private send(chosen: RunnerCandidate): void {
+  private startAttemptAt(chosen: RunnerCandidate): void {
     const { context, request } = this;
     const { record } = chosen;
     const { runner } = record;
     const now = context.runtime.now();
     this.dispatchedAt ??= now;
     this.lastChosen = chosen;
-    context.book.begin(record, request.promptParts);
+    context.registry.noteRequestSent(record, request.promptParts);
     const headers = headersToRunner(request, context.names, {
       runnerId: runner.id,
       remainingMilliseconds: this.remainingMilliseconds,
@@ -223,28 +227,28 @@
       bodyBytes: this.requestState.body.length,
     });
     const reader = this.nextReader();
-    this.answer.noteNewTry();
+    this.answer.noteNewAttempt();
     const limit = context.currentTable()?.services.get(runner.service)?.maximumConnections;
     const agent = context.connections.agentFor(runner, limit);
     const { method, path, id: requestId } = request;
     const sent = { requestId, method, path, headers, body: this.requestState.body };
     const attempt = startAttempt(runner, agent, sent, context.names, CONNECT_MILLISECONDS, {
-      ...context.backpressure.prepareSend(lifeOf(runner), this.requestState.body.length),
-      onHead: (head) => this.takeHead(head, reader),
+      ...context.backpressure.prepareSend(incarnationOf(runner), this.requestState.body.length),
+      onHead: (head) => this.handleHead(head, reader),
       onData: (chunk) => {
-        this.noteHeard();
+        this.noteActivity();
         reader.onData(chunk);
       },
       onEnd: () => {
-        this.current?.silence.stop();
+        this.current?.inactivity.stop();
         reader.onEnd();
       },
-      onFailure: (failure) => this.takeFailure(failure),
+      onFailure: (failure) => this.handleFailure(failure),
     });
-    const silence = new SilenceWatch(context, record, () =>
-      this.failCurrent({ tag: 'Lost', detail: 'runner out of reach' }),
+    const inactivity = new InactivityMonitor(context, record, () =>
+      this.failAttempt({ tag: 'Lost', detail: 'runner out of reach' }),
     );
-    this.current = { attempt, record, startedAt: now, silence, chosen };
+    this.current = { attempt, record, startedAt: now, inactivity, chosen };
   }
 
   /** A stream goes on where the try before ended; a plain answer begins anew. */
@@ -257,144 +261,162 @@
     return this.plain;
   }
 
-  private takeHead(head: AnswerHead, reader: AnswerReader): void {
-    this.noteHeard();
+  private handleHead(head: AnswerHead, reader: AnswerReader): void {
+    this.noteActivity();
     const current = this.current;
     if (current === undefined) {
       return;
     }
-    const judgement = judgeAnswer(head, this.context.names);
-    if (judgement === 'NotExecuted') {
+    const answerClass = classifyAnswer(head, this.context.names);
+    if (answerClass === 'NotExecuted') {
       current.attempt.ignoreRest();
-      this.takeNotExecuted(head.status);
+      this.handleNotExecuted(head.status);
       return;
     }
-    if (judgement === 'Unsigned' || judgement === 'FalsePromise') {
-      this.failCurrent({ tag: 'BadAnswer', detail: `${judgement} answer, status ${head.status}` });
+    if (answerClass === 'Unsigned' || answerClass === 'FalsePromise') {
+      this.failAttempt({
+        tag: 'BadAnswer',
+        detail: `${answerClass} answer, status ${head.status}`,
+      });
       return;
     }
-    const retried = head.status >= FIRST_SERVER_ERROR && mayRepeat(this.request.route);
-    const others = this.request.route.maximumAttempts > this.sentTo.size + 1;
+    const isRetryable = head.status >= FIRST_SERVER_ERROR && mayRepeat(this.request.route);
+    const mayUseOthers = this.request.route.maximumAttempts > this.sentTo.size + 1;
     if (
-      (retried && others && !this.answer.started) ||
+      (isRetryable && mayUseOthers && !this.answer.started) ||
       (this.answer.started && head.status >= FIRST_REDIRECT)
     ) {
-      this.failCurrent({ tag: 'BadAnswer', detail: `status ${head.status}` });
+      this.failAttempt({ tag: 'BadAnswer', detail: `status ${head.status}` });
       return;
     }
     reader.onHead(head);
   }
 
   /** The runner has provably not run the request. */
-  private takeNotExecuted(status: number): void {
-    const current = this.takeCurrent();
+  private handleNotExecuted(status: number): void {
+    const current = this.clearCurrent();
     if (current !== undefined) {
-      this.context.book.finish(current.record, undefined);
-      const life = lifeOf(current.record.runner);
-      this.sentTo.add(life);
-      this.refusedBy.add(life);
-      this.logTry('NotExecuted', `status ${status}`, current);
+      this.context.registry.noteRequestEnded(current.record, undefined);
+      const incarnation = incarnationOf(current.record.runner);
+      this.sentTo.add(incarnation);
+      this.refusedBy.add(incarnation);
+      this.logFailure('NotExecuted', `status ${status}`, current);
     }
-    this.tryNext();
+    this.startNextAttempt();
   }
 
-  private takeFailure(failure: AttemptFailure): void {
-    const current = this.takeCurrent();
-    if (current === undefined || this.over) {
+  private handleFailure(failure: AttemptFailure): void {
+    const current = this.clearCurrent();
+    if (current === undefined || this.finished) {
       return;
     }
-    const { book, connections } = this.context;
+    const { registry, connections } = this.context;
     const { runner } = current.record;
-    book.finish(current.record, undefined);
-    this.failedAt.add(lifeOf(runner));
-    this.logTry(failure.tag, failure.detail, current);
+    registry.noteRequestEnded(current.record, undefined);
+    this.failedAt.add(incarnationOf(runner));
+    this.logFailure(failure.tag, failure.detail, current);
     if (failure.tag === 'NeverSent') {
-      book.distrust(current.record, failure.detail);
+      registry.markUnhealthy(current.record, failure.detail);
       connections.closeAll(runner);
-      this.sentTo.delete(lifeOf(runner));
+      this.sentTo.delete(incarnationOf(runner));
     } else {
       this.mayHaveRun = true;
       this.noteSentTo(current.record);
     }
     if (this.stream !== undefined && !this.stream.prepareResume()) {
-      this.breakOff('the stream can not be taken up again');
+      this.abort('the stream can not be taken up again');
       return;
     }
-    this.tryNext();
+    this.startNextAttempt();
   }
 
   /** Runners that ended or are cut off take none of the number of runners that a route allows. */
   private noteSentTo(record: RunnerRecord): void {
-    if (record.outOfReach) {
-      this.sentTo.delete(lifeOf(record.runner));
+    if (record.unreachable) {
+      this.sentTo.delete(incarnationOf(record.runner));
     } else {
-      this.sentTo.add(lifeOf(record.runner));
+      this.sentTo.add(incarnationOf(record.runner));
     }
   }
 
   private giveUp(reason: string): void {
     const timeIsOver = this.remainingMilliseconds <= 0;
-    this.refuse(this.mayHaveRun ? answerLost(reason, timeIsOver) : notTaken(reason));
+    this.refuse(this.mayHaveRun ? answerLost(reason, timeIsOver) : noRunnerAvailable(reason));
   }
 
-  private timeOut(): void {
-    if (this.over) {
+  private handleDeadline(): void {
+    if (this.finished) {
       return;
     }
     if (this.current?.attempt.wasSent() === true || this.mayHaveRun) {
-      this.refuse(noAnswerInTime());
+      this.refuse(answerTimedOut());
       return;
     }
     this.giveUp('its time is over');
   }
 
   /** The client closed its connection. */
-  private leave(): void {
-    if (!this.over) {
-      this.dropCurrent();
+  private handleDisconnect(): void {
+    if (!this.finished) {
+      this.cancelCurrent();
       this.finish('left', { started: this.answer.started });
     }
   }
 
-  private noteHeard(): void {
-    this.current?.silence.noteHeard();
+  private noteActivity(): void {
+    this.current?.inactivity.noteActivity();
   }
 
-  private takeCurrent(): CurrentTry | undefined {
+  private clearCurrent(): CurrentAttempt | undefined {
     const current = this.current;
     this.current = undefined;
-    current?.silence.stop();
+    current?.inactivity.stop();
     return current;
   }
 
-  private dropCurrent(): void {
-    const current = this.takeCurrent();
+  private cancelCurrent(): void {
+    const current = this.clearCurrent();
     if (current !== undefined) {
       this.mayHaveRun ||= current.attempt.wasSent();
       current.attempt.cancel();
-      this.context.book.finish(current.record, undefined);
+      this.context.registry.noteRequestEnded(current.record, undefined);
     }
   }
 
   private finish(outcome: string, fields: LogFields): void {
-    if (this.over) {
+    if (this.finished) {
       return;
     }
-    this.over = true;
+    this.finished = true;
     this.cancelDeadline();
     (this.stream ?? this.plain)?.release();
-    this.requestState.finish(this.stream?.handedTokens ?? 0);
-    const { request, tries, dispatchedAt, firstByteAt } = this;
+    this.requestState.finish(this.stream?.deliveredTokens ?? 0);
+    const { request, attemptCount, dispatchedAt, firstByteAt } = this;
     const eventCount = this.stream?.eventCount ?? 0;
     const { lastChosen: chosen } = this;
-    const { pausedMilliseconds } = this.reading;
+    const { pausedMilliseconds } = this.flowControl;
     const times = { dispatchedAt, firstByteAt, pausedMilliseconds };
-    logCallEnd(this.context, { request, outcome, tries, ...times, eventCount, chosen, fields });
+    logCallEnd(this.context, {
+      request,
+      outcome,
+      attemptCount,
+      ...times,
+      eventCount,
+      chosen,
+      fields,
+    });
   }
 
-  private logTry(tag: string, detail: string, current: CurrentTry): void {
+  private logFailure(tag: string, detail: string, current: CurrentAttempt): void {
     const { record, startedAt } = current;
-    const { request, tries } = this;
-    logFailedTry(this.context, { request: request.id, record, tag, detail, tries, startedAt });
+    const { request, attemptCount } = this;
+    logFailedAttempt(this.context, {
+      request: request.id,
+      record,
+      tag,
+      detail,
+      attemptCount,
+      startedAt,
+    });
   }
 }
--- a/src/relay/tries/runner-agent.ts
+++ b/src/relay/tries/runner-agent.ts
@@ -8,12 +8,12 @@
 import type { Duplex } from 'node:stream';
 
 /** Part of the runner's own idle time after which we close first. */
-const IDLE_SHARE = 0.85;
+const IDLE_FRACTION = 0.85;
 /** Idle time of a connection whose runner told none, in milliseconds. */
 const DEFAULT_IDLE_MILLISECONDS = 4_000;
 const MILLISECONDS_IN_SECOND = 1_000;
 
-const idleListeners = new WeakMap<Duplex, () => void>();
+const discardListeners = new WeakMap<Duplex, () => void>();
 
 /** Reads the seconds of a `Keep-Alive: timeout=N` header. */
 function idleMillisecondsOf(header: string | undefined): number {
@@ -21,7 +21,7 @@
   if (seconds === undefined) {
     return DEFAULT_IDLE_MILLISECONDS;
   }
-  return Math.max(1, Number(seconds) * MILLISECONDS_IN_SECOND * IDLE_SHARE);
+  return Math.max(1, Number(seconds) * MILLISECONDS_IN_SECOND * IDLE_FRACTION);
 }
 
 /** See the head of this file. One agent serves one address. */
@@ -48,7 +48,7 @@
     const discard = (): void => {
       socket.destroy();
     };
-    idleListeners.set(stream, discard);
+    discardListeners.set(stream, discard);
     socket.on('data', discard);
     socket.on('end', discard);
     socket.setTimeout(idle, discard);
@@ -59,7 +59,7 @@
   /** Called by Node when an idle connection is taken again. */
   override reuseSocket(stream: Duplex, request: ClientRequest): void {
     const socket = stream as Socket;
-    const discard = idleListeners.get(stream);
+    const discard = discardListeners.get(stream);
     if (discard !== undefined) {
       socket.removeListener('data', discard);
       socket.removeListener('end', discard);
--- a/src/relay/tries/runner-connections.ts
+++ b/src/relay/tries/runner-connections.ts
@@ -13,7 +13,7 @@
 /** See the head of this file. */
 export class RunnerConnections {
   private readonly agents = new Map<string, RunnerAgent>();
-  private readonly probing = new Map<string, ((reachable: boolean) => void)[]>();
+  private readonly pendingProbes = new Map<string, ((reachable: boolean) => void)[]>();
 
   constructor(private readonly runtime: Runtime) {}
 
@@ -43,24 +43,24 @@
   /** Tells whether an address still takes connections. */
   probe(runner: Runner, done: (reachable: boolean) => void): void {
     const address = addressOf(runner);
-    const waiting = this.probing.get(address);
+    const waiting = this.pendingProbes.get(address);
     if (waiting !== undefined) {
       waiting.push(done);
       return;
     }
-    this.probing.set(address, [done]);
+    this.pendingProbes.set(address, [done]);
     const socket = connect({ host: runner.host, port: runner.port });
     const finish = (reachable: boolean): void => {
-      const listeners = this.probing.get(address) ?? [];
-      this.probing.delete(address);
+      const listeners = this.pendingProbes.get(address) ?? [];
+      this.pendingProbes.delete(address);
       cancel();
       socket.destroy();
       listeners.forEach((listener) => listener(reachable));
     };
-    let over = false;
+    let isFinished = false;
     const once = (reachable: boolean): void => {
-      if (!over) {
-        over = true;
+      if (!isFinished) {
+        isFinished = true;
         finish(reachable);
       }
     };
