--- a/src/relay/admission/demand-ahead.ts
+++ b/src/relay/admission/demand-ahead.ts
@@ -1,32 +1,36 @@
-/** Which of the requests at the runners of a service go before a new program of some rank: plain data in, data out. */
+/** Counts the requests of a service that are served before a turn of a new program. */
 
-/** Requests at the runners of a service, as a program of one rank sees them. */
+/** Requests in flight at a service, relative to a program of one rank. */
 export interface RankedDemand {
-  /** All of them. */
+  /** All requests in flight. */
   readonly inFlight: number;
-  /** Those of later ranks. */
+  /** Requests of less urgent ranks. */
   readonly lessUrgent: number;
-  /** Those of its own rank. */
+  /** Requests of the program's own rank. */
   readonly sameRank: number;
-  /** Those behind it that were of its own rank until their programs became late. */
+  /**
+   * Requests that had the program's rank until their programs became late and dropped to a less
+   * urgent one.
+   */
   readonly lateSameRank: number;
 }
 
-/** Requests that go before a turn of the program, and those of them that are more urgent. */
+/** Requests served before a turn of the program, and those of them that are more urgent. */
 export interface DemandAhead {
   readonly ahead: number;
   readonly moreUrgent: number;
 }
 
 /**
- * What is before a program. Late programs of its rank are behind it at the runners, and yet have come before it.
- * Figures are of different ages, so none is taken for more than there is in all: where places are free none waits.
+ * Counts the requests ahead of a program. Late programs of its rank are ranked below it at the
+ * runners, but they arrived earlier and count as ahead. The counts are of different ages, so each
+ * is capped at the number in flight: while slots are free, no wait is predicted.
  */
 export function demandAhead({
   inFlight,
-  lessUrgent: lessUrgent,
-  sameRank: sameRank,
-  lateSameRank: lateSameRank,
+  lessUrgent,
+  sameRank,
+  lateSameRank,
 }: RankedDemand): DemandAhead {
   const notLessUrgent = Math.max(0, inFlight - lessUrgent);
   return {
--- a/src/relay/admission/predicted-wait.ts
+++ b/src/relay/admission/predicted-wait.ts
@@ -1,40 +1,50 @@
 /**
- * How long a turn would wait at the runners of a service, and whether a program can bear that in each of its turns.
- * A program's aim is never shorter than its time on idle runners, so waits that together take a share of the aim
- * make it late by no more than that share, while its caller still waits.
+ * Predicts how long a turn would wait at the runners of a service, and how long it may wait. A
+ * program's deadline is never shorter than its time on idle runners, so waits that add up to a
+ * share of the time to the deadline make the program late by at most that share, while its caller
+ * still waits.
  */
 
-/** What a new program would meet. */
+/** Load and time limits that the admission of a program depends on. */
 export interface AdmissionInputs {
-  /** Requests at the runners that go before a turn of the program. */
+  /** Requests at the runners that are served before a turn of the program. */
   readonly ahead: number;
-  /** Of those, the ones that are more urgent: as they go, others like them take their places. */
+  /**
+   * Those of `ahead` that are more urgent; as they finish, others like them are assumed to arrive.
+   */
   readonly moreUrgent: number;
   /** Requests that can run at the same time. */
   readonly slots: number;
-  /** Time that a turn takes once it runs, in milliseconds. */
+  /** Duration of a running turn, in milliseconds. */
   readonly turnMilliseconds: number;
-  /** Turns that a program of this kind usually has. */
+  /** Expected number of turns of a program of this kind. */
   readonly turns: number;
-  /** Time left until the program should be over, in milliseconds; undefined where none is told. */
+  /** Time until the program's deadline, in milliseconds; undefined if it has none. */
   readonly programRemainingMilliseconds: number | undefined;
-  /** Time for which the client waits for this very request, in milliseconds. */
+  /** Time until the request's own timeout, in milliseconds. */
   readonly requestRemainingMilliseconds: number;
 }
 
-/** Share of a request's time that may pass before it runs: the rest is for running, and a runner that fails. */
+/**
+ * Share of a request's time that it may wait; the rest is for running, and for a retry after a
+ * runner failed.
+ */
 const REQUEST_WAIT_SHARE = 0.5;
 
 /**
- * Share of a program's time that its turns may wait together by what is known when it begins. Callers wait for about
- * twice that time; the rest of it is for what can't be known then: load grows before it is told, and late programs
- * fall behind others.
+ * Share of the time to a program's deadline that its turns may wait in total, as predicted when the
+ * program starts. Callers wait for about twice the time to the deadline; the remainder covers what
+ * is unknown at the start: load that gossip has not reported yet, and the lower rank of programs
+ * that become late.
  */
 const PROGRAM_WAIT_SHARE = 0.25;
-/** Places that are never left to the more urgent alone, as a share: urgent work swings, and the rest must go on. */
+/**
+ * Share of the slots that is always assumed to be available to less urgent programs: urgent load
+ * varies, and the rest must make progress.
+ */
 const MINIMUM_AVAILABLE_SHARE = 0.1;
 
-/** Time that a turn would wait for a place, in milliseconds. */
+/** Returns the predicted wait of a turn for a slot, in milliseconds; infinite without slots. */
 export function predictWait({
   ahead,
   moreUrgent,
@@ -48,13 +58,12 @@
   return (Math.max(0, ahead + 1 - slots) * turnMilliseconds) / availableSlots;
 }
 
-/** Longest wait of a turn at which its program is still over while its caller waits, in milliseconds. */
+/**
+ * Returns the longest acceptable wait of a turn, in milliseconds: the program still ends while its
+ * caller waits.
+ */
 export function waitLimit(inputs: AdmissionInputs): number {
-  const {
-    programRemainingMilliseconds: programRemainingMilliseconds,
-    turns,
-    requestRemainingMilliseconds: requestRemainingMilliseconds,
-  } = inputs;
+  const { programRemainingMilliseconds, turns, requestRemainingMilliseconds } = inputs;
   const requestLimit = requestRemainingMilliseconds * REQUEST_WAIT_SHARE;
   if (programRemainingMilliseconds === undefined || Number.isNaN(programRemainingMilliseconds)) {
     return requestLimit;
--- a/src/relay/admission/program-admission.ts
+++ b/src/relay/admission/program-admission.ts
@@ -1,34 +1,45 @@
 /**
- * Lets new programs in as long as they can be over while their callers wait, and tells the others when room is
- * expected. A turn that has to wait does so at its runner, behind whatever is more urgent, so a program that is let
- * in costs those under way no more than what they too can bear; one that is refused for a place that would have
- * come costs its caller everything. Programs under way keep their place at every gateway.
+ * Admission control for programs. A new program is admitted if its turns can be expected to wait no
+ * longer than acceptable, and is otherwise refused with a retry delay. An admitted turn queues at
+ * its runner behind more urgent requests, so it delays programs in progress no more than is
+ * acceptable for them too, whereas a program refused although a slot would have become free is lost
+ * to its caller. Programs in progress are admitted by every gateway.
  */
 import type { RandomSource } from '../../runtime/random.js';
 import { waitLimit, predictWait } from './predicted-wait.js';
 import type { AdmissionInputs } from './predicted-wait.js';
 import { computeRetryDelay } from './retry-delay.js';
 
-/** Programs remembered; the longest unused go first. */
+/** Maximum number of admitted programs to remember; the least recently used are evicted. */
 const MAXIMUM_PROGRAMS = 20_000;
 
-/** What is asked for one request of a program. */
+/** Input of the decision on one request of a program. */
 export interface AdmissionRequest {
   readonly program: string;
-  /** Whether the request itself shows that its program has run before; asked only where it decides. */
+  /**
+   * Returns whether the request itself shows that its program has run before; called only if the
+   * decision depends on it.
+   */
   readonly hasRunBefore: () => boolean;
   readonly inputs: () => AdmissionInputs;
 }
 
-/** Why a request was let in or not. */
+/**
+ * Reason for a decision: the program was admitted here before (`known`), the request shows that the
+ * program has run before (`shown`), or the predicted wait is within the limit (`bearable`) or above
+ * it (`unbearable`). A metric label and a log field.
+ */
 export type AdmissionCause = 'known' | 'shown' | 'bearable' | 'unbearable';
 
-/** What is decided, and by what. */
+/** An admission decision and the figures that it is based on. */
 export interface AdmissionDecision {
   readonly cause: AdmissionCause;
-  /** Pause until the client should come back, in milliseconds; undefined where the request is let in. */
+  /**
+   * Delay after which the client should retry, in milliseconds; undefined if the request is
+   * admitted.
+   */
   readonly retryDelayMilliseconds: number | undefined;
-  /** What decided; undefined for programs known here. */
+  /** Inputs of the decision; undefined for programs admitted here before. */
   readonly inputs: AdmissionInputs | undefined;
   readonly predictedWaitMilliseconds: number;
   readonly waitLimitMilliseconds: number;
@@ -42,13 +53,13 @@
   waitLimitMilliseconds: 0,
 };
 
-/** See the head of this file. */
+/** Decides which programs may start, and remembers those it admitted. */
 export class ProgramAdmission {
   private readonly admittedPrograms = new Set<string>();
 
   constructor(private readonly random: RandomSource) {}
 
-  /** Decides on a request of a program; a program that was let in once always is. */
+  /** Decides on a request of a program; a program that was admitted once always is. */
   decide(request: AdmissionRequest): AdmissionDecision {
     const { program } = request;
     if (this.admittedPrograms.delete(program)) {
@@ -62,17 +73,17 @@
     return decision;
   }
 
-  /** Programs remembered. */
+  /** Number of programs remembered. */
   get programCount(): number {
     return this.admittedPrograms.size;
   }
 
-  /** Whether a program was let in here before. */
+  /** Whether a program was admitted here before. */
   isAdmitted(program: string): boolean {
     return this.admittedPrograms.has(program);
   }
 
-  /** Takes back that a program was let in: it could not begin for another reason. */
+  /** Revokes the admission of a program that could not start for another reason. */
   forget(program: string): void {
     this.admittedPrograms.delete(program);
   }
@@ -82,9 +93,9 @@
     const predictedWaitMilliseconds = predictWait(inputs);
     const waitLimitMilliseconds = waitLimit(inputs);
     const estimates = {
-      inputs: inputs,
-      predictedWaitMilliseconds: predictedWaitMilliseconds,
-      waitLimitMilliseconds: waitLimitMilliseconds,
+      inputs,
+      predictedWaitMilliseconds,
+      waitLimitMilliseconds,
     };
     if (predictedWaitMilliseconds <= waitLimitMilliseconds) {
       return { ...estimates, cause: 'bearable', retryDelayMilliseconds: undefined };
@@ -98,7 +109,7 @@
       inputs.requestRemainingMilliseconds,
       this.random.uniform(),
     );
-    return { ...estimates, cause: 'unbearable', retryDelayMilliseconds: retryDelayMilliseconds };
+    return { ...estimates, cause: 'unbearable', retryDelayMilliseconds };
   }
 
   private remember(program: string): void {
--- a/src/relay/admission/program-sizes.ts
+++ b/src/relay/admission/program-sizes.ts
@@ -1,21 +1,24 @@
 /**
- * Learns how many requests a program of a tenant needs, from what was let in here. A tenant of which
- * little is known is taken to be like all others together.
+ * Learns how many requests a program of each tenant needs, from the requests granted at this
+ * gateway. A tenant with few observations is assumed to be like the average of all tenants.
  */
 import type { TenantId } from '../request/tenant.js';
 
-/** Programs of all tenants that count for one of which nothing is known. */
+/** Weight, in programs, of the average of all tenants in the estimate of a single tenant. */
 const PRIOR_PROGRAMS = 5;
-/** Programs after which older ones count half. */
+/** Number of programs after which the counts are halved, so that older programs weigh less. */
 const DECAY_AFTER_PROGRAMS = 200;
-/** Tenants remembered; the longest unused go first. */
+/** Maximum number of tenants to remember; the least recently used are evicted. */
 const MAXIMUM_TENANTS = 2_000;
 
 class SizeEstimate {
   private requests = 0;
   private programs = 0;
 
-  /** Mean number of requests of a program, with some programs of a size assumed beside those seen. */
+  /**
+   * Returns the mean number of requests of a program, as if `assumedPrograms` programs of
+   * `assumedMean` requests had been seen as well.
+   */
   mean(assumedMean: number, assumedPrograms: number): number {
     const requests = this.requests + assumedMean * assumedPrograms;
     return requests / (this.programs + assumedPrograms);
@@ -31,12 +34,12 @@
   }
 }
 
-/** See the head of this file. */
+/** Estimates the number of requests of a program, by tenant. */
 export class ProgramSizes {
   private readonly allTenants = new SizeEstimate();
   private readonly byTenant = new Map<TenantId, SizeEstimate>();
 
-  /** Notes a request that may run. */
+  /** Records a request that was granted. */
   recordRequest(tenant: TenantId, isNewProgram: boolean): void {
     const estimate = this.byTenant.get(tenant) ?? new SizeEstimate();
     this.byTenant.delete(tenant);
@@ -48,7 +51,7 @@
     this.allTenants.recordRequest(isNewProgram);
   }
 
-  /** Requests that a program of a tenant is expected to need. */
+  /** Returns the expected number of requests of a program of a tenant. */
   expectedRequests(tenant: TenantId): number {
     const overallMean = this.allTenants.mean(1, 1);
     return this.byTenant.get(tenant)?.mean(overallMean, PRIOR_PROGRAMS) ?? overallMean;
--- a/src/relay/admission/program-stats.ts
+++ b/src/relay/admission/program-stats.ts
@@ -1,31 +1,44 @@
 /**
- * Learns of each kind of program how many turns it has, and tells from a request whether its program has run
- * before, for the gateway that didn't see that: a turn that goes on from another names it, and a sub-agent's
- * prompt has more parts than that of a program's first turn.
+ * Learns how many turns a program of each kind has, and how many parts the prompt of its first turn
+ * has. A gateway that did not see the start of a program can thus tell from a request that the
+ * program has run before: a turn that continues another one names it, and the prompt of a sub-agent
+ * has more parts than that of a program's first turn.
  */
 
-/** Turns and programs that count before any was seen. */
+/** Turns and programs assumed before any was seen. */
 const PRIOR_TURNS = 16;
 const PRIOR_PROGRAMS = 4;
-/** Programs after which older ones count half. */
+/** Number of programs after which the counts are halved, so that older programs weigh less. */
 const DECAY_AFTER_PROGRAMS = 200;
-/** Kinds remembered; the longest unused go first. */
+/** Maximum number of kinds to remember; the least recently used are evicted. */
 const MAXIMUM_KINDS = 2_000;
-/** Most turns that a program is believed to have: more would leave it next to no wait, and no new one begins. */
+/**
+ * Maximum of the expected turns: a larger value would leave each turn next to no acceptable wait,
+ * and no new program would be admitted.
+ */
 const MAXIMUM_TURNS = 64;
-/** Numbers of parts told apart; a longer prompt counts as one of the last. */
+/** Maximum of the counted prompt parts; a longer prompt counts as one of this length. */
 const MAXIMUM_PARTS = 32;
-/** First turns after which older ones count half: kinds change with their clients. */
+/**
+ * Number of first turns after which the counts are halved, so that the statistics follow changes of
+ * the clients.
+ */
 const DECAY_AFTER_FIRST_TURNS = 200;
-/** Share of first turns with fewer parts that is passed over: clients that tell less than the others of their kind. */
+/**
+ * Share of first turns, those with the fewest parts, that is ignored: some clients report fewer
+ * parts than others of their kind.
+ */
 const OUTLIER_SHARE = 0.1;
-/** First turns below which nothing is told of parts: one alone may be of a client that tells less. */
+/**
+ * Minimum number of first turns for telling sub-agents apart: a single one may be of a client that
+ * reports fewer parts.
+ */
 const MINIMUM_FIRST_TURNS = 5;
 
 interface KindStats {
   turns: number;
   programs: number;
-  /** First turns by the number of parts of their prompts. */
+  /** Number of first turns by the number of parts of their prompts. */
   readonly firstTurnsByParts: number[];
 }
 
@@ -33,7 +46,10 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-/** Parts that prompts of first turns have at least, but for a few of them; infinite while too few were seen. */
+/**
+ * Returns the minimum number of prompt parts of first turns, with outliers ignored; infinite while
+ * too few first turns were seen.
+ */
 function minimumUsualParts(countsByParts: readonly number[]): number {
   const total = sumOf(countsByParts);
   if (total < MINIMUM_FIRST_TURNS) {
@@ -43,16 +59,16 @@
   return countsByParts.findIndex((count) => (countSoFar += count) > total * OUTLIER_SHARE);
 }
 
-/** See the head of this file. */
+/** Statistics of turns and prompt parts by kind of program. */
 export class ProgramStats {
   private readonly byKind = new Map<string, KindStats>();
 
-  /** Kinds remembered. */
+  /** Number of kinds remembered. */
   get kindCount(): number {
     return this.byKind.size;
   }
 
-  /** Notes a turn that is let in. */
+  /** Records an admitted turn. */
   recordTurn(kind: string, isNewProgram: boolean): void {
     const stats = this.statsOf(kind);
     stats.turns += 1;
@@ -63,18 +79,21 @@
     }
   }
 
-  /** Turns that a program of a kind usually has. */
+  /** Returns the expected number of turns of a program of a kind. */
   expectedTurns(kind: string): number {
     const { turns, programs } = this.statsOf(kind);
     return Math.min(MAXIMUM_TURNS, turns / programs);
   }
 
-  /** Whether a prompt of so many parts is a sub-agent's. */
+  /** Whether a prompt with this number of parts is that of a sub-agent. */
   isSubAgent(kind: string, parts: number): boolean {
     return parts > minimumUsualParts(this.statsOf(kind).firstTurnsByParts);
   }
 
-  /** Notes the number of parts of the prompt of a program's first turn; 0 stands for not told. */
+  /**
+   * Records the number of prompt parts of a program's first turn; 0 means not reported and is
+   * ignored.
+   */
   recordFirstTurn(kind: string, parts: number): void {
     if (parts <= 0) {
       return;
--- a/src/relay/admission/quota-gate.ts
+++ b/src/relay/admission/quota-gate.ts
@@ -1,7 +1,8 @@
 /**
- * Holds tenants to their limits. What is beyond a limit is refused at once, with the time at which the
- * tenant's rate has room again; new programs before requests of programs under way, since a program
- * that is broken off halfway has cost its tenant all its earlier requests.
+ * Enforces the request quotas of tenants. A request above the quota is refused at once, with the
+ * time at which the tenant's rate has room again. New programs are refused before requests of
+ * programs in progress, since a program that is interrupted halfway has wasted all its earlier
+ * requests.
  */
 import type { RandomSource } from '../../runtime/random.js';
 import type { QuotaClient } from '../../turns/quota-client.js';
@@ -11,38 +12,38 @@
 import type { RelayMetrics } from '../relay-metrics.js';
 import type { RelayRequest } from '../request/relay-request.js';
 
-/** What the gate is made with. */
+/** Options of a {@link QuotaGate}. */
 export interface QuotaGateOptions {
   readonly client: QuotaClient;
   readonly metrics: RelayMetrics;
   readonly random: RandomSource;
-  /** Whether enough replicas answer here. */
+  /** Whether this gateway reaches enough replicas. */
   readonly isReachable: () => boolean;
-  /** Whether a program is let in with all the requests that it is expected to need. */
+  /** Whether a new program is charged with all the requests that it is expected to need. */
   readonly chargesWholePrograms: boolean;
 }
 
-/** Longest time for asking, in milliseconds. */
+/** Timeout of a quota request to the replicas, in milliseconds. */
 const QUOTA_TIMEOUT_MILLISECONDS = 300;
 /**
- * Longest time for which a request of a program under way is held until its tenant has room: it is held
- * only when it is known to be served then.
+ * Maximum time that a request of a program in progress is held until its tenant has room, in
+ * milliseconds. A request is held only if it is known to be granted then.
  */
 const MAXIMUM_HOLD_MILLISECONDS = 600;
-/** The same as a share of the time that the request has. */
+/** The same maximum as a share of the time that the request has left. */
 const MAXIMUM_HOLD_SHARE = 0.25;
-/** Tenants that have a figure of their own; all others share one. */
+/** Maximum number of tenants with a metric label of their own; all others share one. */
 const MAXIMUM_LABELED_TENANTS = 100;
 const OTHER_TENANTS_LABEL = 'others';
 
-/** See the head of this file. */
+/** Checks requests against the quotas of their tenants. */
 export class QuotaGate {
   private readonly labeledTenants = new Set<string>();
   private readonly programSizes = new ProgramSizes();
 
   constructor(private readonly options: QuotaGateOptions) {}
 
-  /** Calls back with a refusal, or with undefined when the request may run. */
+  /** Calls back with a refusal, or with undefined if the request may run. */
   check(
     request: RelayRequest,
     isNewProgram: boolean,
--- a/src/relay/admission/retry-delay.ts
+++ b/src/relay/admission/retry-delay.ts
@@ -1,29 +1,33 @@
 /**
- * When a refused client should come back. Each return costs a client one of its few tries, so it is told to come
- * when room is expected and not before; clients that were refused together are spread.
+ * Computes when a refused client should retry. Clients retry only a few times, so a client is told
+ * to come back when a slot is expected to be free and not before; clients that are refused together
+ * are spread by jitter.
  */
 
-/** Least pause: a shorter one only repeats the question before loads are told anew, in milliseconds. */
+/**
+ * Minimum delay, in milliseconds: after a shorter one, the load figures would still be the same.
+ */
 const MINIMUM_DELAY_MILLISECONDS = 100;
-/** Longest pause: load changes within it, whatever is expected, in milliseconds. */
+/** Maximum delay, in milliseconds: a prediction further ahead is not reliable. */
 const MAXIMUM_DELAY_MILLISECONDS = 10_000;
-/** Clients wait for no longer than this share of the time that their request has left. */
+/** Maximum delay as a share of the time that the request has left. */
 const MAXIMUM_DELAY_SHARE = 1 / 3;
-/** Below what a client waits at most, so that the way there and back doesn't carry it beyond. */
+/** Subtracted from the maximum delay of a client for the round trip, in milliseconds. */
 const ROUND_TRIP_SLACK_MILLISECONDS = 10;
 /**
- * What is too much is worked off within the excess itself only when nothing new comes; that as much again comes
- * meanwhile is the middle between a burst that ends and one that goes on.
+ * Ratio of the expected delay to the excess wait. Without new requests, the backlog is worked off
+ * within the excess itself; the factor assumes that as much work arrives again meanwhile, halfway
+ * between a burst that ends and one that continues.
  */
 const EXCESS_FACTOR = 2;
-/** Least part of a pause that is told: the rest is drawn. */
+/** Minimum of the random factor that the delay is multiplied by. */
 const MINIMUM_JITTER_FACTOR = 0.5;
 
 /**
- * The pause in milliseconds.
- * @param excessMilliseconds by how much the wait for a place exceeds what can be borne
+ * Returns the retry delay in milliseconds.
+ * @param excessMilliseconds by how much the predicted wait exceeds the acceptable one
  * @param requestRemainingMilliseconds time that the request has left
- * @param jitter from 0 to 1: spreads clients
+ * @param jitter random number from 0 to 1 that spreads clients
  */
 export function computeRetryDelay(
   excessMilliseconds: number,
--- a/src/relay/admission/service-demand.ts
+++ b/src/relay/admission/service-demand.ts
@@ -1,22 +1,27 @@
 /**
- * Requests under way at each service by their rank at the runners, this gateway's and those of all others: whoever
- * is more urgent waits for nobody behind it. Others' figures are 0.1 to 0.3 s old; older builds tell none, so what
- * is not known to be behind a request counts as ahead of it. Late requests are told once more by the rank that they had
- * before, since the rank that they fall to is also that of less urgent tenants' work in time.
+ * Counts the requests in progress at each service by rank: those of this gateway and, through
+ * gossip, those of all others. A request does not wait for less urgent ones. The counts of other
+ * gateways are 0.1 to 0.3 s old, and gateways of older builds publish none, so a request counts as
+ * ahead unless it is known to be less urgent. Late requests are counted a second time, by the rank
+ * that they had before they became late, since the rank that they drop to is also that of on-time
+ * work of less urgent tenants.
  */
 import { hashToNumber } from '../../runtime/hashing.js';
 import type { AggregateRegistry } from '../../peers/aggregate-registry.js';
 import { MAXIMUM_AMOUNTS, AGGREGATE_TOPICS } from '../../peers/aggregates.js';
 import type { AggregateRow, AggregateTopic } from '../../peers/aggregates.js';
 
-/** The last amount of a row holds this rank and all behind it. */
+/** Index of the last amount of a row, which counts its own rank and all less urgent ones. */
 const LAST_BUCKET = MAXIMUM_AMOUNTS - 1;
 
 function bucketOf(rank: number): number {
   return Math.min(LAST_BUCKET, Math.max(0, Math.floor(rank)));
 }
 
-/** Requests by service and place of their rank: this gateway's, told under a topic, and those of others. */
+/**
+ * Number of requests by service and rank: those of this gateway, published under a topic, and those
+ * of other gateways.
+ */
 class RankedRequestCounts {
   private readonly byService = new Map<string, number[]>();
 
@@ -58,7 +63,7 @@
   }
 }
 
-/** See the head of this file. */
+/** Number of requests in progress by service and rank, over all gateways. */
 export class ServiceDemand {
   private readonly allRequests: RankedRequestCounts;
   private readonly lateRequests: RankedRequestCounts;
@@ -69,8 +74,8 @@
   }
 
   /**
-   * Notes a request that is let in; the function returned notes its end.
-   * @param baseRank the rank that it would have in time, where its program is late
+   * Counts an admitted request until the returned function is called.
+   * @param baseRank rank that the request would have in time; given only if its program is late
    */
   begin(service: string, rank: number, baseRank?: number): () => void {
     const end = this.allRequests.begin(service, rank);
@@ -81,17 +86,20 @@
     };
   }
 
-  /** Requests at a service of ranks behind one. */
+  /**
+   * Number of requests at a service that are less urgent than a rank; all of them if it is
+   * negative.
+   */
   countLessUrgent(service: string, rank: number): number {
     return this.allRequests.countBetween(service, rank < 0 ? 0 : bucketOf(rank) + 1, LAST_BUCKET);
   }
 
-  /** Requests at a service of one rank. */
+  /** Number of requests at a service of one rank. */
   countAtRank(service: string, rank: number): number {
     return this.allRequests.countBetween(service, bucketOf(rank), bucketOf(rank));
   }
 
-  /** Requests at a service that would have a rank if their programs weren't late. */
+  /** Number of late requests at a service that would have a rank if their programs were in time. */
   countLate(service: string, rank: number): number {
     return this.lateRequests.countBetween(service, bucketOf(rank), bucketOf(rank));
   }
