--- a/src/relay/stages/admission-stage.ts
+++ b/src/relay/stages/admission-stage.ts
@@ -1,4 +1,7 @@
-/** Programs under way go on; new ones begin as long as they can bear the wait that they would meet. */
+/**
+ * Admission stage: programs in progress continue, and new ones start if their predicted wait is
+ * acceptable.
+ */
 import { overloaded } from '../answers/local-answers.js';
 import type { AdmissionDecision } from '../admission/program-admission.js';
 import { demandAhead } from '../admission/demand-ahead.js';
@@ -11,7 +14,7 @@
 
 const NO_RUNNERS: ReadonlySet<RunnerIncarnation> = new Set();
 
-/** Time until the program should be over, in milliseconds; undefined where none is told. */
+/** Returns the time until the program's deadline, in milliseconds; undefined if it has none. */
 function programRemaining({ context, request }: RequestState): number | undefined {
   const { programDeadlineAt } = request;
   return programDeadlineAt === undefined
@@ -25,7 +28,7 @@
   rank: number,
 ): AdmissionInputs {
   const { context, request } = requestState;
-  const { registry, demand, kindStats: kindStats } = context;
+  const { registry, demand, kindStats } = context;
   const { inFlight, slots, runners } = registry.loadOf(service);
   const demandByRank = {
     inFlight,
@@ -46,8 +49,8 @@
 }
 
 /**
- * Whether a runner is believed to keep something of the prompt's last part, which only earlier turns of the same
- * session can have put there.
+ * Whether a runner is believed to cache some of the prompt's last part, which only earlier turns of
+ * the same session can have put there.
  */
 function isPromptCached({ context, request }: RequestState, service: string): boolean {
   const { promptParts } = request;
@@ -62,7 +65,7 @@
   return previousTurn !== undefined || context.kindStats.isSubAgent(route.name, promptParts.length);
 }
 
-/** Whether a program has run before, though not through this gateway, as far as that can be told. */
+/** Whether the program appears to have run before, through another gateway. */
 function hasRunBefore(requestState: RequestState, service: string): boolean {
   const { context, request } = requestState;
   const isProgramLate = isLate(request, context.runtime.now());
@@ -70,15 +73,16 @@
 }
 
 /**
- * Tells the tenant's limit that a program unknown here has run before, so that it isn't counted once more with all its
- * requests. What runners keep is looked up only for tenants that have a limit.
+ * Marks a program that is unknown here but has run before as started, so that the tenant's quota is
+ * not charged for the whole program again. The prompt caches of runners are consulted only for
+ * tenants that have a quota.
  */
 function markIfStartedElsewhere(
   requestState: RequestState,
   service: string,
   { cause }: AdmissionDecision,
 ): void {
-  const { startsProgram: startsProgram, request } = requestState;
+  const { startsProgram, request } = requestState;
   if (!startsProgram) {
     return;
   }
@@ -92,16 +96,16 @@
   const { runtime, registry, metrics } = context;
   const {
     cause,
-    inputs: inputs,
-    predictedWaitMilliseconds: predictedWaitMilliseconds,
-    waitLimitMilliseconds: waitLimitMilliseconds,
-    retryDelayMilliseconds: retryDelayMilliseconds,
+    inputs,
+    predictedWaitMilliseconds,
+    waitLimitMilliseconds,
+    retryDelayMilliseconds,
   } = decision;
   metrics.count('ivyloom_relay_admissions_total', `cause="${cause}"`);
   if (inputs === undefined || predictedWaitMilliseconds <= 0) {
     return;
   }
-  // Without places the wait has no end, which would spoil the metric's sum for good.
+  // Without slots the wait is infinite, which would make the metric's sum infinite for good.
   if (Number.isFinite(predictedWaitMilliseconds)) {
     metrics.observe('ivyloom_relay_expected_wait_milliseconds', predictedWaitMilliseconds);
   }
@@ -125,7 +129,7 @@
   });
 }
 
-/** See the head of this file. */
+/** Refuses new programs whose predicted wait is too long. */
 export const ADMISSION_STAGE: RequestStage = {
   name: 'admission',
   decide: (requestState) => {
@@ -135,7 +139,7 @@
       return GO_ON;
     }
     const rank = rankOf(request, context.runtime.now());
-    const { admission, kindStats: kindStats, demand } = context;
+    const { admission, kindStats, demand } = context;
     const isNew = !admission.isAdmitted(program.program);
     const decision = admission.decide({
       program: program.program,
@@ -150,7 +154,8 @@
       route.name,
       isNew && decision.cause !== 'shown' && !isFollowUpTurn(requestState),
     );
-    // Prompts with more parts count too: else a kind whose prompts grow would be taken for sub-agents for good.
+    // Longer prompts count too: otherwise a kind whose prompts grow would be taken for sub-agents
+    // for good.
     if (isNew && decision.cause === 'bearable' && request.previousTurn === undefined) {
       kindStats.recordFirstTurn(route.name, promptParts.length);
     }
--- a/src/relay/stages/authenticate.ts
+++ b/src/relay/stages/authenticate.ts
@@ -1,7 +1,7 @@
 /**
- * Finds out whose a request is, from the key that it carries. A refusal with 401 is final for the
- * client, so it is given only where the newest configuration is known not to have the key; and a key
- * that may have been taken away since is not served.
+ * Identifies the tenant of a request by its API key. Clients take a 401 as final, so it is returned
+ * only if the newest configuration is known not to contain the key. A key that may have been
+ * revoked in the meantime is not accepted.
  */
 import type { LocalAnswer } from '../answers/local-answers.js';
 import type { HeaderNames } from '../request/header-names.js';
@@ -10,21 +10,21 @@
 import { digestOfKey } from '../request/tenant.js';
 import type { ApiKey, Tenant } from '../request/tenant.js';
 
-/** Longest key that is looked up, in characters. */
+/** Maximum length of a key, in characters; longer ones are not looked up. */
 const MAXIMUM_KEY_LENGTH = 1_024;
 
-/** How the client is to name its key. */
+/** Expected form of the header's value: `Token KEY`. */
 const KEY_PATTERN = /^token +([\x21-\x7e]+) *$/i;
 
-/** What is known of the configuration in force. */
+/** How recent the configuration in force is known to be. */
 export interface ConfigurationFreshness {
-  /** Whether it is proved to be the newest, to within the bound for changes. */
+  /** Whether the configuration is proven to be the newest, within the time allowed for changes. */
   readonly isProven: boolean;
-  /** Whether no key can have been taken away so long ago that it must not be served. */
+  /** Whether keys may be accepted: none can have been revoked longer ago than the allowed delay. */
   readonly areKeysFresh: boolean;
 }
 
-/** Whose a request is, or why it is refused. */
+/** Result of an authentication: the tenant, or a refusal. */
 export type Authentication =
   /** The configuration has no tenants, or the route needs no key. */
   | { readonly tag: 'Open' }
@@ -49,7 +49,7 @@
   retryAfterSeconds: RETRY_WITHOUT_PROOF_SECONDS,
 });
 
-/** The values of a header, as often as it was sent. */
+/** Returns all values of a header. */
 function headerValues(rawHeaders: readonly string[], name: string): string[] {
   const values: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
@@ -60,7 +60,10 @@
   return values;
 }
 
-/** The key of a request; undefined when there is none, two, or one of another scheme. */
+/**
+ * Returns the key of a request; undefined if there is none, more than one, or one of another
+ * scheme.
+ */
 function parseKey(rawHeaders: readonly string[], header: string): ApiKey | undefined {
   const [value, second] = headerValues(rawHeaders, header);
   if (value === undefined || second !== undefined) {
@@ -70,7 +73,7 @@
   return key === undefined || key.length > MAXIMUM_KEY_LENGTH ? undefined : (key as ApiKey);
 }
 
-/** See the head of this file. */
+/** Authenticates a request; `freshness` is called only if the request carries a key. */
 export function authenticate(
   table: RoutingTable,
   route: Route,
--- a/src/relay/stages/call-stages.ts
+++ b/src/relay/stages/call-stages.ts
@@ -1,13 +1,13 @@
 /**
- * The table of stages between the door and the first try, in their order. Stages of one row begin together.
- * A request passes each; a new one is a module of its own and a line here.
+ * The stages between ingress and the first attempt, in order. Stages of one row start together, and
+ * a request passes all of them. A new stage is a module of its own and an entry here.
  */
 import { ADMISSION_STAGE } from './admission-stage.js';
 import { PREPARATION_STAGE } from './preparation-stage.js';
 import { QUOTA_STAGE } from './quota-stage.js';
 import type { RequestStage } from './stage.js';
 
-/** See the head of this file. */
+/** Steps of stages that a request passes before its first attempt. */
 export const CALL_STAGES: readonly (readonly RequestStage[])[] = [
   [ADMISSION_STAGE],
   [QUOTA_STAGE, PREPARATION_STAGE],
--- a/src/relay/stages/ingress-request.ts
+++ b/src/relay/stages/ingress-request.ts
@@ -1,32 +1,35 @@
-/** What the head stages know of one request: its head is read, its body isn't yet. */
+/** A request at ingress: its head has been read, its body has not. */
 import type { RelayContext } from '../relay-context.js';
 import type { Route, RoutingTable } from '../request/routing-table.js';
 import type { Tenant } from '../request/tenant.js';
 
-/** The head of a request as it came. */
+/** Head of a request, unchanged. */
 export interface RequestHead {
   readonly method: string;
-  /** Path with its query. */
+  /** Path with query string. */
   readonly path: string;
-  /** Names and values in turn. */
+  /** Header names and values, alternating. */
   readonly rawHeaders: readonly string[];
-  /** A header's first value, by its name in lower case. */
+  /** Returns the first value of a header, by its name in lower case. */
   readonly header: (name: string) => string | undefined;
 }
 
-/** See the head of this file. Each stage fills in what it finds out, and relies on the stages before it. */
+/**
+ * State that the ingress stages share. Each stage fills in its result and relies on the stages
+ * before it.
+ */
 export interface IngressRequest {
   readonly context: RelayContext;
   readonly head: RequestHead;
-  /** Configuration that the request is judged by. */
+  /** Configuration that applies to the request. */
   table: RoutingTable | undefined;
   route: Route | undefined;
   id: string | undefined;
-  /** Whose it is; undefined where no key was needed. */
+  /** Tenant of the request; undefined if no key was required. */
   tenant: Tenant | undefined;
 }
 
-/** A door as a request comes. */
+/** Creates the state of a request whose head has just been read. */
 export function createIngressRequest(context: RelayContext, head: RequestHead): IngressRequest {
   return { context, head, table: undefined, route: undefined, id: undefined, tenant: undefined };
 }
--- a/src/relay/stages/ingress-stages.ts
+++ b/src/relay/stages/ingress-stages.ts
@@ -1,7 +1,7 @@
 /**
- * What a request passes at the door, in this order. Each stage lets it go on or refuses it at once; nothing
- * waits here. The key is looked up once more when the body is read: what is decided by a proof counts from
- * that moment.
+ * The stages of a request at ingress, in order. Each lets the request continue or refuses it at
+ * once; none waits. The key is checked again after the body was read, since it may have been
+ * revoked while the body arrived.
  */
 import { RETRY_WITHOUT_PROOF_SECONDS } from '../answers/local-answers.js';
 import type { LocalAnswer } from '../answers/local-answers.js';
@@ -11,15 +11,18 @@
 import type { StageRefusal } from './stage.js';
 import { MEMORY_STAGE } from './memory-stage.js';
 
-/** One stage at the door: undefined lets the request go on. */
+/** One stage at ingress; `check` returns undefined to let the request continue. */
 export interface IngressStage {
   readonly name: string;
   readonly check: (ingress: IngressRequest) => LocalAnswer | undefined;
 }
 
-/** A configuration follows within this time of a start: the store or a peer has it. */
+/**
+ * Retry delay while no configuration is known, in seconds: the store or a peer provides one within
+ * this time of a start.
+ */
 const RETRY_WITHOUT_CONFIGURATION_SECONDS = 0.2;
-/** Bytes that each header takes beside its name and value. */
+/** Bytes of the separators of each header line: `: ` and the line break. */
 const HEADER_LINE_BYTES = 4;
 
 const NO_CONFIGURATION: LocalAnswer = {
@@ -33,7 +36,7 @@
   detail: 'no route takes this host and path',
   verdict: 'NotRun',
 };
-/** The route may have been added since: a 404 would be final for the client. */
+/** Answer if the route may have been added in the meantime: a client takes a 404 as final. */
 const ROUTE_UNKNOWN: LocalAnswer = {
   status: 503,
   detail: 'no route is known here, and the newest configuration could not be read',
@@ -41,7 +44,7 @@
   retryAfterSeconds: RETRY_WITHOUT_PROOF_SECONDS,
 };
 
-/** A refusal of what the client sent. */
+/** Returns an answer that refuses a request that was not run. */
 export function refusal(status: number, detail: string): LocalAnswer {
   return { status, detail, verdict: 'NotRun' };
 }
@@ -119,7 +122,7 @@
   },
 };
 
-/** When the head is read. */
+/** Stages after the head was read. */
 export const HEAD_STAGES: readonly IngressStage[] = [
   configuration,
   headerSize,
@@ -130,10 +133,13 @@
   key,
 ];
 
-/** When the body is read too, by the configuration then in force. */
+/** Stages after the body was read, with the configuration then in force. */
 export const BODY_STAGES: readonly IngressStage[] = [key];
 
-/** Passes a request through stages; undefined lets it go on. */
+/**
+ * Runs a request through stages; returns the first refusal, or undefined if the request may
+ * continue.
+ */
 export function runIngressStages(
   ingress: IngressRequest,
   stages: readonly IngressStage[],
--- a/src/relay/stages/memory-stage.ts
+++ b/src/relay/stages/memory-stage.ts
@@ -1,8 +1,11 @@
-/** Refuses new requests while the memory of the process is short: nothing was read of them but their heads. */
+/**
+ * Refuses new requests while memory is short. Only the head of the request has been read at this
+ * stage.
+ */
 import { memoryLimitReached } from '../answers/local-answers.js';
 import type { IngressStage } from './ingress-stages.js';
 
-/** See the head of this file. */
+/** Refuses a request unless the memory budget accepts new ones. */
 export const MEMORY_STAGE: IngressStage = {
   name: 'memory',
   check: ({ context }) => (context.memory.acceptsRequests ? undefined : memoryLimitReached()),
--- a/src/relay/stages/preparation-stage.ts
+++ b/src/relay/stages/preparation-stage.ts
@@ -1,7 +1,7 @@
 /**
- * What a turn needs before it may run: the chain that it goes on from, and a reservation in its
- * program's token account. Both need the replicas; requests without them pass at once. What was reserved
- * beyond the tokens handed out is given back when the request is over.
+ * Prepares a turn: reads the chain of turns that it continues, and reserves tokens in the account
+ * of its program. Both require the replicas; requests that need neither pass at once. Reserved
+ * tokens that were not delivered are returned when the request finishes.
  */
 import { budgetExhausted, turnNotFound, dependencyUnavailable } from '../answers/local-answers.js';
 import { tenantScopedId } from '../request/tenant.js';
@@ -9,7 +9,10 @@
 import { GO_ON, refuseWith } from './stage.js';
 import type { RequestStage, StageOutcome } from './stage.js';
 
-/** Longest time for a reservation or a chain, in milliseconds: the rest of its time is for the runner. */
+/**
+ * Timeout of a reservation or of reading a chain, in milliseconds; the rest of the request's time
+ * is for the runner.
+ */
 const REPLICA_TIMEOUT_MILLISECONDS = 700;
 
 type Resume = (outcome: StageOutcome) => void;
@@ -30,7 +33,7 @@
   return request.route.kind === 'stream' && request.program?.budgetTokens !== undefined;
 }
 
-/** Puts the earlier turns before the new input, then reserves. */
+/** Prepends the earlier turns to the body, then reserves tokens. */
 function readChain(requestState: RequestState, resume: Resume): void {
   const { request, context } = requestState;
   const turn = tenantScopedId(request.tenant, request.previousTurn ?? '');
@@ -68,13 +71,13 @@
       resume(refuseWith(budgetExhausted()));
       return;
     }
-    // Without an answer it may stand at some replicas all the same.
+    // Without an answer, some replicas may have recorded the reservation all the same.
     requestState.onFinish((used) => context.turns.settle(account, turn, mostTokens, used));
     resume(outcome === 'granted' ? GO_ON : refuseUnreachable(requestState, 'account'));
   });
 }
 
-/** See the head of this file. */
+/** Reads the earlier turns of a request and reserves its tokens. */
 export const PREPARATION_STAGE: RequestStage = {
   name: 'preparation',
   decide: (requestState) => {
--- a/src/relay/stages/quota-stage.ts
+++ b/src/relay/stages/quota-stage.ts
@@ -1,11 +1,14 @@
-/** Holds tenants to their limits; asked beside the preparation, since both are a way to the replicas and back. */
+/**
+ * Checks the quota of the tenant, concurrently with the preparation, since both are round trips to
+ * the replicas.
+ */
 import { GO_ON, refuseWith } from './stage.js';
 import type { RequestStage } from './stage.js';
 
-/** See the head of this file. */
+/** Refuses requests above the quota of their tenant. */
 export const QUOTA_STAGE: RequestStage = {
   name: 'quota',
-  decide: ({ request, context, startsProgram: startsProgram, remainingMilliseconds }) => {
+  decide: ({ request, context, startsProgram, remainingMilliseconds }) => {
     if (request.tenant?.quota === undefined) {
       return GO_ON;
     }
--- a/src/relay/stages/request-state.ts
+++ b/src/relay/stages/request-state.ts
@@ -1,15 +1,15 @@
-/** The progress of one request through the stages and its tries: what they share of it, and what its end gives back. */
+/** State of one relayed request, shared by its stages and attempts. */
 import type { RelayContext } from '../relay-context.js';
 import type { RelayRequest } from '../request/relay-request.js';
 
-/** Told when the request is over, with the tokens that were handed to the client. */
+/** Called when a request has finished, with the number of tokens delivered to the client. */
 export type FinishListener = (deliveredTokens: number) => void;
 
-/** See the head of this file. */
+/** State of one request; listeners release its resources when it finishes. */
 export class RequestState {
-  /** What goes on to the runner. */
+  /** Body to send to the runner. */
   body: Buffer;
-  /** Local time after which its client or its route waits no longer, in milliseconds. */
+  /** Local time at which the timeout of the client or of the route expires, in milliseconds. */
   readonly expiresAt: number;
   private isProgramStart: boolean;
   private selectedService: string | undefined;
@@ -30,39 +30,39 @@
     this.isProgramStart = isFirstTurn && !context.admission.isAdmitted(program?.program ?? '');
   }
 
-  /** Whether it is the first request of a program, as far as is known here. */
+  /** Whether this is the first request of a program, as far as this gateway knows. */
   get startsProgram(): boolean {
     return this.isProgramStart;
   }
 
-  /** Notes that its program has run through another gateway. */
+  /** Records that the program has already run through another gateway. */
   markProgramStarted(): void {
     this.isProgramStart = false;
   }
 
-  /** Milliseconds until its time is over. */
+  /** Milliseconds until the request expires. */
   get remainingMilliseconds(): number {
     return this.expiresAt - this.context.runtime.now();
   }
 
-  /** Service that serves it, picked when it is first asked for; undefined when its route has none. */
+  /** Service of the request, chosen on first access; undefined if the route has none. */
   get service(): string | undefined {
     this.selectedService ??= this.context.split.pick(this.request.route, this.routingKey);
     return this.selectedService;
   }
 
-  /** What keeps requests together: the program, the object, or the request alone. */
+  /** Key by which requests are routed together: the program, the object, or the request alone. */
   get routingKey(): string {
     const { program, affinityKey, id } = this.request;
     return program?.program ?? affinityKey ?? id;
   }
 
-  /** Whether its client was answered or left. */
+  /** Whether the request was answered or its client disconnected. */
   get isFinished(): boolean {
     return this.deliveredTokens !== undefined;
   }
 
-  /** Asks to be told when the request is over; at once if it is. */
+  /** Adds a listener for the end of the request; called at once if the request has finished. */
   onFinish(listener: FinishListener): void {
     if (this.deliveredTokens === undefined) {
       this.finishListeners.push(listener);
@@ -71,7 +71,10 @@
     }
   }
 
-  /** Sets what goes on to the runner where that is not the client's own body; it counts until the end. */
+  /**
+   * Replaces the body to send to the runner; the new body counts towards the memory budget until
+   * the end.
+   */
   replaceBody(body: Buffer): void {
     this.body = body;
     const allocation = this.context.memory.allocate('bodies');
@@ -79,7 +82,7 @@
     this.onFinish(() => allocation.release());
   }
 
-  /** Notes that the request is over. */
+  /** Marks the request as finished and calls the listeners. */
   finish(deliveredTokens: number): void {
     this.deliveredTokens = deliveredTokens;
     const listeners = this.finishListeners;
--- a/src/relay/stages/stage.ts
+++ b/src/relay/stages/stage.ts
@@ -1,36 +1,40 @@
 /**
- * What a request passes between the door and its first try. A stage decides by itself, with no regard to the
- * others: go on, wait until something comes, or refuse. The table of them stands in `call-stages.ts`.
+ * Stages of a request between ingress and its first attempt. Each stage decides independently of
+ * the others whether the request continues, waits or is refused. The stages are listed in
+ * `call-stages.ts`.
  */
 import type { LocalAnswer } from '../answers/local-answers.js';
 import type { RequestState } from './request-state.js';
 
-/** The end of a stage. */
+/** Final result of a stage. */
 export type StageOutcome =
   { readonly tag: 'GoOn' } | { readonly tag: 'Refuse'; readonly answer: LocalAnswer };
 
-/** What a stage decides of a request. */
+/** Decision of a stage: a result, or an operation to wait for. */
 export type StageDecision =
   | StageOutcome
-  /** `begin` starts what is waited for; it resumes once, and does nothing more once the request is over. */
+  /**
+   * `begin` starts the operation, which calls `resume` once; a result is ignored once the request
+   * has finished.
+   */
   | { readonly tag: 'Wait'; readonly begin: (resume: (outcome: StageOutcome) => void) => void };
 
-/** One stage. */
+/** A stage that every request passes. */
 export interface RequestStage {
-  /** Stands in logs and metrics. */
+  /** Name in logs and metrics. */
   readonly name: string;
   readonly decide: (requestState: RequestState) => StageDecision;
 }
 
-/** Lets a request go on. */
+/** Result that lets the request continue. */
 export const GO_ON: StageOutcome = { tag: 'GoOn' };
 
-/** Refuses a request. */
+/** Returns a result that refuses the request. */
 export function refuseWith(answer: LocalAnswer): StageOutcome {
   return { tag: 'Refuse', answer };
 }
 
-/** A request that was refused, and by which stage. */
+/** A refusal, and the stage that it comes from. */
 export interface StageRefusal {
   readonly stage: string;
   readonly answer: LocalAnswer;
@@ -92,8 +96,9 @@
 }
 
 /**
- * Passes a request through steps of stages: those of one step begin together, and all must let it go on before
- * the next step. Calls back once, unless the request is over before.
+ * Runs a request through steps of stages: those of one step start together, and all must let the
+ * request continue before the next step starts. Calls back once, unless the request finishes
+ * before.
  */
 export function runStages(
   steps: readonly (readonly RequestStage[])[],
