--- a/src/relay/request/default-header-names.ts
+++ b/src/relay/request/default-header-names.ts
@@ -1,7 +1,7 @@
-/** The product's own names of headers, for deployments that have none of theirs. */
+/** Default names of headers, for deployments that define none of their own. */
 import type { HeaderNames } from './header-names.js';
 
-/** See the head of this file. */
+/** Names of headers unless a deployment defines its own. */
 export const DEFAULT_HEADER_NAMES: HeaderNames = {
   requestId: 'ivyloom-request',
   timeout: 'ivyloom-timeout-milliseconds',
--- a/src/relay/request/forwarded-headers.ts
+++ b/src/relay/request/forwarded-headers.ts
@@ -1,8 +1,8 @@
-/** Which headers go on to a runner, and which of its headers go back to the client. */
+/** Selects the headers to forward to a runner, and those of its answer to forward to the client. */
 import type { HeaderNames } from './header-names.js';
 import type { RelayRequest } from './relay-request.js';
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which are not forwarded. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -15,11 +15,11 @@
   'upgrade',
   'expect',
 ]);
-/** Methods whose requests go without a length when they have no body. */
+/** Methods whose requests carry no `content-length` if they have no body. */
 const BODILESS_METHODS = new Set(['GET', 'HEAD', 'OPTIONS', 'DELETE']);
 const CONTENT_LENGTH = 'content-length';
 
-/** Names that a `Connection` header declares to concern one connection only. */
+/** Returns the names that `Connection` headers declare as hop-by-hop. */
 function connectionTokens(rawHeaders: readonly string[]): Set<string> {
   const names = new Set<string>();
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
@@ -30,7 +30,7 @@
   return names;
 }
 
-/** Raw headers without those of one connection, without the length, and without some more. */
+/** Returns the raw headers without hop-by-hop ones, `content-length`, and those to drop. */
 function forwardableHeaders(
   rawHeaders: readonly string[],
   isDropped: (name: string) => boolean,
@@ -51,17 +51,17 @@
   return kept;
 }
 
-/** What the relay itself tells a runner about a request. */
+/** Values that the relay adds to a request for a runner. */
 export interface RunnerInstructions {
   readonly runnerId: string;
   readonly remainingMilliseconds: number;
-  /** Rank at the runner, 0 to 9. */
+  /** Rank at the runner, from 0 (the most urgent) to 9. */
   readonly rank: number;
   readonly lastEventId: string | undefined;
   readonly bodyBytes: number;
 }
 
-/** Headers of a request on its way to a runner, as names and values in turn. */
+/** Returns the headers of a request to a runner, names and values alternating. */
 export function headersToRunner(
   request: RelayRequest,
   names: HeaderNames,
@@ -69,7 +69,7 @@
 ): string[] {
   const replaced = new Set([names.timeout, names.priority, names.lastEventId]);
   if (request.hidesKey) {
-    // Whatever the client wrote there: only the gateway tells runners of tenants.
+    // Drops what the client sent: only the gateway names the tenant to runners.
     [names.key, names.tenant].forEach((name) => replaced.add(name));
   }
   const headers = forwardableHeaders(
@@ -91,7 +91,7 @@
   return headers;
 }
 
-/** Headers of a runner's answer on their way to the client. */
+/** Returns the headers of a runner's answer that are forwarded to the client. */
 export function headersToClient(rawHeaders: readonly string[]): string[] {
   return forwardableHeaders(rawHeaders, () => false);
 }
--- a/src/relay/request/header-names.ts
+++ b/src/relay/request/header-names.ts
@@ -1,37 +1,37 @@
-/** Names of the headers that the relay reads and writes; an adapter gives them. */
+/** Names of the headers that the relay reads and writes, provided by an adapter. */
 
-/** All names in lower case. */
+/** Header names, all in lower case. */
 export interface HeaderNames {
   /** Identifier of the client's request. */
   readonly requestId: string;
-  /** Milliseconds the client will wait. */
+  /** Timeout of the client, in milliseconds. */
   readonly timeout: string;
-  /** Key of the object a request is about. */
+  /** Affinity key of the object that the request is about. */
   readonly affinity: string;
-  /** Parts of the prompt, `ID:TOKENS` split by commas. */
+  /** Parts of the prompt, `ID:TOKENS` separated by commas. */
   readonly promptParts: string;
-  /** Tokens of the prompt and the most tokens out, `IN,OUT`. */
+  /** Tokens of the prompt and the maximum number of output tokens, `IN,OUT`. */
   readonly tokenUsage: string;
-  /** Last event that the client has of a broken stream. */
+  /** Identifier of the last event that the client received of a broken stream. */
   readonly lastEventId: string;
-  /** Runner that alone may run the request. */
+  /** The only runner that may run the request. */
   readonly expectedRunner: string;
   /** Rank of the request at the runner. */
   readonly priority: string;
   /** Signature of the runner's answer. */
   readonly signature: string;
-  /** Tells that a runner has not run the request. */
+  /** Marks the answer of a runner that has not run the request. */
   readonly notExecuted: string;
   readonly program: string;
   readonly session: string;
-  /** Milliseconds until the program should be over. */
+  /** Time until the program's deadline, in milliseconds. */
   readonly programDeadline: string;
   readonly tokenBudget: string;
   readonly previousTurn: string;
-  /** Key by which a client shows whose its requests are. */
+  /** API key of the client. */
   readonly key: string;
-  /** Name of the tenant, told to runners. */
+  /** Name of the tenant, sent to runners. */
   readonly tenant: string;
-  /** Headers of clients that are never passed on, since only the relay may set them. */
+  /** Headers that are never forwarded from clients, since only the relay may set them. */
   readonly reserved: ReadonlySet<string>;
 }
--- a/src/relay/request/relay-request.ts
+++ b/src/relay/request/relay-request.ts
@@ -1,12 +1,12 @@
-/** A request as a client sent it, read and bounded, ready to be relayed. */
+/** A client's request, completely read and within its limits, ready to be relayed. */
 import { hashToNumber } from '../../runtime/hashing.js';
 import type { Route } from './routing-table.js';
 import type { Tenant } from './tenant.js';
 
-/** Short name of a part of a prompt: the hash of its identifier, unsigned 32 bits. */
+/** Hash of the identifier of a prompt part, unsigned 32 bits. */
 export type PromptKey = number & { readonly brand: 'PromptKey' };
 
-/** A part of a prompt that others may share. */
+/** A part of a prompt, which other prompts may share. */
 export interface PromptPart {
   readonly key: PromptKey;
   readonly tokens: number;
@@ -15,64 +15,69 @@
 /** The program a request belongs to. */
 export interface ProgramReference {
   readonly program: string;
-  /** The line of turns within the program. */
+  /** The sequence of turns within the program. */
   readonly session: string;
-  /** Most tokens the program's turns may generate together; undefined when not told. */
+  /**
+   * Maximum number of tokens that all turns of the program may generate; undefined if not given.
+   */
   readonly budgetTokens: number | undefined;
 }
 
-/** See the head of this file. */
+/** A request to be relayed. */
 export interface RelayRequest {
   readonly id: string;
   readonly method: string;
-  /** Path with its query, unaltered. */
+  /** Path with query string, unchanged. */
   readonly path: string;
-  /** Header names and values in turn, as the client sent them. */
+  /** Header names and values, alternating, as the client sent them. */
   readonly rawHeaders: readonly string[];
   readonly body: Buffer;
-  /** Local time at which the request came, in milliseconds. */
+  /** Local time at which the request arrived, in milliseconds. */
   readonly arrivedAt: number;
-  /** Local time after which the client no longer waits, in milliseconds. */
+  /** Local time at which the client's timeout expires, in milliseconds. */
   readonly deadlineAt: number;
   readonly route: Route;
-  /** Whose it is; undefined where no key was needed. */
+  /** Tenant of the request; undefined if no key was required. */
   readonly tenant: Tenant | undefined;
-  /** Whether keys are told apart, so that none may reach a runner. */
+  /** Whether keys identify tenants, so that none may be forwarded to a runner. */
   readonly hidesKey: boolean;
   readonly configurationVersion: number;
   readonly program: ProgramReference | undefined;
-  /** Local time at which the program should be over, in milliseconds. */
+  /** Deadline of the program as a local time, in milliseconds; undefined if it has none. */
   readonly programDeadlineAt: number | undefined;
-  /** Turn this one goes on from. */
+  /** Identifier of the turn that this one continues. */
   readonly previousTurn: string | undefined;
-  /** Identifier of the last event the client already has. */
+  /** Identifier of the last event that the client has received. */
   readonly lastEventId: string | undefined;
   readonly promptParts: readonly PromptPart[];
   readonly promptTokens: number;
-  /** Most tokens the answer may have; 0 when not told. */
+  /** Maximum number of tokens of the answer; 0 if not given. */
   readonly maximumOutputTokens: number;
-  /** Key that keeps requests about one object together. */
+  /** Key by which requests about one object are routed together. */
   readonly affinityKey: string | undefined;
 }
 
-/** Whether a request may run a second time. */
+/** Whether a request of the route may run more than once. */
 export function mayRepeat(route: Route): boolean {
   return route.kind === 'repeatable' || (route.kind === 'stream' && route.resumable);
 }
 
-/** The key of a part's identifier. */
+/** Returns the key of the identifier of a prompt part. */
 export function promptKeyOf(id: string): PromptKey {
   return hashToNumber(id) as PromptKey;
 }
 
-/** More tokens than any prompt or answer has: a count beyond it is no size, and would spoil what is learned of sizes. */
+/**
+ * Maximum plausible number of tokens: a larger count is ignored, since it would distort the
+ * statistics of sizes.
+ */
 const MAXIMUM_TOKENS = 100_000_000;
 
 function isTokenCount(count: number | undefined): count is number {
   return count !== undefined && count >= 0 && count <= MAXIMUM_TOKENS;
 }
 
-/** Reads `ID:TOKENS,ID:TOKENS`; parts that are not in this form are passed over. */
+/** Parses `ID:TOKENS,ID:TOKENS`; malformed parts are skipped. */
 export function parsePromptParts(text: string | undefined): PromptPart[] {
   if (text === undefined || text === '') {
     return [];
@@ -86,7 +91,7 @@
   });
 }
 
-/** Reads `IN,OUT` counts of tokens; what can't be a count is 0, which stands for not told. */
+/** Parses `IN,OUT` token counts; an invalid count becomes 0, which means not given. */
 export function parseTokenUsage(text: string | undefined): { prompt: number; output: number } {
   const [prompt, output] = (text ?? '').split(',').map(Number);
   const countOrZero = (value: number | undefined): number => (isTokenCount(value) ? value : 0);
--- a/src/relay/request/request-rank.ts
+++ b/src/relay/request/request-rank.ts
@@ -1,21 +1,26 @@
-/** How urgent a request is at its runner: the rank of its route, and whether its program can still be in time. */
+/**
+ * Computes how urgent a request is at its runner, as a rank from 0 (the most urgent) to 9: from the
+ * priorities of its tenant and route, and from whether its program is late.
+ */
 import type { RelayRequest } from './relay-request.js';
 
-/** Least urgent rank. */
 export const LEAST_URGENT_RANK = 9;
-/** Ranks between neighbouring priorities of routes, so that a late program falls behind the next. */
+/**
+ * Ranks between adjacent route priorities; less than the late penalty, so that a late program is
+ * ranked below on-time ones of the next priority.
+ */
 const RANKS_PER_PRIORITY = 2;
-/** Ranks between neighbouring priorities of tenants, within which routes are ranked. */
+/** Ranks between adjacent tenant priorities; routes are ranked within them. */
 const RANKS_PER_TENANT = 3;
-/** Ranks that a program falls behind once it is late. */
+/** Number of ranks by which a late program is less urgent. */
 const LATE_RANK_PENALTY = 3;
 
-/** Whether the time by which a request's program should be over has passed. */
+/** Whether the deadline of the request's program has passed. */
 export function isLate(request: RelayRequest, now: number): boolean {
   return request.programDeadlineAt !== undefined && request.programDeadlineAt <= now;
 }
 
-/** Rank from 0, the most urgent, to 9, of a request whose program is in time. */
+/** Returns the rank of a request whose program is in time. */
 export function baseRankOf({ tenant, route }: RelayRequest): number {
   const rank =
     tenant === undefined
@@ -24,7 +29,7 @@
   return Math.min(LEAST_URGENT_RANK, Math.max(0, rank));
 }
 
-/** Rank from 0, the most urgent, to 9. */
+/** Returns the rank of a request, with the penalty if its program is late. */
 export function rankOf(request: RelayRequest, now: number): number {
   const penalty = isLate(request, now) ? LATE_RANK_PENALTY : 0;
   return Math.min(LEAST_URGENT_RANK, baseRankOf(request) + penalty);
--- a/src/relay/request/routing-table.ts
+++ b/src/relay/request/routing-table.ts
@@ -1,9 +1,12 @@
-/** One version of the routed configuration: which request goes to which service, and within what. */
+/**
+ * One version of the routing configuration: which request goes to which service, and within what
+ * limits.
+ */
 import type { TenantsByKey } from './tenant.js';
 
 /**
- * What may be done with a request again: `repeatable` requests may run more than once, `single`
- * ones at most once, and a `stream` at most once unless its route says that it may be resumed.
+ * Whether a request may be repeated: `repeatable` requests may run more than once, `single` ones at
+ * most once, and a `stream` at most once unless its route is resumable.
  */
 export type RequestKind = 'repeatable' | 'single' | 'stream';
 
@@ -21,20 +24,20 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RequestKind;
-  /** Longest time a request may be held, in milliseconds. */
+  /** Maximum time that a request may take, in milliseconds. */
   readonly timeoutMilliseconds: number;
-  /** Time within which an answer is in time, in milliseconds. */
+  /** Target time for an answer, in milliseconds. */
   readonly targetMilliseconds: number;
   /** Rank among routes; 0 is the most urgent. */
   readonly priority: number;
   readonly services: readonly WeightedService[];
-  /** Most runners that one request may be sent to. */
+  /** Maximum number of runners that one request may be sent to. */
   readonly maximumAttempts: number;
-  /** Whether a broken stream may be taken up by another runner. */
+  /** Whether another runner may resume a broken stream. */
   readonly resumable: boolean;
-  /** Whether turns are kept for later ones to go on from. */
+  /** Whether turns are stored so that later ones can continue them. */
   readonly retained: boolean;
-  /** How long a kept turn is kept, in seconds. */
+  /** Retention time of a stored turn, in seconds. */
   readonly retentionSeconds: number;
   /** Whether requests need no key. */
   readonly isPublic: boolean;
@@ -43,17 +46,19 @@
 /** Settings of one service. */
 export interface ServiceSettings {
   readonly name: string;
-  /** Connections one runner takes from all callers together. */
+  /** Maximum number of connections that one runner accepts from all callers. */
   readonly maximumConnections: number;
-  /** Tokens in each event of a stream; 1 where the service is no model engine. */
+  /** Number of tokens in each event of a stream; 1 if the service is not a model engine. */
   readonly tokensPerEvent: number;
   /** Whether the runners are model engines that cache prompts. */
   readonly cachesPrompts: boolean;
-  /** Tokens that one runner has memory for; undefined where that is not told. */
+  /** Memory capacity of one runner, in tokens; undefined if not configured. */
   readonly memoryTokens: number | undefined;
 }
 
-/** Bounds on what a client may send and how long it may take. */
+/**
+ * Limits on the size of requests, in bytes, and on the time that clients may take, in milliseconds.
+ */
 export interface RelayLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -61,18 +66,18 @@
   readonly idleMilliseconds: number;
 }
 
-/** One version of the routed configuration. */
+/** One version of the routing configuration. */
 export interface RoutingTable {
   readonly version: number;
   /** Routes by host; within a host the longest prefix first. */
   readonly routesByHost: ReadonlyMap<string, readonly Route[]>;
   readonly services: ReadonlyMap<string, ServiceSettings>;
   readonly limits: RelayLimits;
-  /** Undefined where requests carry no keys. */
+  /** Undefined if requests carry no keys. */
   readonly tenants: TenantsByKey | undefined;
 }
 
-/** Builds a table; routes come in any order. */
+/** Creates a routing table; the routes may be in any order. */
 export function createRoutingTable(
   version: number,
   routes: readonly Route[],
@@ -92,12 +97,12 @@
   return { version, routesByHost, services: byName, limits, tenants };
 }
 
-/** The host of a `Host` header: lower case, without the port. */
+/** Returns the host of a `Host` header, in lower case and without the port. */
 export function hostName(header: string): string {
   return header.replace(/:\d+$/, '').toLowerCase();
 }
 
-/** The route of a request: of its host's routes the one with the longest prefix of the path. */
+/** Returns the route of the host that has the longest matching path prefix. */
 export function findRoute(table: RoutingTable, host: string, path: string): Route | undefined {
   const queryIndex = path.indexOf('?');
   const pathname = queryIndex < 0 ? path : path.slice(0, queryIndex);
--- a/src/relay/request/tenant.ts
+++ b/src/relay/request/tenant.ts
@@ -1,31 +1,31 @@
 /**
- * Tenants: whose requests are whose. A key is only ever kept and looked up by its digest, so that no
- * log line, metric or dump can show one.
+ * Tenants and their API keys. A key is only ever stored and looked up by its digest, so that no log
+ * line, metric or dump can reveal one.
  */
 import { hash } from 'node:crypto';
 import * as E from 'fp-ts/lib/Either.js';
 
-/** Name of a tenant, as runners are told it. */
+/** Name of a tenant, also sent to runners. */
 export type TenantId = string & { readonly brand: 'TenantId' };
 /** A key as a client sends it. */
 export type ApiKey = string & { readonly brand: 'ApiKey' };
 /** SHA-256 of a key, in base64. */
 export type ApiKeyDigest = string & { readonly brand: 'ApiKeyDigest' };
 
-/** How many requests a tenant may have run; over all gateways together. */
+/** Limit on the request rate of a tenant, over all gateways. */
 export interface RequestQuota {
-  /** Requests a second on average. */
+  /** Average number of requests per second. */
   readonly ratePerSecond: number;
-  /** Requests beyond that at once. */
+  /** Number of requests allowed at once beyond the average rate. */
   readonly burst: number;
 }
 
 /** One tenant as configured. */
 export interface Tenant {
   readonly id: TenantId;
-  /** Rank among tenants, 0 is the most urgent; comes before the rank of the route. */
+  /** Rank among tenants, 0 is the most urgent; takes precedence over the rank of the route. */
   readonly priority: number;
-  /** Undefined where the tenant has no limit. */
+  /** Undefined if the tenant has no limit. */
   readonly quota: RequestQuota | undefined;
 }
 
@@ -37,7 +37,7 @@
 /** Tenants by the digests of their keys. */
 export type TenantsByKey = ReadonlyMap<ApiKeyDigest, Tenant>;
 
-/** Digest of a key. */
+/** Returns the digest of a key. */
 export function digestOfKey(key: ApiKey): ApiKeyDigest {
   return hash('sha256', key, 'base64') as ApiKeyDigest;
 }
@@ -53,7 +53,10 @@
   ];
 }
 
-/** Builds the look-up; or tells what is wrong, naming tenants but no key. */
+/**
+ * Builds the look-up table, or returns a description of what is invalid, which names tenants but no
+ * keys.
+ */
 export function createTenantsByKey(
   tenants: readonly TenantSettings[],
 ): E.Either<string, TenantsByKey> {
@@ -80,8 +83,8 @@
 }
 
 /**
- * The name under which replicas keep what belongs to a tenant: what another tenant has under the same
- * identifier is another thing. Without tenants, the identifier itself.
+ * Returns the name under which replicas store what belongs to a tenant, since tenants may use the
+ * same identifiers. Without tenants, returns the identifier itself.
  */
 export function tenantScopedId(tenant: Tenant | undefined, id: string): string {
   return tenant === undefined ? id : `${tenant.id.length}:${tenant.id}:${id}`;
