--- a/src/relay/front/body-reader.ts
+++ b/src/relay/front/body-reader.ts
@@ -1,29 +1,31 @@
-/** Reads the body of one request, within its bound, its time and the memory of the process. */
+/**
+ * Reads the body of a request, within limits on its size, its time and the memory of the process.
+ */
 import type { IncomingMessage } from 'node:http';
 import type { Runtime } from '../../runtime/runtime.js';
 import type { MemoryAllocation } from '../memory/memory-accounts.js';
 import type { MemoryBudget } from '../memory/memory-budget.js';
 
-/** How reading a body ended. */
+/** Result of reading a body. */
 export type BodyResult =
   | { readonly tag: 'Whole'; readonly body: Buffer }
-  /** It exceeds the bound. */
+  /** The body exceeds the size limit. */
   | { readonly tag: 'TooLarge' }
-  /** It did not come in time. */
+  /** The body did not arrive in time. */
   | { readonly tag: 'Late' }
-  /** There is no memory for it, or there was none to begin in its time. */
+  /** There is no memory for the body, or none became available in time to start reading. */
   | { readonly tag: 'NoMemory' };
 
-/** What a body is read with. */
+/** Options for reading a body. */
 export interface BodyReadOptions {
   readonly runtime: Runtime;
   readonly memory: MemoryBudget;
-  /** Most bytes of the body. */
+  /** Maximum size of the body, in bytes. */
   readonly limitBytes: number;
   readonly timeoutMilliseconds: number;
 }
 
-/** Whether a request has a body at all: one without is never made to wait. */
+/** Whether a request has a body; a request without one never waits for memory. */
 function hasBody({ headers }: IncomingMessage): boolean {
   return headers['transfer-encoding'] !== undefined || Number(headers['content-length'] ?? 0) > 0;
 }
@@ -65,7 +67,10 @@
     this.request.on('end', () => this.finish({ tag: 'Whole', body: this.wholeBody() }));
   }
 
-  /** A body that was never begun was kept waiting here: that is not its client's fault. */
+  /**
+   * Ends reading at the timeout. If reading never started, the cause is a shortage of memory here
+   * and not the client.
+   */
   private finishLate(): void {
     this.finish({ tag: this.started ? 'Late' : 'NoMemory' });
   }
@@ -110,8 +115,8 @@
 }
 
 /**
- * Reads a body; calls back once, unless the client leaves before. The holding counts what was read; a whole body
- * stays counted until the caller releases it.
+ * Reads a body; calls back once, unless the client disconnects first. The allocation counts the
+ * bytes read; those of a complete body stay counted until the caller releases them.
  */
 export function readBody(
   request: IncomingMessage,
--- a/src/relay/front/relay-front.ts
+++ b/src/relay/front/relay-front.ts
@@ -1,4 +1,7 @@
-/** Takes clients' requests over HTTP/1.1, bounds them, finds their route, and starts their calls. */
+/**
+ * Accepts client requests over HTTP/1.1, enforces their limits, finds their routes and starts their
+ * calls.
+ */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -18,25 +21,25 @@
 import type { RequestCompletion } from './request-completions.js';
 import { clientTimeoutMilliseconds, headOf, parseRequest } from './request-parser.js';
 
-/** Largest header that Node itself reads, in bytes; the configured limit is checked after. */
+/** Maximum header size of Node's parser, in bytes; the configured limit is checked afterwards. */
 const PARSER_HEADER_BYTES = 64 * 1024;
 const TIMEOUT_CHECK_MILLISECONDS = 1_000;
-/** Longest queue of connections that are not accepted yet. */
+/** Maximum number of connections waiting to be accepted. */
 const BACKLOG = 1_024;
-/** Stage named where a request is refused while its body is read. */
+/** Stage name for requests that are refused while their body is read. */
 const BODY_STAGE = 'body';
-/** What is answered where a body could not be read. */
+/** Answers to requests whose body could not be read. */
 const BODY_REFUSALS: Readonly<Record<Exclude<BodyResult['tag'], 'Whole'>, () => LocalAnswer>> = {
   TooLarge: () => refusal(413, 'the body exceeds the bound'),
   Late: () => refusal(408, 'the body did not come in time'),
   NoMemory: memoryLimitReached,
 };
 
-/** See the head of this file. */
+/** HTTP server for the requests of clients. */
 export class RelayFront {
   private readonly server: Server;
   private readonly completions = new RequestCompletions();
-  /** Requests under way. */
+  /** Number of requests in progress. */
   activeCount = 0;
   private draining = false;
   private onIdle: () => void = () => undefined;
@@ -59,23 +62,25 @@
     this.server.on('connection', (socket: Socket) => this.completions.addSocket(socket));
   }
 
-  /** Listens; calls back when it does. */
+  /** Starts to listen; calls back once the server listens. */
   listen(host: string, port: number, done: () => void): void {
     this.server.listen({ host, port, backlog: BACKLOG }, done);
   }
 
-  /** Takes the limits of a new configuration for connections from now on. */
+  /** Applies the timeouts of a new configuration to connections from now on. */
   applyLimits(table: RoutingTable): void {
     this.server.keepAliveTimeout = table.limits.idleMilliseconds;
     this.server.headersTimeout = table.limits.headerMilliseconds;
   }
 
-  /** From now on each answer closes its connection. */
+  /** Makes each answer close its connection from now on. */
   startDraining(): void {
     this.draining = true;
   }
 
-  /** Takes no new connections, closes idle ones, and calls back when no request is under way. */
+  /**
+   * Stops accepting connections, closes idle ones, and calls back once no request is in progress.
+   */
   stop(done: () => void): void {
     this.onIdle = done;
     this.server.close();
@@ -83,13 +88,15 @@
     this.checkIdle();
   }
 
-  /** Breaks every connection and stops listening. */
+  /** Stops listening and destroys all connections. */
   close(): void {
     this.server.close();
     this.completions.destroyAll();
   }
 
-  /** Clients are to come back over another connection, which may lead to another gateway. */
+  /**
+   * Whether answers close their connection, so that clients reconnect, possibly to another gateway.
+   */
   private get isClosing(): boolean {
     return this.draining || !this.context.turns.isReachable;
   }
@@ -100,7 +107,7 @@
     const head = headOf(request);
     const completion = this.completions.track(request.socket, response);
     const answer = new ClientAnswer(response, {
-      completion: completion,
+      completion,
       runtime,
       memory: this.context.memory,
       requestIdHeader: names.requestId,
--- a/src/relay/front/request-completions.ts
+++ b/src/relay/front/request-completions.ts
@@ -1,21 +1,22 @@
 /**
- * The ends of requests, each told once. A response that never got its connection, since others before it on the
- * same one were not answered yet, tells no close of its own: the connection's close ends it too.
+ * Tracks the completion of requests, each reported once. The response to a pipelined request emits
+ * no `close` event if its connection closes before the earlier responses are sent; the `close`
+ * event of the connection completes such a request too.
  */
 import type { ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** The end of one request: its answer is out, or its connection is gone. */
+/** Completion of one request: its answer was sent, or its connection closed. */
 export class RequestCompletion {
   private readonly listeners: (() => void)[] = [];
   private completed = false;
 
-  /** Calls back once, when the request is over. */
+  /** Adds a listener that is called once the request is complete. */
   onComplete(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Notes the end; may come twice. */
+  /** Marks the request as complete; further calls have no effect. */
   complete(): void {
     if (!this.completed) {
       this.completed = true;
@@ -24,11 +25,11 @@
   }
 }
 
-/** The connections of a server, and the ends of requests under way on each. */
+/** The connections of a server, and the requests in progress on each. */
 export class RequestCompletions {
   private readonly bySocket = new Map<Socket, Set<RequestCompletion>>();
 
-  /** Takes a new connection. */
+  /** Adds a new connection. */
   addSocket(socket: Socket): void {
     const completions = new Set<RequestCompletion>();
     this.bySocket.set(socket, completions);
@@ -38,7 +39,7 @@
     });
   }
 
-  /** Opens the end of a request that came over a connection. */
+  /** Starts tracking a request that arrived over a connection. */
   track(socket: Socket, response: ServerResponse): RequestCompletion {
     const completion = new RequestCompletion();
     const completions = this.bySocket.get(socket);
@@ -48,7 +49,7 @@
     return completion;
   }
 
-  /** Breaks every connection. */
+  /** Destroys all connections. */
   destroyAll(): void {
     [...this.bySocket.keys()].forEach((socket) => socket.destroy());
   }
--- a/src/relay/front/request-parser.ts
+++ b/src/relay/front/request-parser.ts
@@ -1,17 +1,17 @@
-/** Reads what a client says of its request out of the head. */
+/** Parses the headers by which a client describes its request. */
 import type { IncomingMessage } from 'node:http';
 import { parsePromptParts, parseTokenUsage } from '../request/relay-request.js';
 import type { ProgramReference, RelayRequest } from '../request/relay-request.js';
 import type { IngressRequest, RequestHead } from '../stages/ingress-request.js';
 
-/** Time that a client waits which doesn't tell. */
+/** Timeout of clients that send none. */
 const DEFAULT_TIMEOUT_MILLISECONDS = 30_000;
 
 function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** The head of a request. */
+/** Returns the head of a request. */
 export function headOf({ method, url, rawHeaders, headers }: IncomingMessage): RequestHead {
   return {
     method: method ?? 'GET',
@@ -21,7 +21,7 @@
   };
 }
 
-/** Milliseconds that the client waits. */
+/** Returns the timeout of the client, in milliseconds. */
 export function clientTimeoutMilliseconds({ head, context }: IngressRequest): number {
   const value = Number(head.header(context.names.timeout));
   return Number.isFinite(value) && value > 0 ? value : DEFAULT_TIMEOUT_MILLISECONDS;
@@ -38,7 +38,7 @@
   return { program, session: head.header(names.session) ?? program, budgetTokens };
 }
 
-/** A request that passed the door, with its whole body. */
+/** Builds a request that passed ingress, with its complete body. */
 export function parseRequest(
   ingress: IngressRequest,
   body: Buffer,
--- a/src/relay/memory/memory-accounts.ts
+++ b/src/relay/memory/memory-accounts.ts
@@ -1,21 +1,21 @@
-/** Bytes that a process holds for others, by account. */
+/** Accounts of the bytes that a process buffers for clients and runners. */
 
-/** Accounts, each with its name in logs and metrics. */
+/** The accounts, by their names in logs and metrics. */
 export const MEMORY_ACCOUNTS = [
-  /** Bodies being read or kept until their answer is out, and the chains put before them. */
+  /** Request bodies until their answer is sent, and the chains prepended to them. */
   'bodies',
-  /** Answers that are gathered, or that their clients haven't taken. */
+  /** Answers that are being collected, or that clients have not read yet. */
   'answers',
-  /** Outputs of turns that are to be kept. */
+  /** Outputs of turns that will be stored. */
   'turns',
 ] as const;
-/** One of these. */
+/** Name of an account. */
 export type MemoryAccount = (typeof MEMORY_ACCOUNTS)[number];
 
 /** Bytes of each account. */
 export type AccountBytes = Readonly<Record<MemoryAccount, number>>;
 
-/** What one request holds in one account. */
+/** The bytes that one request holds in one account. */
 export class MemoryAllocation {
   private held = 0;
   private released = false;
@@ -30,7 +30,7 @@
     return this.held;
   }
 
-  /** Notes how many bytes are held now; after the release nothing counts any more. */
+  /** Sets the number of bytes held; has no effect after the release. */
   set(bytes: number): void {
     if (this.released) {
       return;
@@ -42,12 +42,12 @@
     }
   }
 
-  /** Notes that more bytes are held. */
+  /** Adds to the bytes held. */
   add(bytes: number): void {
     this.set(this.held + bytes);
   }
 
-  /** Notes that nothing is held any more, for good: what still comes for a request that is over is dropped. */
+  /** Releases all bytes for good: data that still arrives for a finished request is dropped. */
   release(): void {
     this.set(0);
     this.released = true;
--- a/src/relay/memory/memory-bounds.ts
+++ b/src/relay/memory/memory-bounds.ts
@@ -1,25 +1,37 @@
-/** What the bytes that a gateway holds for others may come to, and the marks on the way there. */
+/**
+ * Thresholds of the bytes that a gateway may hold for clients and runners, and the levels between
+ * them.
+ */
 
-/** Bounds of one process, in bytes. */
+/** Thresholds of one process, in bytes. */
 export interface MemoryBounds {
-  /** Below this there is memory for waiting for slow readers. */
+  /** Below this threshold, answers may be buffered for slow readers. */
   readonly slowReaderBytes: number;
-  /** From here on the bodies of new requests wait unread. */
+  /** From this threshold on, bodies of new requests wait unread. */
   readonly waitBytes: number;
-  /** From here on new requests are refused. */
+  /** From this threshold on, new requests are refused. */
   readonly refuseBytes: number;
-  /** From here on readers are cut. */
+  /** From this threshold on, slow readers are disconnected. */
   readonly cutBytes: number;
 }
 
-/** Part of the budget that may be spent on waiting for slow readers, so that they alone keep nobody out. */
+/**
+ * Share of the budget for buffering answers of slow readers, so that they alone never keep out
+ * other requests.
+ */
 const SLOW_READER_SHARE = 0.3;
-/** Part of the budget at which new bodies wait: the rest holds what has begun, which is worth more. */
+/**
+ * Share of the budget at which new bodies wait; the rest is for requests in progress, which are
+ * worth more.
+ */
 const WAIT_SHARE = 0.6;
-/** Part at which new requests are refused: what is under way may still double its answers from there. */
+/**
+ * Share of the budget at which new requests are refused; requests in progress may still double
+ * their answers from there.
+ */
 const REFUSE_SHARE = 0.75;
 
-/** Bounds that are never met, for a process that is told no limit. */
+/** Thresholds that are never reached, for a process without a limit. */
 export const NO_BOUNDS: MemoryBounds = {
   slowReaderBytes: Infinity,
   waitBytes: Infinity,
@@ -27,7 +39,7 @@
   cutBytes: Infinity,
 };
 
-/** Bounds for a budget in bytes. */
+/** Returns the thresholds for a budget in bytes. */
 export function boundsForBudget(budgetBytes: number): MemoryBounds {
   return {
     slowReaderBytes: budgetBytes * SLOW_READER_SHARE,
@@ -37,20 +49,23 @@
   };
 }
 
-/** How near the budget is to its end. */
+/**
+ * Level of memory use: `calm`, `wait` (new bodies wait), `refuse` (new requests are refused) or
+ * `cut` (slow readers are disconnected).
+ */
 export type MemoryLevel = 'calm' | 'wait' | 'refuse' | 'cut';
 
-/** Part of a mark below which its level is left again: a level that came and went would be only noise. */
+/** Share of a threshold below which its level is left again; the hysteresis prevents flapping. */
 const HYSTERESIS_SHARE = 0.9;
 
-/** The highest first: the order decides. */
+/** Levels and their thresholds, the highest first; `levelOf` depends on the order. */
 const LEVELS: readonly { readonly level: MemoryLevel; readonly mark: keyof MemoryBounds }[] = [
   { level: 'cut', mark: 'cutBytes' },
   { level: 'refuse', mark: 'refuseBytes' },
   { level: 'wait', mark: 'waitBytes' },
 ];
 
-/** The level of an amount of bytes, given the level before. */
+/** Returns the level for a number of bytes, given the previous level. */
 export function levelOf(bytes: number, bounds: MemoryBounds, before: MemoryLevel): MemoryLevel {
   let hasReached = false;
   for (const { level, mark } of LEVELS) {
--- a/src/relay/memory/memory-budget.ts
+++ b/src/relay/memory/memory-budget.ts
@@ -1,7 +1,7 @@
 /**
- * The budget of bytes of one process. At its marks, in this order: bodies of new requests wait unread, new
- * requests are refused, and the slowest readers that hold the most are cut. A reader that keeps up is never
- * cut, whoever else holds what.
+ * The memory budget of a process. At its thresholds, in this order, bodies of new requests wait
+ * unread, new requests are refused, and the slowest readers that hold the most bytes are
+ * disconnected. A reader that keeps up is never disconnected, whatever others hold.
  */
 import type { Runtime } from '../../runtime/runtime.js';
 import { MemoryAllocation, MEMORY_ACCOUNTS } from './memory-accounts.js';
@@ -9,40 +9,55 @@
 import { levelOf } from './memory-bounds.js';
 import type { MemoryBounds, MemoryLevel } from './memory-bounds.js';
 
-/** A client that has not taken what was written for it. */
+/** A client that has not read all of what was written to it. */
 export interface SlowReader {
   readonly requestId: string;
-  /** Bytes held for it. */
+  /** Bytes buffered for the client. */
   readonly heldBytes: number;
-  /** Time since it last took any, in milliseconds. */
+  /** Time since the client last read anything, in milliseconds. */
   readonly idleMilliseconds: number;
-  /** Ends its answer. */
+  /** Aborts the answer. */
   cut(reason: string): void;
 }
 
-/** Idle time below which a reader counts as reading: a round trip to a far client and a pause of its process. */
+/**
+ * Idle time below which a client counts as reading, in milliseconds: covers a round trip to a
+ * distant client and a pause of its process.
+ */
 const ACTIVE_READER_MILLISECONDS = 250;
-/** Least time between two log lines of one level, in milliseconds: a level swings with the load. */
+/**
+ * Minimum time between two log lines of one level, in milliseconds: levels change often under
+ * varying load.
+ */
 const LOG_INTERVAL_MILLISECONDS = 1_000;
 
-/** Bodies let in together: of some tens of kilobytes each, a small part of the smallest budget. */
+/**
+ * Number of waiting bodies to admit at once; with some tens of kilobytes each, a small part of the
+ * smallest budget.
+ */
 const ADMIT_BATCH_BODIES = 16;
-/** Pause between two lots of bodies, in milliseconds: what was let in has begun to count by then. */
+/**
+ * Pause between two batches of bodies, in milliseconds; by then, the bytes of the previous batch
+ * begin to count.
+ */
 const ADMIT_INTERVAL_MILLISECONDS = 10;
 
-/** Sorts readers so that the first to be cut comes first. */
+/** Compares two readers; the one that sorts first is disconnected first. */
 export type CutOrder = (left: SlowReader, right: SlowReader) => number;
 
-/** Those that hold the most for the longest come first: few are cut, and none that took something just now. */
+/**
+ * Sorts by bytes held times idle time, the largest first, so that few readers are disconnected, and
+ * none that has just read something.
+ */
 export const byBytesAndTime: CutOrder = (left, right) =>
   right.heldBytes * right.idleMilliseconds - left.heldBytes * left.idleMilliseconds;
 
-/** See the head of this file. */
+/** Accounts for the bytes held by a process and acts on the thresholds. */
 export class MemoryBudget {
   private readonly accounts = new Map<MemoryAccount, number>();
   private readonly readers = new Set<SlowReader>();
   private readonly levelLoggedAt = new Map<MemoryLevel, number>();
-  /** Bodies that wait, the first first. */
+  /** Listeners of the bodies that wait, in the order of arrival. */
   private readonly waitingBodies = new Set<() => void>();
   private isAdmitPending = false;
   private currentLevel: MemoryLevel = 'calm';
@@ -61,34 +76,34 @@
     return this.totalBytes;
   }
 
-  /** How near the budget is to its end. */
+  /** Current level of memory use. */
   get level(): MemoryLevel {
     return this.currentLevel;
   }
 
-  /** Whether bodies of new requests are read. */
+  /** Whether bodies of new requests may be read. */
   get acceptsBodies(): boolean {
     return this.currentLevel === 'calm';
   }
 
-  /** Whether slow readers may be waited for: nobody else needs the memory. */
+  /** Whether there is memory to buffer answers for slow readers. */
   get canBufferSlowReaders(): boolean {
     return this.totalBytes < this.bounds.slowReaderBytes;
   }
 
-  /** Whether a new request may come in. */
+  /** Whether new requests are accepted. */
   get acceptsRequests(): boolean {
     return this.currentLevel === 'calm' || this.currentLevel === 'wait';
   }
 
-  /** Opens a holding for one request. */
+  /** Creates an empty allocation for one request. */
   allocate(account: MemoryAccount): MemoryAllocation {
     return new MemoryAllocation(account, (name, bytes) => this.adjust(name, bytes));
   }
 
   /**
-   * Calls back when the body of a new request may be read: at once, or when there is room. The returned function
-   * gives up the wait of a request that is over.
+   * Calls back when the body of a new request may be read: at once, or when memory becomes
+   * available. The returned function cancels the wait.
    */
   whenBodyAccepted(listener: () => void): () => void {
     const entry = (): void => listener();
@@ -101,33 +116,33 @@
     return () => this.waitingBodies.delete(entry);
   }
 
-  /** Adds a client that is behind. */
+  /** Adds a client that is behind in reading its answer. */
   addReader(reader: SlowReader): void {
     this.readers.add(reader);
   }
 
-  /** Removes one that has caught up or is gone. */
+  /** Removes a client that has caught up or disconnected. */
   removeReader(reader: SlowReader): void {
     this.readers.delete(reader);
   }
 
-  /** Readers cut so far, for whatever reason. */
+  /** Number of readers disconnected so far, for any reason. */
   get cutCount(): number {
     return this.cuts;
   }
 
-  /** Notes that a reader is cut. */
+  /** Counts a disconnected reader. */
   noteCut(): void {
     this.cuts += 1;
   }
 
-  /** Bytes by account. */
+  /** Returns the bytes held by account. */
   byAccount(): AccountBytes {
     const bytesOf = (name: MemoryAccount): number => this.accounts.get(name) ?? 0;
     return { bodies: bytesOf('bodies'), answers: bytesOf('answers'), turns: bytesOf('turns') };
   }
 
-  /** The figures as text in the Prometheus format. */
+  /** Renders the metrics in the Prometheus text format. */
   render(): string {
     const bytes = this.byAccount();
     const lines = MEMORY_ACCOUNTS.map(
@@ -160,7 +175,10 @@
     this.admitBodies();
   }
 
-  /** Lets some of the bodies in that wait, and looks again for the others, since all at once pass the mark again. */
+  /**
+   * Admits a batch of waiting bodies and schedules the next batch: all at once would exceed the
+   * threshold again.
+   */
   private admitBodies(): void {
     if (!this.acceptsBodies || this.waitingBodies.size === 0 || this.isAdmitPending) {
       return;
@@ -176,7 +194,7 @@
     }
   }
 
-  /** Cuts those that hold the most for the longest, until the level is left. */
+  /** Disconnects slow readers, in order, until the `cut` level is left. */
   private cutReaders(): void {
     if (this.isCutting) {
       return;
@@ -195,7 +213,7 @@
     this.currentLevel = levelOf(this.totalBytes, this.bounds, 'cut');
   }
 
-  /** Says who holds what when a mark is passed, either way. */
+  /** Logs a change of level, with the bytes held and the largest reader. */
   private logLevel(before: MemoryLevel): void {
     const now = this.runtime.now();
     const level = this.currentLevel;
--- a/src/relay/memory/runner-backpressure.ts
+++ b/src/relay/memory/runner-backpressure.ts
@@ -1,28 +1,32 @@
 /**
- * What was handed to each runner's connections and not taken by it. A runner that takes nothing gets no more
- * than a bounded amount; placement leaves it out until it takes.
+ * Tracks the bytes that were handed to the connections of each runner and not sent yet. A runner
+ * that stops reading gets no more than a bounded amount; placement skips it until it reads again.
  */
 import type { RunnerIncarnation } from '../runners/runner.js';
 
 /**
- * Bytes that one runner may leave untaken, unless they are of a single request: several usual bodies of some tens
- * of kilobytes, which a runner that reads at all takes within a round trip.
+ * Maximum number of unsent bytes of a runner, which only a single request may exceed: several
+ * typical bodies of some tens of kilobytes, which a runner that reads at all receives within a
+ * round trip.
  */
 export const MAXIMUM_UNSENT_BYTES = 256 * 1024;
 
-/** The bytes of one try; they count from its connection on, since those that wait for one are no runner's fault. */
+/**
+ * The bytes of one attempt. They count from the connection on, since waiting for a connection is
+ * not the runner's fault.
+ */
 export interface PendingSend {
-  /** The connection stands, and they go over it. */
+  /** The connection is established, and the bytes are being sent. */
   onConnected(): void;
-  /** They are taken or given up; may come twice, and without a connection. */
+  /** The bytes were sent or given up; may be called twice, and without a connection. */
   onSendEnd(): void;
 }
 
-/** See the head of this file. */
+/** Number of unsent bytes by runner. */
 export class RunnerBackpressure {
   private readonly unsent = new Map<RunnerIncarnation, number>();
 
-  /** Bytes that a runner has not taken. */
+  /** Returns the number of unsent bytes of a runner. */
   unsentBytes(runner: RunnerIncarnation): number {
     return this.unsent.get(runner) ?? 0;
   }
@@ -32,7 +36,10 @@
     return this.unsentBytes(runner) < MAXIMUM_UNSENT_BYTES;
   }
 
-  /** Notes bytes handed to a runner; the returned function notes that they are taken or given up, once. */
+  /**
+   * Counts bytes handed to a runner until the returned function is called, which may be called
+   * twice.
+   */
   trackUnsent(runner: RunnerIncarnation, bytes: number): () => void {
     this.adjust(runner, bytes);
     let isCounted = true;
@@ -44,7 +51,7 @@
     };
   }
 
-  /** Bytes that are to go to a runner, counted once they do. */
+  /** Returns callbacks that count bytes for a runner from the connection until they are sent. */
   prepareSend(runner: RunnerIncarnation, bytes: number): PendingSend {
     let hasEnded = false;
     let release = (): void => undefined;
@@ -59,7 +66,7 @@
     };
   }
 
-  /** The figures as text in the Prometheus format. */
+  /** Renders the metrics in the Prometheus text format. */
   render(): string {
     let totalBytes = 0;
     let blockedRunners = 0;
--- a/src/relay/relay-context.ts
+++ b/src/relay/relay-context.ts
@@ -1,4 +1,4 @@
-/** What all calls of one gateway share. */
+/** Dependencies and settings that all calls of a gateway share. */
 import type { Runtime } from '../runtime/runtime.js';
 import type { TurnClient } from '../turns/turn-client.js';
 import type { MemoryBudget } from './memory/memory-budget.js';
@@ -15,7 +15,7 @@
 import type { TrafficSplit } from './runners/traffic-split.js';
 import type { RoutingTable } from './request/routing-table.js';
 
-/** See the head of this file. */
+/** The shared dependencies of the calls of a gateway. */
 export interface RelayContext {
   readonly runtime: Runtime;
   readonly zone: string;
@@ -26,21 +26,24 @@
   readonly kindStats: ProgramStats;
   readonly demand: ServiceDemand;
   readonly split: TrafficSplit;
-  /** Whether a few runners are drawn and weighed, in place of all. */
+  /** Whether placement compares a few randomly drawn runners instead of all. */
   readonly samplesCandidates: boolean;
-  /** What placement adds up. */
+  /** Cost terms that placement adds up. */
   readonly charges: readonly PlacementCharge[];
   readonly turns: TurnClient;
   readonly quotas: QuotaGate;
   readonly metrics: RelayMetrics;
-  /** Bytes that this process holds for others. */
+  /** Memory budget of this process. */
   readonly memory: MemoryBudget;
-  /** Bytes that runners have not taken. */
+  /** Unsent bytes by runner. */
   readonly backpressure: RunnerBackpressure;
-  /** The newest configuration; undefined before the first. */
+  /** Returns the configuration in force; undefined before the first. */
   currentTable(): RoutingTable | undefined;
-  /** Whether that is proved to be the newest, to within the bound for changes. */
+  /**
+   * Whether the configuration in force is proven to be the newest, within the time allowed for
+   * changes.
+   */
   isTableProven(): boolean;
-  /** Whether no key can have been taken away so long ago that it must not be served. */
+  /** Whether keys may be accepted: none can have been revoked longer ago than the allowed delay. */
   areKeysFresh(): boolean;
 }
--- a/src/relay/relay-gateway.ts
+++ b/src/relay/relay-gateway.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway of routed requests: holds the newest configuration and the runners, takes clients'
- * requests, says whether it is ready, and stops as planned.
+ * A relay gateway: holds the configuration and the runners, serves client requests, reports
+ * readiness, and shuts down gracefully.
  */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -32,7 +32,7 @@
   readonly port: number;
 }
 
-/** What a gateway is made with. */
+/** Options of a {@link RelayGateway}. */
 export interface RelayGatewayOptions {
   readonly runtime: Runtime;
   readonly zone: string;
@@ -41,39 +41,42 @@
   readonly quotas: QuotaClient;
   readonly front: ListenAddress;
   readonly ready: ListenAddress;
-  /** Time between the request to stop and the kill, in milliseconds. */
+  /** Time from the stop signal to the kill, in milliseconds. */
   readonly graceMilliseconds: number;
-  /** Bounds of the bytes held for others. @default none */
+  /** Thresholds of the memory budget. @default none */
   readonly memoryBounds?: MemoryBounds;
-  /** Names of policies that are switched off, to measure what they are worth. */
+  /** Names of policies that are switched off, to compare the gateway without them. */
   readonly policiesOff?: ReadonlySet<string>;
 }
 
-/** Time after the request to stop in which new connections may still come, in milliseconds. */
+/** Time after the stop signal during which new connections are still accepted, in milliseconds. */
 const DRAIN_MILLISECONDS = 3_200;
-/** Kept before the kill, in milliseconds. */
+/** Margin before the kill, in milliseconds. */
 const KILL_SLACK_MILLISECONDS = 600;
-/** Policy of weighing a few runners that are drawn, in place of all. */
+/** Name of the policy that compares a few randomly drawn runners instead of all. */
 const CANDIDATE_SAMPLING_POLICY = 'drawn-candidates';
-/** Policy of charging a tenant with a whole program when that begins. */
+/** Name of the policy that charges a tenant for a whole program when it starts. */
 const PROGRAM_QUOTAS_POLICY = 'program-quotas';
 const OK = 200;
 const UNAVAILABLE = 503;
 
-/** See the head of this file. */
+/** Gateway that relays client requests to runners and answers readiness probes. */
 export class RelayGateway {
   readonly registry: RunnerRegistry;
   readonly metrics = new RelayMetrics();
-  /** Figures that all gateways add up. */
+  /** Counts that are added up over all gateways by gossip. */
   readonly tallies = new AggregateRegistry();
-  /** Bytes that this process holds for others, and those that runners have not taken. */
+  /** Memory budget of this process. */
   readonly memory: MemoryBudget;
   readonly backpressure = new RunnerBackpressure();
-  /** Whether the configuration in force is proved to be the newest, to within the bound for changes. */
+  /**
+   * Whether the configuration in force is proven to be the newest, within the time allowed for
+   * changes.
+   */
   isTableProven: () => boolean = () => true;
-  /** Whether no key can have been taken away so long ago that it must not be served. */
+  /** Whether keys may be accepted: none can have been revoked longer ago than the allowed delay. */
   areKeysFresh: () => boolean = () => true;
-  /** Whether requests with a key are served elsewhere although they can't be here. */
+  /** Whether another gateway can accept keys although this one can't. */
   areKeysFreshElsewhere: () => boolean = () => false;
   private readonly front: RelayFront;
   private readonly readiness: Server;
@@ -123,13 +126,13 @@
     this.readiness.listen(options.ready);
   }
 
-  /** Whether new connections should come here. */
+  /** Whether this gateway should receive new connections. */
   get ready(): boolean {
     const { turns } = this.options;
     return this.listening && !this.stopping && turns.isReachable && !this.prefersOtherGateways;
   }
 
-  /** Whether requests with a key are better off at other gateways. */
+  /** Whether requests with a key should go to other gateways. */
   private get prefersOtherGateways(): boolean {
     const needsKeys = this.table?.tenants !== undefined;
     return needsKeys && !this.areKeysFresh() && this.areKeysFreshElsewhere();
@@ -140,7 +143,7 @@
     return this.table;
   }
 
-  /** Takes a configuration unless a newer one is in force. */
+  /** Applies a configuration unless the one in force is the same or newer. */
   applyTable(table: RoutingTable, source: string): void {
     if (this.table !== undefined && table.version <= this.table.version) {
       return;
@@ -156,12 +159,15 @@
     this.listen();
   }
 
-  /** Requests under way. */
+  /** Number of requests in progress. */
   get activeRequests(): number {
     return this.front.activeCount;
   }
 
-  /** Stops as planned: serves while new connections may come, finishes all, then calls back. */
+  /**
+   * Shuts down gracefully: accepts connections for a while longer, finishes all requests, then
+   * calls back.
+   */
   stop(done: () => void): void {
     if (this.stopping) {
       return;
@@ -175,7 +181,7 @@
     runtime.setTimer(graceMilliseconds - KILL_SLACK_MILLISECONDS, done);
   }
 
-  /** Ends at once. */
+  /** Stops listening and destroys all connections at once. */
   close(): void {
     this.readiness.close();
     this.front.close();
--- a/src/relay/relay-metrics.ts
+++ b/src/relay/relay-metrics.ts
@@ -1,4 +1,4 @@
-/** Counters of a gateway, rendered as text in the Prometheus format. */
+/** Counters and histograms of a gateway, rendered in the Prometheus text format. */
 
 /** Upper bounds of the latency buckets, in milliseconds. */
 const BUCKETS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000] as const;
@@ -9,7 +9,7 @@
   count: number;
 }
 
-/** See the head of this file. */
+/** Registry of the metrics of a gateway. */
 export class RelayMetrics {
   private readonly counters = new Map<string, number>();
   private readonly histograms = new Map<string, Histogram>();
@@ -20,7 +20,7 @@
     this.counters.set(key, (this.counters.get(key) ?? 0) + amount);
   }
 
-  /** Takes a time in milliseconds into a histogram. */
+  /** Adds a duration in milliseconds to a histogram. */
   observe(name: string, milliseconds: number): void {
     let histogram = this.histograms.get(name);
     if (histogram === undefined) {
@@ -35,7 +35,7 @@
     }
   }
 
-  /** All figures as text. */
+  /** Renders all metrics as text. */
   render(): string {
     const lines = [...this.counters].map(([key, value]) => `${key} ${value}`);
     for (const [name, histogram] of this.histograms) {
