--- a/src/relay/front/relay-front.ts
+++ b/src/relay/front/relay-front.ts
@@ -144,7 +144,7 @@
     id: string | undefined,
   ): void {
     const version = this.context.currentTable()?.version ?? -1;
-    this.context.runtime.log('info', 'request refused at the door', {
+    this.context.runtime.log('info', 'request refused at ingress', {
       event: 'relay.refused',
       request: id ?? '',
       host: request.headers.host ?? '',
--- a/src/relay/memory/memory-budget.ts
+++ b/src/relay/memory/memory-budget.ts
@@ -207,7 +207,7 @@
       if (levelOf(this.totalBytes, this.bounds, 'cut') !== 'cut') {
         break;
       }
-      victim.cut('memory is short, and the client does not take its answer');
+      victim.cut('the memory budget is used up and the client does not read its answer');
     }
     this.isCutting = false;
     this.currentLevel = levelOf(this.totalBytes, this.bounds, 'cut');
@@ -227,7 +227,7 @@
         largest = reader;
       }
     }
-    this.runtime.log(level === 'calm' ? 'info' : 'warn', 'memory passed a mark', {
+    this.runtime.log(level === 'calm' ? 'info' : 'warn', 'memory level changed', {
       event: 'memory.level',
       level,
       before,
--- a/src/relay/relay-gateway.ts
+++ b/src/relay/relay-gateway.ts
@@ -148,7 +148,7 @@
     if (this.table !== undefined && table.version <= this.table.version) {
       return;
     }
-    this.options.runtime.log('info', 'configuration in force', {
+    this.options.runtime.log('info', 'configuration applied', {
       event: 'configuration.applied',
       version: table.version,
       before: this.table?.version ?? -1,
@@ -175,7 +175,7 @@
     this.stopping = true;
     const { runtime, graceMilliseconds } = this.options;
     const { activeRequests: active } = this;
-    runtime.log('info', 'planned stop', { event: 'process.stopping', active });
+    runtime.log('info', 'graceful shutdown started', { event: 'process.stopping', active });
     this.front.startDraining();
     runtime.setTimer(DRAIN_MILLISECONDS, () => this.front.stop(done));
     runtime.setTimer(graceMilliseconds - KILL_SLACK_MILLISECONDS, done);
@@ -194,7 +194,11 @@
     this.listening = true;
     const { host, port } = this.options.front;
     this.front.listen(host, port, () => {
-      this.options.runtime.log('info', 'serving', { event: 'process.serving', host, port });
+      this.options.runtime.log('info', 'listening for client requests', {
+        event: 'process.serving',
+        host,
+        port,
+      });
     });
   }
 }
