--- a/features/tenants.feature
+++ b/features/tenants.feature
@@ -72,12 +72,12 @@
     Then tenants with <mistake> are refused, naming "<named>" and no key
 
     Examples:
-      | mistake              | named         |
-      | a name twice         | stands twice  |
-      | a key of two tenants | as well       |
-      | a negative rate      | no amount     |
-      | an endless burst     | no amount     |
-      | an empty name        | has no name   |
+      | mistake              | named                                           |
+      | a name twice         | tenant north is defined more than once          |
+      | a key of two tenants | also belongs to another tenant                  |
+      | a negative rate      | the rate must be a finite number of at least 0  |
+      | an endless burst     | the burst must be a finite number of at least 0 |
+      | an empty name        | has no name                                     |
 
   Scenario: Nobody believes the configuration newer than it is, whatever is frozen or late
     Then in any exchange with late, lost and repeated words between frozen gateways no proof is too young
--- a/src/relay/request/tenant.ts
+++ b/src/relay/request/tenant.ts
@@ -48,8 +48,12 @@
   const isNonNegative = (value: number): boolean => Number.isFinite(value) && value >= 0;
   return [
     ...(id === '' ? ['a tenant has no name'] : []),
-    ...(isNonNegative(rate) ? [] : [`tenant ${id}: the rate is no amount`]),
-    ...(isNonNegative(burst) ? [] : [`tenant ${id}: the burst is no amount`]),
+    ...(isNonNegative(rate)
+      ? []
+      : [`tenant ${id}: the rate must be a finite number of at least 0`]),
+    ...(isNonNegative(burst)
+      ? []
+      : [`tenant ${id}: the burst must be a finite number of at least 0`]),
   ];
 }
 
@@ -67,14 +71,14 @@
     const { keys, ...tenant } = settings;
     errors.push(...validationErrors(settings));
     if (names.has(tenant.id)) {
-      errors.push(`tenant ${tenant.id} stands twice`);
+      errors.push(`tenant ${tenant.id} is defined more than once`);
     }
     names.add(tenant.id);
     for (const key of keys) {
       const digest = digestOfKey(key);
       const owner = byKey.get(digest);
       if (key === '' || (owner !== undefined && owner.id !== tenant.id)) {
-        errors.push(`tenant ${tenant.id}: a key is empty or another tenant's as well`);
+        errors.push(`tenant ${tenant.id}: a key is empty or also belongs to another tenant`);
       }
       byKey.set(digest, tenant);
     }
