--- a/features/steps/memory-accounts.steps.ts
+++ b/features/steps/memory-accounts.steps.ts
@@ -495,7 +495,7 @@
   function () {
     const kept: string[] = [];
     const runtime = runtimeOn(new VirtualClock(), []);
-    const turns = { keep: (turn: { output: Buffer }) => kept.push(turn.output.toString()) };
+    const turns = { storeTurn: (turn: { output: Buffer }) => kept.push(turn.output.toString()) };
     const memory = new MemoryBudget(runtime, NO_BOUNDS);
     const call = {
       context: { memory, runtime, turns },
