--- a/features/relay.feature
+++ b/features/relay.feature
@@ -1,17 +1,17 @@
-Feature: Routed requests
-  Requests of three kinds go to the runners of their route's service and come back whole, at most
-  once where they may not repeat, whatever the runners do.
+Feature: Relayed requests
+  Requests of three kinds are sent to the runners of their route's service. Whatever the runners do, answers are
+  complete, and requests that must not repeat run at most once.
 
   Background:
     Given a gateway with two runners
 
-  Scenario: A plain answer is passed on unchanged
+  Scenario: A plain answer is forwarded unchanged
     When a client sends a "repeatable" request
     Then the client gets status 200 with the runner's body and signature
     And one runner ran it once with method, path and body unchanged
 
-  Scenario Outline: A request that may repeat is sent to another runner
-    Given the first try of a request ends as "<behaviour>"
+  Scenario Outline: A request that may repeat is retried at another runner
+    Given the first attempt of a request ends as "<behaviour>"
     When a client sends a "repeatable" request
     Then the client gets status 200 with the runner's body and signature
 
@@ -25,12 +25,12 @@
       | falsePromise |
       | fail         |
 
-  Scenario Outline: A request that may not repeat is never run twice and promises nothing false
-    Given the first try of a request ends as "<behaviour>"
+  Scenario Outline: A request that must not repeat never runs twice and never invites a wrong retry
+    Given the first attempt of a request ends as "<behaviour>"
     When a client sends a "single" request
     Then the client gets status <status>
     And the runners ran it <runs> times
-    And the answer says when to come back: <retry>
+    And the answer says when to retry: <retry>
 
     Examples:
       | behaviour    | status | runs | retry |
@@ -43,53 +43,53 @@
       | fail         | 500    | 1    | no    |
       | unframed     | 200    | 1    | no    |
 
-  Scenario: A full runner is not asked again by a request that may go to one runner only
-    Given the first try of a request ends as "refuse"
+  Scenario: A request limited to one runner is not sent again to a runner that refused it
+    Given the first attempt of a request ends as "refuse"
     When a client sends a "once" request
     Then the client gets status 503
     And the runners ran it 0 times
-    And the answer says when to come back: yes
+    And the answer says when to retry: yes
 
-  Scenario: An answer that comes after its own belongs to nobody
-    Given the first try of a request ends as "extraAnswer"
+  Scenario: A surplus answer on a connection is not taken for that of the next request
+    Given the first attempt of a request ends as "extraAnswer"
     When a client sends a "single" request
     And a client sends a "single" request
     Then each client got the answer of its own request
 
-  Scenario: A stream is passed on event by event
+  Scenario: A stream is forwarded event by event
     When a client sends a "stream" request
     Then the client gets events 1 to 4 and the end
 
-  Scenario: A broken stream is taken up after its last whole event
-    Given the first try of a request ends as "cutOff"
+  Scenario: A broken stream is resumed after its last complete event
+    Given the first attempt of a request ends as "cutOff"
     When a client sends a "stream" request
     Then the client gets events 1 to 4 and the end
-    And the second try asked for events after 2
+    And the second attempt asked for events after 2
 
-  Scenario: A runner that lost power takes none of the runners that a route allows
-    Given the first try of a request ends as "dark"
+  Scenario: A runner that lost power does not count towards a route's maximum number of runners
+    Given the first attempt of a request ends as "dark"
     When a client sends a "lone" request
     Then the client gets events 1 to 4 and the end
-    And the second try asked for events after 2
+    And the second attempt asked for events after 2
 
-  Scenario: A broken stream that may not be taken up never looks complete
-    Given the first try of a request ends as "cutOff"
+  Scenario: A broken stream that may not be resumed never looks complete
+    Given the first attempt of a request ends as "cutOff"
     When a client sends a "kept" request
     Then the client's connection breaks after event 2
 
-  Scenario: A caller that leaves ends the work
-    Given the first try of a request ends as "silent"
-    When a client sends a "stream" request and leaves
-    Then the runner sees its client leave
+  Scenario: The work ends when the client disconnects
+    Given the first attempt of a request ends as "silent"
+    When a client sends a "stream" request and disconnects
+    Then the runner sees its client disconnect
 
-  Scenario: A silent runner costs no more than the route's time
-    Given the first try of a request ends as "silent"
+  Scenario: A request to a silent runner ends at its timeout
+    Given the first attempt of a request ends as "silent"
     When a client sends a "single" request that waits 400 milliseconds
     Then the client gets status 504
     And the runners ran it 1 times
 
-  Scenario: A runner that crashed is passed by
-    Given one runner has crashed without a word
+  Scenario: A crashed runner is skipped
+    Given one runner has crashed without notice
     When 6 clients send a "single" request
     Then all clients get status 200
 
@@ -99,7 +99,7 @@
     Then all clients get status 200
     And the leaving runner ran nothing
 
-  Scenario Outline: Bad input is refused at once and nothing is sent on
+  Scenario Outline: Invalid requests are refused at once and not forwarded
     When a client sends <what>
     Then the client gets status <status>
     And the runners ran it 0 times
@@ -113,16 +113,16 @@
       | headers that are too large    | 431    |
       | a body that stops in between  | 408    |
 
-  Scenario: Before any configuration is known
+  Scenario: A gateway without a configuration is not ready
     Given a gateway without a configuration
-    When its readiness is asked
+    When its readiness is probed
     Then it is not ready
 
-  Scenario: An unknown route is not called unknown while the configuration may be old
+  Scenario: An unknown route is not answered with 404 while the configuration may be outdated
     Given the configuration is not proved to be the newest
     When a client sends a request to an unknown route
     Then the client gets status 503
-    And the answer says when to come back: yes
+    And the answer says when to retry: yes
     When a client sends a "repeatable" request
     Then the client gets status 200 with the runner's body and signature
 
@@ -131,31 +131,31 @@
     And a client sends a "repeatable" request
     Then the client gets status 200 with the runner's body and signature
 
-  Scenario: A kept turn is the beginning of the next one
+  Scenario: A stored turn is prepended to the turn that continues it
     When a client sends a "kept" request with body "first;"
-    And a client goes on from it with body "second;"
+    And a client continues it with body "second;"
     Then the runner got "first;event 1\nevent 2\nevent 3\nevent 4\nsecond;"
 
-  Scenario: A turn that never was is not found
-    When a client goes on from turn "nowhere" with body "x"
+  Scenario: A turn that was never stored is not found
+    When a client continues turn "nowhere" with body "x"
     Then the client gets status 404
     And the runners ran it 0 times
 
-  Scenario: A spent budget is refused before anything runs
+  Scenario: A turn beyond the token budget is refused before it runs
     Given a program with a budget of 100 tokens
-    When it sends turns of at most 60 tokens that hand out 40
-    Then turns are served until 80 tokens are handed out and then get status 402
+    When it sends turns of at most 60 tokens that deliver 40
+    Then turns are served until 80 tokens are delivered and then get status 402
 
-  Scenario: Turns need the replicas, plain calls and streams without a budget do not
+  Scenario: Stored turns need the replicas; plain requests do not
     Given all replicas are out of reach
     When a client sends a "single" request
     Then the client gets status 200 with the runner's body and signature
-    When a client goes on from turn "earlier" with body "x"
+    When a client continues turn "earlier" with body "x"
     Then the client gets status 503
-    And the answer says when to come back: yes
+    And the answer says when to retry: yes
 
-  Scenario: A planned stop cuts no request
-    Given the first try of a request ends as "answer"
+  Scenario: A graceful shutdown interrupts no request
+    Given the first attempt of a request ends as "answer"
     When a client sends a slow "single" request and the gateway is told to stop
     Then the client gets status 200 with the runner's body and signature
     And the gateway is not ready and its answer closed the connection
--- a/features/stages.feature
+++ b/features/stages.feature
@@ -1,14 +1,14 @@
 Feature: Stages of a request
-  Between the door and its first try a request passes a table of stages; each lets it go on, wait, or refuses it.
+  Between ingress and its first attempt a request passes stages; each lets it continue, makes it wait, or refuses it.
 
-  Scenario: A refusal ends the way at its stage, and later stages are never asked
-    Then a request refused by the second of three steps is told which stage refused it, and the third is not asked
+  Scenario: A refusal ends the pipeline, and later stages don't run
+    Then a refusal in the second of three steps names its stage, and the third step does not run
 
-  Scenario: Stages of one step begin together and all must let the request go on
+  Scenario: Stages of one step start together, and all must let the request continue
     Then a step ends when the last of its stages resumes, whatever the order
 
-  Scenario: What a stage still waits for counts no more once the request is over
-    Then a stage that resumes after the request is over neither goes on nor refuses it
+  Scenario: The result of a waiting stage is ignored once the request has finished
+    Then a stage that resumes after the request has finished neither continues nor refuses it
 
-  Scenario: What a request holds is given back once, however late it was granted
-    Then what is given back at the end of a request is given back once, also when it was taken after the end
+  Scenario: What a request holds is released once, however late it was acquired
+    Then a listener for the end of a request is called once, also when it is added after the end
--- a/features/steps/relay.steps.ts
+++ b/features/steps/relay.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about routed requests over loopback sockets. */
+/** Steps for relayed requests over loopback sockets. */
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import type { RunnerBehaviour, RunnerRun } from '../../src/emulator/relay-runner.js';
@@ -55,9 +55,9 @@
 });
 
 Given(
-  'the first try of a request ends as {string}',
+  'the first attempt of a request ends as {string}',
   function (this: World, behaviour: RunnerBehaviour) {
-    // Which runner comes first is the gateway's choice: the other one must behave.
+    // The gateway chooses the first runner: only the first request that arrives behaves this way.
     const { runners } = relayOf(this);
     const shared = [behaviour];
     runners.forEach((runner) => {
@@ -66,7 +66,7 @@
   },
 );
 
-Given('one runner has crashed without a word', async function (this: World) {
+Given('one runner has crashed without notice', async function (this: World) {
   await relayOf(this).runners[0]!.crash();
 });
 
@@ -93,14 +93,14 @@
   },
 );
 
-When('a client goes on from it with body {string}', async function (this: World, body: string) {
+When('a client continues it with body {string}', async function (this: World, body: string) {
   const relay = relayOf(this);
   const headers = { [NAMES.previousTurn]: relay.lastId };
   await sendAndNote(this, relay.send('kept', { body, headers }));
 });
 
 When(
-  'a client goes on from turn {string} with body {string}',
+  'a client continues turn {string} with body {string}',
   async function (this: World, turn: string, body: string) {
     const headers = { [NAMES.previousTurn]: turn };
     await sendAndNote(this, relayOf(this).send('kept', { body, headers }));
@@ -115,9 +115,12 @@
   },
 );
 
-When('a client sends a {string} request and leaves', async function (this: World, route: string) {
-  await sendAndNote(this, relayOf(this).send(route, { leaveAfter: 200 }));
-});
+When(
+  'a client sends a {string} request and disconnects',
+  async function (this: World, route: string) {
+    await sendAndNote(this, relayOf(this).send(route, { leaveAfter: 200 }));
+  },
+);
 
 When(
   '{int} clients send a {string} request',
@@ -159,7 +162,7 @@
   await sendAndNote(this, relayOf(this).send('single', { body, headers, stopHalfway: true }));
 });
 
-When('its readiness is asked', async function (this: World) {
+When('its readiness is probed', async function (this: World) {
   this.readiness = await relayOf(this).askReady();
 });
 
@@ -171,7 +174,7 @@
 );
 
 When(
-  'it sends turns of at most {int} tokens that hand out {int}',
+  'it sends turns of at most {int} tokens that deliver {int}',
   async function (this: World, most: number, handed: number) {
     assert.equal(handed, EVENTS * TOKENS_PER_EVENT);
     this.statuses = [];
@@ -225,11 +228,11 @@
   assert.equal(allRuns(this).length, count);
 });
 
-Then('the answer says when to come back: yes', function (this: World) {
+Then('the answer says when to retry: yes', function (this: World) {
   assert.ok(Number(lastResult(this).headers['retry-after']) > 0);
 });
 
-Then('the answer says when to come back: no', function (this: World) {
+Then('the answer says when to retry: no', function (this: World) {
   assert.equal(lastResult(this).headers['retry-after'], undefined);
 });
 
@@ -250,7 +253,7 @@
   assert.deepEqual(ids, [1, 2, 3, 4]);
 });
 
-Then('the second try asked for events after {int}', function (this: World, id: number) {
+Then('the second attempt asked for events after {int}', function (this: World, id: number) {
   const asked = allRuns(this).map((run) => run.headers[NAMES.lastEventId]);
   assert.ok(asked.includes(String(id)), `asked for ${asked.join(', ')}`);
 });
@@ -261,7 +264,7 @@
   assert.ok(result.body.endsWith(`id: ${id}\ndata: event ${id}\n\n`));
 });
 
-Then('the runner sees its client leave', async function (this: World) {
+Then('the runner sees its client disconnect', async function (this: World) {
   const runs = allRuns(this);
   assert.equal(runs.length, 1);
   for (let look = 0; look < 50 && !runs[0]!.left; look += 1) {
@@ -288,7 +291,7 @@
 });
 
 Then(
-  'turns are served until {int} tokens are handed out and then get status {int}',
+  'turns are served until {int} tokens are delivered and then get status {int}',
   function (this: World, tokens: number, status: number) {
     const served = tokens / (EVENTS * TOKENS_PER_EVENT);
     const expected = this.statuses!.map((_, index) => (index < served ? 200 : status));
--- a/features/steps/stages.steps.ts
+++ b/features/steps/stages.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about the table of stages: stages of a test's own, no network. */
+/** Steps for the stage pipeline, with stages of the test's own and no network. */
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -57,7 +57,7 @@
 }
 
 Then(
-  'a request refused by the second of three steps is told which stage refused it, and the third is not asked',
+  'a refusal in the second of three steps names its stage, and the third step does not run',
   function () {
     const decidedStages: string[] = [];
     const results = resultsOf([
@@ -95,22 +95,25 @@
   );
 });
 
-/** Whether one place came before another. */
+/** Whether `place` occurs before `before` in an order. */
 function precedes(order: readonly number[], place: number, before: number): boolean {
   return order.indexOf(place) < order.indexOf(before);
 }
 
-Then('a stage that resumes after the request is over neither goes on nor refuses it', function () {
-  const requestState = createRequestState();
-  const stage = new WaitingStage('late');
-  const results = resultsOf([[stage]], requestState);
-  requestState.finish(0);
-  stage.resume(REFUSAL);
-  assert.deepEqual(results, []);
-});
+Then(
+  'a stage that resumes after the request has finished neither continues nor refuses it',
+  function () {
+    const requestState = createRequestState();
+    const stage = new WaitingStage('late');
+    const results = resultsOf([[stage]], requestState);
+    requestState.finish(0);
+    stage.resume(REFUSAL);
+    assert.deepEqual(results, []);
+  },
+);
 
 Then(
-  'what is given back at the end of a request is given back once, also when it was taken after the end',
+  'a listener for the end of a request is called once, also when it is added after the end',
   function () {
     const requestState = createRequestState();
     const released: number[] = [];
--- a/features/steps/tenants.steps.ts
+++ b/features/steps/tenants.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about tenants, their keys and their limits. */
+/** Steps for tenants, their keys and their limits. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { isLeft } from 'fp-ts/lib/Either.js';
@@ -61,7 +61,7 @@
     const { RelayWorld } = await import('../support/relay-world.js');
     this.relay = new RelayWorld();
     await this.relay.start(true);
-    // A replica remembers nothing before its start: it fills up first.
+    // A replica starts with an empty quota, which fills up first.
     await new Promise((resolve) => setTimeout(resolve, 1_100));
     const quotaOf = (name: string) => (name === limited ? { ratePerSecond, burst } : undefined);
     const tenants = [one, other].map((name) => tenantOf(name, { quota: quotaOf(name) }));
@@ -119,7 +119,7 @@
 );
 
 When(
-  'the key of {string} is taken away while a client sends the body of its request',
+  'the key of {string} is revoked while a client sends the body of its request',
   async function (this: World, tenant: string) {
     const relay = this.relay!;
     const headers = authorizationOf(tenant);
@@ -130,13 +130,13 @@
   },
 );
 
-When('{string} keeps a turn', async function (this: World, tenant: string) {
+When('{string} stores a turn', async function (this: World, tenant: string) {
   await send(this, 'kept', authorizationOf(tenant));
   assert.equal(this.relay!.results.at(-1)!.status, 200);
   this.keptTurn = this.relay!.lastId;
 });
 
-Then('{string} can go on from that turn', async function (this: World, tenant: string) {
+Then('{string} can continue that turn', async function (this: World, tenant: string) {
   await send(this, 'kept', { ...authorizationOf(tenant), [NAMES.previousTurn]: this.keptTurn! });
   assert.equal(this.relay!.results.at(-1)!.status, 200);
 });
@@ -169,7 +169,7 @@
   },
 );
 
-Then('the others were told with 429 to come back within two seconds', function (this: World) {
+Then('the others were refused with 429 and a retry within two seconds', function (this: World) {
   const refused = Object.values(this.results!)
     .flat()
     .filter(({ status }) => status !== 200);
@@ -181,14 +181,14 @@
   }
 });
 
-Then('no runner was sent anything', function (this: World) {
+Then('no runner received anything', function (this: World) {
   assert.deepEqual(
     this.relay!.runners.flatMap((runner) => runner.runs),
     [],
   );
 });
 
-Then('the client gets {int} with a time to come back', function (this: World, status: number) {
+Then('the client gets {int} with a time to retry', function (this: World, status: number) {
   const result = this.relay!.results.at(-1)!;
   assert.equal(result.status, status);
   assert.ok(Number(result.headers['retry-after']) > 0);
@@ -199,7 +199,7 @@
 });
 
 Then(
-  'the runner was told the tenant {string} once and no key',
+  'the runner received the tenant {string} once and no key',
   function (this: World, name: string) {
     const { headers } = lastRun(this);
     assert.equal(headers[NAMES.tenant], name);
@@ -207,7 +207,7 @@
   },
 );
 
-Then('the runner was told no tenant and no key', function (this: World) {
+Then('the runner received no tenant and no key', function (this: World) {
   const { headers } = lastRun(this);
   assert.equal(headers[NAMES.tenant], undefined);
   assert.equal(headers[NAMES.key], undefined);
--- a/features/support/relay-world.ts
+++ b/features/support/relay-world.ts
@@ -1,4 +1,4 @@
-/** A gateway with runners and replicas on loopback, and a plain HTTP client to drive it. */
+/** A gateway with runners and replicas on loopback, and an HTTP client for it. */
 import { request as httpRequest } from 'node:http';
 import type { IncomingMessage } from 'node:http';
 import { isLeft } from 'fp-ts/lib/Either.js';
@@ -27,30 +27,30 @@
 const SERVICE = 'workers';
 const NAMES = DEFAULT_HEADER_NAMES;
 const TOKENS_PER_EVENT = 10;
-/** Host of the routes. */
+/** Host name that the routes match. */
 export const ROUTED_HOST = 'shop.example';
 
-/** What a client got. */
+/** The answer that a client received. */
 export interface ClientResult {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
-  /** Whether the answer ended in order. */
+  /** Whether the answer is complete. */
   readonly complete: boolean;
 }
 
-/** What a client sends beside the usual. */
+/** Options of a client's request. */
 export interface ClientOptions {
   readonly host?: string;
   readonly path?: string;
   readonly id?: string | undefined;
   readonly body?: string;
   readonly headers?: Record<string, string | string[]>;
-  /** Leaves after this many milliseconds. */
+  /** Disconnects after this time, in milliseconds. */
   readonly leaveAfter?: number;
-  /** Sends the head and half of the body only. */
+  /** Sends only the head and half of the body. */
   readonly stopHalfway?: boolean;
-  /** Sends the second half of the body after this many milliseconds. */
+  /** Sends the second half of the body after this time, in milliseconds. */
   readonly pauseHalfway?: number;
 }
 
@@ -98,19 +98,19 @@
   },
 ];
 
-/** What a world has beside the usual. */
+/** Options of a {@link RelayWorld}. */
 export interface RelayWorldOptions {
-  /** Bounds of what the gateway may hold. @default none */
+  /** Thresholds of the gateway's memory budget. @default none */
   readonly memoryBounds?: MemoryBounds;
-  /** Connections that each runner takes. @default 20 */
+  /** Maximum number of connections of each runner. @default 20 */
   readonly maximumConnections?: number;
-  /** Longest time that a request may be held, in milliseconds. @default 3000 */
+  /** Timeout of the routes, in milliseconds. @default 3000 */
   readonly timeoutMilliseconds?: number;
-  /** What the runners answer. */
+  /** Options of the runners. */
   readonly runner?: Partial<RelayRunnerOptions>;
 }
 
-/** See the head of this file. */
+/** Starts the processes of a test and sends requests to the gateway. */
 export class RelayWorld {
   readonly runtime: Runtime = createRealRuntime({ seed: 1, logLevel: 'error' });
   readonly runners: RelayRunner[] = [];
@@ -122,22 +122,22 @@
   private replica: Replica | undefined;
   private caller: TcpReplicaCaller | undefined;
   private requestCount = 0;
-  /** Id of the last request sent. */
+  /** Identifier of the last request sent. */
   lastId = '';
 
   constructor(private readonly options: RelayWorldOptions = {}) {}
 
-  /** Port that clients call. */
+  /** Port for client requests. */
   get frontPort(): number {
     return this.ports[0]!;
   }
 
-  /** Turns that the replica keeps. */
+  /** Number of turns that the replica has stored. */
   get keptTurns(): number {
     return this.replica?.state.counts.turns ?? 0;
   }
 
-  /** Starts everything; without a configuration the gateway serves nothing. */
+  /** Starts all parts; without a configuration the gateway serves nothing. */
   async start(configured: boolean): Promise<void> {
     this.ports = await freePorts(HOST, 3);
     const [front, ready, replicaPort] = this.ports as [number, number, number];
@@ -192,12 +192,12 @@
     return SERVICES.map((service) => ({ ...service, maximumConnections }));
   }
 
-  /** Offers an empty configuration. */
+  /** Applies a configuration without routes. */
   offerEmpty(version: number): void {
     this.gateway.applyTable(createRoutingTable(version, [], [], LIMITS), 'test');
   }
 
-  /** Offers a configuration with tenants; what is wrong with it is thrown. */
+  /** Applies a configuration with tenants; throws if it is invalid. */
   offerTenants(version: number, tenants: readonly TenantSettings[]): void {
     const byKey = createTenantsByKey(tenants);
     if (isLeft(byKey)) {
@@ -207,7 +207,7 @@
     this.gateway.applyTable(table, 'test');
   }
 
-  /** Puts a runner on the list. */
+  /** Adds or updates a runner in the gateway's list. */
   listRunner(index: number, ready: boolean, atPort?: number): void {
     const id = ['one', 'two'][index]!;
     const port = atPort ?? this.runnerPorts[index]!;
@@ -222,13 +222,13 @@
     });
   }
 
-  /** Ends the replicas. */
+  /** Stops the replica. */
   stopReplicas(): void {
     this.replicaServer?.close();
     this.replica?.close();
   }
 
-  /** Sends one request and waits for its end. */
+  /** Sends one request and resolves when its answer ends. */
   send(route: string, options: ClientOptions = {}): Promise<ClientResult> {
     this.requestCount += 1;
     const id = 'id' in options ? options.id : `request-${this.requestCount}`;
@@ -281,7 +281,7 @@
     });
   }
 
-  /** Whether the gateway calls itself ready. */
+  /** Returns the status of the gateway's readiness probe. */
   askReady(): Promise<number> {
     return new Promise((resolve, reject) => {
       const target = { host: HOST, port: this.ports[1]!, path: '/', agent: false as const };
@@ -294,7 +294,7 @@
     });
   }
 
-  /** Ends everything. */
+  /** Stops all parts. */
   async stop(): Promise<void> {
     this.gateway.close();
     this.caller?.close();
--- a/features/tenants.feature
+++ b/features/tenants.feature
@@ -1,18 +1,18 @@
 Feature: Tenants
-  Whose a request is follows from its key; a key that was taken away serves nobody beyond its bound,
-  and no tenant has more requests run than its limit, whatever is cut off from whom.
+  The key of a request identifies its tenant. A revoked key is not accepted beyond the allowed delay, and no tenant runs
+  more requests than its limit, whatever the network partitions.
 
-  Scenario: The key stays here, and the runner is told the tenant
+  Scenario: The key is not forwarded, and the runner receives the tenant
     Given a gateway with tenants "north" and "south"
     When a client sends a request with the key of "north" and the tenant's header "south" twice
     Then the client gets status 200
-    And the runner was told the tenant "north" once and no key
+    And the runner received the tenant "north" once and no key
 
-  Scenario Outline: A request without one known key is refused for good
+  Scenario Outline: A request without exactly one known key is refused with 401
     Given a gateway with tenants "north" and "south"
     When a client sends a request with the authorization <authorization>
     Then the client gets status <status>
-    And no runner was sent anything
+    And no runner received anything
 
     Examples:
       | authorization                      | status |
@@ -24,49 +24,49 @@
       | twice "Token key-of-north"         | 401    |
       | 3000 characters                    | 401    |
 
-  Scenario: Neither the scheme's case nor further spaces matter
+  Scenario: The case of the scheme and additional spaces don't matter
     Given a gateway with tenants "north" and "south"
     When a client sends a request with the authorization "token   key-of-north "
     Then the client gets status 200
 
-  Scenario: A public route needs no key and passes none on
+  Scenario: A public route needs no key and forwards none
     Given a gateway with tenants "north" and "south"
     When a client sends a request to the public route with the key of "north" and the tenant's header "south"
     Then the client gets status 200
-    And the runner was told no tenant and no key
+    And the runner received no tenant and no key
 
-  Scenario: An unknown key is not called unknown while the configuration may be old
+  Scenario: An unknown key is not answered with 401 while the configuration may be outdated
     Given a gateway with tenants "north" and "south"
     And the configuration is not proved to be the newest
     When a client sends a request with the authorization "Token key-of-nobody"
-    Then the client gets 503 with a time to come back
+    Then the client gets 503 with a time to retry
 
-  Scenario: Without a proof young enough no key is served, and clients are sent where one is
+  Scenario: Without a recent enough proof no key is accepted, and clients are sent to gateways that have one
     Given a gateway with tenants "north" and "south"
     And its keys are not proved to be valid, but those of another gateway are
     When a client sends a request with the authorization "Token key-of-north"
-    Then the client gets 503 with a time to come back
+    Then the client gets 503 with a time to retry
     And the gateway says that it is not ready
     When a client sends a request to the public route with the key of "north" and the tenant's header "south"
     Then the client gets status 200
 
-  Scenario: A key that is taken away while the request is being sent does not serve it
+  Scenario: A key that is revoked while the request is being sent is not accepted
     Given a gateway with tenants "north" and "south"
-    When the key of "north" is taken away while a client sends the body of its request
+    When the key of "north" is revoked while a client sends the body of its request
     Then the client gets status 401
-    And no runner was sent anything
+    And no runner received anything
 
-  Scenario: What another tenant has kept is not there
+  Scenario: The stored turns of another tenant are not accessible
     Given a gateway with tenants "north" and "south"
-    When "north" keeps a turn
-    Then "north" can go on from that turn
+    When "north" stores a turn
+    Then "north" can continue that turn
     And "south" is told that there is no such turn
 
-  Scenario: What is beyond a limit is refused with the time at which there is room
+  Scenario: Requests above a limit are refused with the time at which the tenant has room
     Given a gateway with tenants "north" and "south" of which "north" may send 5 requests a second and 5 at once
     When 20 requests with the key of "north" and 8 with the key of "south" are sent
     Then between 8 and 9 of "north" and all of "south" are answered
-    And the others were told with 429 to come back within two seconds
+    And the others were refused with 429 and a retry within two seconds
 
   Scenario Outline: A configuration with mistakes in its tenants is refused and names no key
     Then tenants with <mistake> are refused, naming "<named>" and no key
