--- a/features/steps/memory-accounts.steps.ts
+++ b/features/steps/memory-accounts.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about accounts of bytes and the judgement of slow readers, in virtual time and without a network. */
+/** Steps for memory accounting and slow readers, in virtual time and without a network. */
 import assert from 'node:assert/strict';
 import { EventEmitter } from 'node:events';
 import type { ServerResponse } from 'node:http';
@@ -28,7 +28,7 @@
 import { SimulatedProcess } from '../../src/simulation/simulated-process.js';
 import { VirtualClock } from '../../src/simulation/virtual-clock.js';
 
-/** A life of a runner, whichever. */
+/** Identity of an arbitrary runner. */
 const RUNNER = 'r' as RunnerIncarnation;
 
 interface World {
@@ -38,7 +38,7 @@
   lines: LogFields[];
   bodiesRead: number;
   cut: string[];
-  /** Numbers of bodies that were let in, and whose bytes are held since. */
+  /** Numbers of the admitted bodies, and the allocations that hold their bytes. */
   acceptedBodies: { readonly body: number; readonly allocation: MemoryAllocation }[];
 }
 
@@ -47,12 +47,12 @@
   return { ...boundRuntime(runtime), log: (_level, _message, fields = {}) => lines.push(fields) };
 }
 
-/** Lets virtual milliseconds pass. */
+/** Advances the clock by some milliseconds. */
 function advance(clock: VirtualClock, milliseconds: number): void {
   clock.runUntil(clock.now + milliseconds);
 }
 
-/** The parts of a runtime that work without it. */
+/** Copies a runtime into a plain object whose methods don't depend on `this`. */
 function boundRuntime(runtime: Runtime): Runtime {
   return {
     now: () => runtime.now(),
@@ -64,7 +64,7 @@
 }
 
 Then(
-  'whatever is held and given back in any order, the accounts add up to what is held',
+  'in any order of allocations and releases, the accounts add up to the bytes held',
   function () {
     const step = fc.record({ holder: fc.nat(5), bytes: fc.nat(5_000) });
     fc.assert(
@@ -80,7 +80,7 @@
         assert.equal(byAccount, held);
         allocations.forEach((allocation) => allocation.release());
         allocations.forEach((allocation) => allocation.release());
-        // What comes late for a request that is over is held by nobody.
+        // Bytes added after the release are not counted.
         allocations.forEach((allocation) => allocation.add(7));
         assert.equal(budget.heldBytes, 0);
       }),
@@ -116,7 +116,7 @@
 );
 
 Then(
-  'a line in the log names each level that was met, and how much each account held',
+  'a log line names each level that was entered, and the bytes of each account',
   function (this: World) {
     const levels = this.lines.map(({ level }) => level);
     assert.deepEqual(levels, ['wait', 'refuse', 'cut', 'refuse', 'calm']);
@@ -127,7 +127,7 @@
   },
 );
 
-When('{int} bodies of new requests come', function (this: World, count: number) {
+When('{int} bodies of new requests arrive', function (this: World, count: number) {
   for (let body = 0; body < count; body += 1) {
     this.budget.whenBodyAccepted(() => (this.bodiesRead += 1));
   }
@@ -138,7 +138,7 @@
   assert.equal(this.bodiesRead, count);
 });
 
-/** A reader that gives back what it holds when it is cut. */
+/** Adds a reader that releases its bytes when it is cut. */
 function createReader(
   budget: MemoryBudget,
   requestId: string,
@@ -164,14 +164,17 @@
   return reader;
 }
 
-Given('readers that hold and last took something:', function (this: World, table: DataTable) {
-  for (const { reader, bytes, milliseconds } of table.hashes()) {
-    const note = (requestId: string): number => this.cut.push(requestId);
-    createReader(this.budget, reader!, Number(bytes), Number(milliseconds), note);
-  }
-});
+Given(
+  'readers with bytes held and time since they last read:',
+  function (this: World, table: DataTable) {
+    for (const { reader, bytes, milliseconds } of table.hashes()) {
+      const note = (requestId: string): number => this.cut.push(requestId);
+      createReader(this.budget, reader!, Number(bytes), Number(milliseconds), note);
+    }
+  },
+);
 
-When('the bytes held beside them rise to {int}', function (this: World, bytes: number) {
+When('the other bytes held rise to {int}', function (this: World, bytes: number) {
   this.otherAllocation.set(bytes);
 });
 
@@ -179,7 +182,10 @@
   assert.deepEqual(this.cut, names.split(','));
 });
 
-/** Answers ended until the level is left, on 300 clients that read nothing, 20 of which hold most. */
+/**
+ * Returns the number of readers cut until the level is left, of 300 clients that read nothing, 20
+ * of which hold most of the bytes.
+ */
 function cutsUnder(order: CutOrder): number {
   const bounds = boundsForBudget(24_000_000);
   const budget = new MemoryBudget(runtimeOn(new VirtualClock(), []), bounds, order);
@@ -203,7 +209,7 @@
   },
 );
 
-/** One watched client in virtual time. */
+/** A client watched by a {@link ReaderWatch} in virtual time. */
 class WatchedClient {
   readonly clock = new VirtualClock();
   stand: DeliveryState = 'held';
@@ -225,7 +231,7 @@
 }
 
 Then(
-  'a client whose runner waits for it is cut after {int} seconds without taking, and after {int} while memory is short',
+  'a client whose runner waits for it is cut after {int} seconds without reading, and after {int} while memory is short',
   function (calmSeconds: number, shortSeconds: number) {
     for (const isCalm of [true, false]) {
       const client = new WatchedClient();
@@ -237,7 +243,7 @@
 );
 
 Then(
-  'a client that takes something every {int} seconds is not cut in {int} minutes, and its runner is never left unread longer than {int} ms',
+  'a client that reads something every {int} seconds is not cut in {int} minutes, and its runner is never left unread longer than {int} ms',
   function (seconds: number, minutes: number, most: number) {
     const client = new WatchedClient();
     for (let second = 0; second < minutes * 60; second += seconds) {
@@ -252,7 +258,7 @@
 );
 
 Then(
-  'a client whose turn is kept is not cut while the turn comes, and {int} seconds after it is ready',
+  'a client whose turn will be stored is not cut while the turn arrives, but {int} seconds after it is complete',
   function (seconds: number) {
     const client = new WatchedClient();
     client.stand = 'readOn';
@@ -267,7 +273,7 @@
   },
 );
 
-/** A client that takes what it is written when the test says so. */
+/** A client that reads what was written to it when the test says so. */
 class ManualTarget implements WriterTarget {
   readonly taken: Buffer[] = [];
   ends = 0;
@@ -293,7 +299,7 @@
     this.onDrain = listener;
   }
 
-  /** Takes everything that waits here. */
+  /** Reads everything written so far. */
   take(): void {
     const took = this.waiting;
     this.waiting = [];
@@ -305,7 +311,7 @@
   }
 }
 
-Then('any bytes reach a client in order, whatever it takes when', function () {
+Then('any bytes reach a client in order, whenever it reads', function () {
   const step = fc.record({ bytes: fc.uint8Array({ maxLength: 30_000 }), takes: fc.boolean() });
   const listener = {
     onBackpressure: () => undefined,
@@ -335,7 +341,7 @@
 });
 
 Then(
-  'a runner that takes nothing may be sent requests until {int} bytes wait for it, and again once it takes',
+  'a runner that reads nothing may be sent requests until {int} bytes are unsent, and again once it reads',
   function (bound: number) {
     const backpressure = new RunnerBackpressure();
     const taken: (() => void)[] = [];
@@ -356,14 +362,14 @@
   },
 );
 
-/** A response whose client takes nothing. */
+/** Returns a response whose client reads nothing. */
 function untakenResponse(): ServerResponse {
   const response = Object.assign(new EventEmitter(), { writableLength: 0, write: () => false });
   return response as unknown as ServerResponse;
 }
 
 Then(
-  'a client that is behind holds the first runner, and the next one after the same bytes',
+  'a client that is behind pauses the first runner, and the next one after the same number of bytes',
   function () {
     const runtime = runtimeOn(new VirtualClock(), []);
     const answer = new ClientAnswer(untakenResponse(), {
@@ -393,38 +399,35 @@
   },
 );
 
-Then(
-  'a watch that is paused and resumed while a probe is out probes once in each silence',
-  function () {
-    const clock = new VirtualClock();
-    const probes: ((reachable: boolean) => void)[] = [];
-    const record = { inactivity: { timeoutMilliseconds: 100 }, lastActivityAt: 0, runner: {} };
-    const context = {
-      runtime: runtimeOn(clock, []),
-      connections: {
-        probe: (_runner: unknown, done: (reachable: boolean) => void) => probes.push(done),
-      },
-    };
-    const watch = new InactivityMonitor(
-      context as unknown as RelayContext,
-      record as unknown as RunnerRecord,
-      () => undefined,
-    );
-    advance(clock, 100);
-    assert.equal(probes.length, 1);
-    watch.pause();
-    watch.resume();
-    probes[0]!(true);
-    advance(clock, 250);
-    assert.equal(probes.length, 2);
-    watch.stop();
-    advance(clock, 1_000);
-    assert.equal(probes.length, 2);
-  },
-);
+Then('a watch that is paused and resumed during a probe probes once in each silence', function () {
+  const clock = new VirtualClock();
+  const probes: ((reachable: boolean) => void)[] = [];
+  const record = { inactivity: { timeoutMilliseconds: 100 }, lastActivityAt: 0, runner: {} };
+  const context = {
+    runtime: runtimeOn(clock, []),
+    connections: {
+      probe: (_runner: unknown, done: (reachable: boolean) => void) => probes.push(done),
+    },
+  };
+  const watch = new InactivityMonitor(
+    context as unknown as RelayContext,
+    record as unknown as RunnerRecord,
+    () => undefined,
+  );
+  advance(clock, 100);
+  assert.equal(probes.length, 1);
+  watch.pause();
+  watch.resume();
+  probes[0]!(true);
+  advance(clock, 250);
+  assert.equal(probes.length, 2);
+  watch.stop();
+  advance(clock, 1_000);
+  assert.equal(probes.length, 2);
+});
 
 Then(
-  '{int} bodies of {int} bytes that wait for connections leave a runner in, and count from their connections on',
+  '{int} bodies of {int} bytes that wait for connections do not block a runner, and count from their connections on',
   function (count: number, bytes: number) {
     const backpressure = new RunnerBackpressure();
     const sends = Array.from({ length: count }, () => backpressure.prepareSend(RUNNER, bytes));
@@ -443,14 +446,14 @@
 );
 
 When(
-  '{int} bodies of {int} bytes come, {int} of which are given up',
+  '{int} bodies of {int} bytes arrive, {int} of which are cancelled',
   function (this: World, count: number, bytes: number, givenUp: number) {
     this.acceptedBodies = [];
     for (let body = 0; body < count; body += 1) {
       const giveUp = this.budget.whenBodyAccepted(() => {
         const allocation = this.budget.allocate('bodies');
-        this.acceptedBodies.push({ body, allocation: allocation });
-        // Its bytes come later than the word that it may.
+        this.acceptedBodies.push({ body, allocation });
+        // The bytes arrive some time after the body was accepted.
         this.clock.schedule(2, () => allocation.set(bytes));
       });
       if (body < givenUp) {
@@ -461,7 +464,7 @@
 );
 
 Then(
-  'no more than {int} of them are read together, and the mark is not passed by more than those',
+  'no more than {int} of them are read together, and the threshold is exceeded by no more than those',
   function (this: World, most: number) {
     assert.equal(this.acceptedBodies.length, most);
     advance(this.clock, 1_000);
@@ -470,28 +473,25 @@
   },
 );
 
-Then(
-  'all but those that were given up are read once there is room for each',
-  function (this: World) {
-    for (let round = 0; round < 20; round += 1) {
-      this.acceptedBodies.forEach(({ allocation: allocation }) => allocation.release());
-      advance(this.clock, 100);
-    }
-    assert.deepEqual(
-      this.acceptedBodies.map(({ body }) => body),
-      Array.from({ length: 80 }, (_, index) => index + 20),
-    );
-  },
-);
+Then('all but the cancelled ones are read once there is memory for each', function (this: World) {
+  for (let round = 0; round < 20; round += 1) {
+    this.acceptedBodies.forEach(({ allocation }) => allocation.release());
+    advance(this.clock, 100);
+  }
+  assert.deepEqual(
+    this.acceptedBodies.map(({ body }) => body),
+    Array.from({ length: 80 }, (_, index) => index + 20),
+  );
+});
 
-/** Head of a runner's answer. */
+/** Returns the head of a runner's answer. */
 function headOf(status: number): AnswerHead {
   const nothing = { reason: '', rawHeaders: [], headers: {}, notExecuted: false, closing: false };
   return { status, ...nothing };
 }
 
 Then(
-  "a turn whose first try broke off in an error's body is kept with the second one's events only",
+  "a turn whose first attempt broke off in an error's body is stored with only the events of the second attempt",
   function () {
     const kept: string[] = [];
     const runtime = runtimeOn(new VirtualClock(), []);
