--- a/features/contention.feature
+++ b/features/contention.feature
@@ -1,64 +1,64 @@
-Feature: Callers that compete for too little room
+Feature: Admission control under overload
 
-  Scenario Outline: A program begins where it can bear the wait that it would meet
-    Given runners with 100 places and <ahead> requests that go before it, of which <urgent> are more urgent
-    When a program of 6 turns with <left> ms left begins
-    Then it is <admitted>
+  Scenario Outline: A program is admitted if its predicted wait is acceptable
+    Given runners with 100 slots and <ahead> requests ahead of it, of which <urgent> are more urgent
+    When a program of 6 turns with <left> ms left starts
+    Then the program is <admitted>
 
     Examples:
       | ahead | urgent | left | admitted |
-      | 20    | 0      | 3000 | let in   |
-      | 99    | 0      | 100  | let in   |
-      | 110   | 0      | 3000 | let in   |
-      | 110   | 99     | 3000 | kept out |
-      | 400   | 0      | 3000 | kept out |
+      | 20    | 0      | 3000 | admitted |
+      | 99    | 0      | 100  | admitted |
+      | 110   | 0      | 3000 | admitted |
+      | 110   | 99     | 3000 | refused  |
+      | 400   | 0      | 3000 | refused  |
 
-  Scenario: A program that was let in stays so, however full the runners are
-    Then a program that was let in before is let in again whatever the load
+  Scenario: An admitted program stays admitted, however full the runners are
+    Then a program that was admitted before is admitted again whatever the load
 
-  Scenario: A program that ran through another gateway stays under way
-    Then a turn that shows that its program has run is let in where a new program is kept out
+  Scenario: A program that ran through another gateway stays admitted
+    Then a turn that shows that its program has run before is admitted where a new program is refused
 
-  Scenario: A program that ran through another gateway is not charged to its tenant's limit as a new one
-    Then of a tenant's first requests here, only that of a program that no runner knows begins a program
+  Scenario: A program that ran through another gateway is not charged to its tenant's quota as a new one
+    Then of a tenant's first requests here, only that of a program without cached prompts starts a program
 
-  Scenario: Without runners no new program begins
-    Then with no places a new program is kept out and a program under way isn't
+  Scenario: Without runners no new program starts
+    Then without slots a new program is refused and a program in progress is not
 
-  Scenario: Refused clients come back within what they wait, and not together
-    Then pauses lie between half of what is expected and a third of the request's time, whatever the figures
+  Scenario: Refused clients retry within the time they have, and not together
+    Then retry delays lie between half of the expected delay and a third of the request's time, whatever the inputs
 
-  Scenario: Who is behind counts for nothing to who goes before
-    Then requests of later ranks at all gateways are told apart from those of earlier ranks
+  Scenario: Less urgent requests don't count as ahead
+    Then requests of less urgent ranks at all gateways are counted apart from those of more urgent ranks
 
-  Scenario: With places free none is kept out, whatever the rank
-    Then programs of each rank begin among 130 requests of their own rank at 200 places
-    And programs of each rank bear equals as well as any other rank does
+  Scenario: With free slots no program is refused, whatever its rank
+    Then programs of each rank are admitted among 130 requests of their own rank at 200 slots
+    And programs of every rank are admitted among equals up to the same load
 
-  Scenario: Absurd sizes are taken for sizes that aren't told
-    Then whatever clients and engines tell, token counts are those of possible prompts
+  Scenario: Absurd sizes count as sizes that are not given
+    Then whatever clients and engines send, token counts are plausible
     And a fit stays finite whatever it observes, and goes on learning
 
-  Scenario: A few odd requests don't change what is learned of their kind
-    Then a request that tells few parts or none, or is refused, doesn't make others of its route sub-agents
-    And turns of programs that began elsewhere don't grow what a program is believed to need beyond 64
+  Scenario: A few odd requests don't change the statistics of their kind
+    Then a request that reports few parts or none, or is refused, doesn't make others of its route sub-agents
+    And turns of programs that started elsewhere don't raise the expected turns of a program above 64
 
-  Scenario: On-time work of less urgent tenants doesn't keep out more urgent ones
-    Then a new program waits for late programs of its own rank, here and at others, and not for on-time ones of the next tenants
+  Scenario: On-time work of less urgent tenants doesn't cause refusals of more urgent ones
+    Then a new program waits for late programs of its own rank at all gateways, and not for on-time ones of the next tenants
 
-  Scenario: Without places the expected wait stays a number
-    Then a program that is refused for want of places leaves the sum of expected waits finite
+  Scenario: Without slots the sum of predicted waits stays finite
+    Then a program that is refused for lack of slots leaves the sum of predicted waits finite
 
   Scenario: A million programs and kinds take bounded memory
-    Then a million distinct programs and kinds leave bounded tables
+    Then a million distinct programs and kinds leave tables of bounded size
 
-  Scenario: Absurd figures let in or keep out, and break nothing
-    Then whatever clients tell, a program is let in or kept out with a pause within its request's time
+  Scenario: Absurd inputs lead to an admission or a refusal, and break nothing
+    Then whatever clients send, a program is admitted, or refused with a retry delay within its request's time
 
-  Scenario Outline: In a burst as much is earned as under a fixed limit of each gateway, however old the loads are
-    Given a day with a burst of <factor> times in <kinds> and loads told <age> ms late
-    When the day is played with predicted finishes and with one limit of each gateway
-    Then predicted finishes earn no less, and less urgent kinds no less
+  Scenario Outline: In a burst at least as much is earned as with a limit at each gateway, however old the load figures are
+    Given a load with a burst of <factor> times in <kinds> and load figures <age> ms old
+    When the load is simulated with predicted waits and with a limit at each gateway
+    Then predicted waits earn no less, and less urgent kinds no less
     And urgent programs are served no less often than less urgent ones
     And no more programs and no more requests are refused
 
@@ -71,24 +71,24 @@
       | 1.6    | all   | 300  |
       | 1      | all   | 300  |
 
-  Scenario: When half of the runners go, as much is earned as under a fixed limit of each gateway
-    Given a day with a burst of 1 times in all and loads told 300 ms late
-    And 17 of the 34 engines lost at second 6
-    When the day is played with predicted finishes and with one limit of each gateway
-    Then predicted finishes earn no less, and less urgent kinds no less
+  Scenario: When half of the engines fail, at least as much value is earned as with a limit at each gateway
+    Given a load with a burst of 1 times in all and load figures 300 ms old
+    And 17 of the 34 engines failing at second 6
+    When the load is simulated with predicted waits and with a limit at each gateway
+    Then predicted waits earn no less, and less urgent kinds no less
     And urgent programs are served no less often than less urgent ones
 
   @known-red
   Scenario: Gateways are cut in two halves that don't hear each other
-    Given a day with a burst of 2.5 times in all and loads told 300 ms late
-    And gateways cut in two halves
-    When the day is played with predicted finishes and with one limit of each gateway
-    Then predicted finishes earn no less, and less urgent kinds no less
+    Given a load with a burst of 2.5 times in all and load figures 300 ms old
+    And gateways partitioned into two halves
+    When the load is simulated with predicted waits and with a limit at each gateway
+    Then predicted waits earn no less, and less urgent kinds no less
     And urgent programs are served no less often than less urgent ones
 
-  Scenario: Gateways are cut in two halves, and urgent programs are served as before
-    Given a day with a burst of 2.5 times in all and loads told 300 ms late
-    And gateways cut in two halves
-    When the day is played with predicted finishes and with one limit of each gateway
+  Scenario: With the gateways partitioned into two halves, urgent programs are served as before
+    Given a load with a burst of 2.5 times in all and load figures 300 ms old
+    And gateways partitioned into two halves
+    When the load is simulated with predicted waits and with a limit at each gateway
     Then urgent programs are served no less often than less urgent ones
     And no more programs and no more requests are refused
--- a/features/steps/contention-requests.steps.ts
+++ b/features/steps/contention-requests.steps.ts
@@ -1,4 +1,7 @@
-/** Steps about what admission makes of requests of each rank and shape, and of absurd ones. */
+/**
+ * Steps for the admission of requests by rank and number of prompt parts, and of requests with
+ * absurd values.
+ */
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -16,7 +19,9 @@
 const RANKS = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9];
 const SLOTS = 200;
 
-/** Whether a program of a rank begins at a service whose requests in flight are all known by rank. */
+/**
+ * Whether a program of a rank is admitted to a service, given the ranks of its requests in flight.
+ */
 function isAdmittedAmong(rank: number, inFlight: number, ranks: readonly number[]): boolean {
   const demand = new ServiceDemand(new AggregateRegistry());
   ranks.forEach((other) => demand.begin('s', other));
@@ -38,7 +43,7 @@
 }
 
 Then(
-  'programs of each rank begin among {int} requests of their own rank at 200 places',
+  'programs of each rank are admitted among {int} requests of their own rank at 200 slots',
   function (inFlight: number) {
     for (const rank of RANKS) {
       const sameRank = new Array<number>(inFlight).fill(rank);
@@ -48,7 +53,7 @@
   },
 );
 
-Then('programs of each rank bear equals as well as any other rank does', function () {
+Then('programs of every rank are admitted among equals up to the same load', function () {
   for (const inFlight of [205, 220, 240, 300, 1_000]) {
     const admitted = RANKS.map((rank) =>
       isAdmittedAmong(rank, inFlight, new Array<number>(inFlight).fill(rank)),
@@ -63,7 +68,7 @@
 );
 const MAXIMUM_TOKENS = 1e8;
 
-Then('whatever clients and engines tell, token counts are those of possible prompts', function () {
+Then('whatever clients and engines send, token counts are plausible', function () {
   const isPossible = (tokens: number): boolean => tokens >= 0 && tokens <= MAXIMUM_TOKENS;
   fc.assert(
     fc.property(COUNT_TEXT, COUNT_TEXT, (first, second) => {
@@ -100,7 +105,10 @@
   assert.ok(Math.abs(fit.coefficients[1]! - 3) < 0.1, `${fit.coefficients.join(' ')}`);
 });
 
-/** A passage of a program with so many parts in its prompt, at a gateway with some shapes and load. */
+/**
+ * Returns the state of a request with a number of prompt parts, at a gateway with given statistics
+ * and load.
+ */
 function requestStateWithParts(
   program: string,
   parts: number,
@@ -110,13 +118,13 @@
   const sentParts = Array.from({ length: parts }, (_unused, part) => `${part}:100`).join(',');
   const { context, request } = requestStateWith(program, parsePromptParts(sentParts), 0);
   const registry = { ...context.registry, loadOf: () => ({ inFlight, slots: SLOTS, runners: 34 }) };
-  const testContext = { ...context, kindStats: kindStats, registry } as unknown as RelayContext;
+  const testContext = { ...context, kindStats, registry } as unknown as RelayContext;
   const requestWithDeadline = { ...request, programDeadlineAt: 3_000 };
   return new RequestState(testContext, requestWithDeadline as unknown as RelayRequest);
 }
 
 Then(
-  "a request that tells few parts or none, or is refused, doesn't make others of its route sub-agents",
+  "a request that reports few parts or none, or is refused, doesn't make others of its route sub-agents",
   function () {
     const kindStats = new ProgramStats();
     const decide = (program: string, parts: number, inFlight = 0): string =>
@@ -140,7 +148,7 @@
 );
 
 Then(
-  "turns of programs that began elsewhere don't grow what a program is believed to need beyond {int}",
+  "turns of programs that started elsewhere don't raise the expected turns of a program above {int}",
   function (most: number) {
     const kindStats = new ProgramStats();
     for (let turn = 0; turn < 10_000; turn += 1) {
@@ -151,7 +159,7 @@
 );
 
 Then(
-  'a new program waits for late programs of its own rank, here and at others, and not for on-time ones of the next tenants',
+  'a new program waits for late programs of its own rank at all gateways, and not for on-time ones of the next tenants',
   function () {
     const MANY = 600;
     const NEXT_TENANT = 3;
@@ -181,7 +189,7 @@
 );
 
 Then(
-  'a program that is refused for want of places leaves the sum of expected waits finite',
+  'a program that is refused for lack of slots leaves the sum of predicted waits finite',
   function () {
     const { context, request } = requestStateWithParts('new', 0, new ProgramStats());
     const registry = { ...context.registry, loadOf: () => ({ inFlight: 0, slots: 0, runners: 0 }) };
--- a/features/steps/contention.steps.ts
+++ b/features/steps/contention.steps.ts
@@ -1,6 +1,6 @@
 /**
- * Steps about admission. The day in the laboratory is that of 34 engines of 6 places behind 52 gateways, with an
- * urgent and a less urgent kind of programs, and bursts of up to 2.5 times the usual.
+ * Steps for admission control. The simulation has 34 engines of 6 slots behind 52 gateways, with an
+ * urgent and a less urgent kind of program, and bursts of up to 2.5 times the usual load.
  */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -52,33 +52,33 @@
 }
 
 Given(
-  'runners with {int} places and {int} requests that go before it, of which {int} are more urgent',
+  'runners with {int} slots and {int} requests ahead of it, of which {int} are more urgent',
   function (this: World, slots: number, ahead: number, moreUrgent: number) {
     this.inputs = { ...IDLE, slots, ahead, moreUrgent };
   },
 );
 
 When(
-  'a program of {int} turns with {int} ms left begins',
+  'a program of {int} turns with {int} ms left starts',
   function (this: World, turns: number, programRemainingMilliseconds: number) {
     const inputs = {
       ...this.inputs,
       turns,
-      programRemainingMilliseconds: programRemainingMilliseconds,
+      programRemainingMilliseconds,
     };
     this.isAdmitted = isAdmitted(freshAdmission(), 'new', inputs);
   },
 );
 
-Then('it is let in', function (this: World) {
+Then('the program is admitted', function (this: World) {
   assert.equal(this.isAdmitted, true);
 });
 
-Then('it is kept out', function (this: World) {
+Then('the program is refused', function (this: World) {
   assert.equal(this.isAdmitted, false);
 });
 
-Then('a program that was let in before is let in again whatever the load', function () {
+Then('a program that was admitted before is admitted again whatever the load', function () {
   const admission = freshAdmission();
   assert.ok(isAdmitted(admission, 'known', IDLE));
   assert.ok(isAdmitted(admission, 'known', FULL));
@@ -88,7 +88,7 @@
 });
 
 Then(
-  'a turn that shows that its program has run is let in where a new program is kept out',
+  'a turn that shows that its program has run before is admitted where a new program is refused',
   function () {
     const admission = freshAdmission();
     assert.ok(!isAdmitted(admission, 'a', FULL));
@@ -97,14 +97,14 @@
   },
 );
 
-Then("with no places a new program is kept out and a program under way isn't", function () {
+Then('without slots a new program is refused and a program in progress is not', function () {
   const gone = { ...IDLE, slots: 0 };
   assert.ok(!isAdmitted(freshAdmission(), 'a', gone));
   assert.ok(isAdmitted(freshAdmission(), 'a', gone, true));
 });
 
 Then(
-  "of a tenant's first requests here, only that of a program that no runner knows begins a program",
+  "of a tenant's first requests here, only that of a program without cached prompts starts a program",
   function () {
     const parts = parsePromptParts('aa:500,bb:300');
     const [fresh, known] = [500, 700].map((kept) => requestStateWith(`keeps ${kept}`, parts, kept));
@@ -119,7 +119,7 @@
 const AMOUNT = fc.double({ min: 0, max: 1e9, noNaN: true });
 
 Then(
-  "pauses lie between half of what is expected and a third of the request's time, whatever the figures",
+  "retry delays lie between half of the expected delay and a third of the request's time, whatever the inputs",
   function () {
     const drawn = fc.double({ min: 0, max: 1, noNaN: true });
     fc.assert(
@@ -135,7 +135,7 @@
 );
 
 Then(
-  'requests of later ranks at all gateways are told apart from those of earlier ranks',
+  'requests of less urgent ranks at all gateways are counted apart from those of more urgent ranks',
   function () {
     const board = new AggregateRegistry();
     const others = new Map([[hashToNumber('s'), [1, 0, 4, 0, 0, 2, 0, 0]]]);
@@ -157,7 +157,7 @@
   },
 );
 
-Then('a million distinct programs and kinds leave bounded tables', function () {
+Then('a million distinct programs and kinds leave tables of bounded size', function () {
   const MILLION = 1_000_000;
   const admission = freshAdmission();
   const kindStats = new ProgramStats();
@@ -171,7 +171,7 @@
 });
 
 Then(
-  "whatever clients tell, a program is let in or kept out with a pause within its request's time",
+  "whatever clients send, a program is admitted, or refused with a retry delay within its request's time",
   function () {
     const figure = fc.oneof(
       fc.double(),
@@ -225,7 +225,7 @@
 const BURST_TO_SECOND = 10;
 
 Given(
-  'a day with a burst of {float} times in {word} and loads told {int} ms late',
+  'a load with a burst of {float} times in {word} and load figures {int} ms old',
   function (this: World, burst: number, kinds: string, ageMilliseconds: number) {
     const factor = (kind: ProgramKind, second: number): number => {
       const isIn = second >= BURST_FROM_SECOND && second < BURST_TO_SECOND;
@@ -241,18 +241,18 @@
 );
 
 Given(
-  '{int} of the 34 engines lost at second {int}',
+  '{int} of the 34 engines failing at second {int}',
   function (this: World, engines: number, second: number) {
     this.scenario = { ...this.scenario, lostEngines: { engines, second } };
   },
 );
 
-Given('gateways cut in two halves', function (this: World) {
+Given('gateways partitioned into two halves', function (this: World) {
   this.scenario = { ...this.scenario, isPartitioned: true };
 });
 
 When(
-  'the day is played with predicted finishes and with one limit of each gateway',
+  'the load is simulated with predicted waits and with a limit at each gateway',
   function (this: World) {
     this.predictedSimulation = new ContentionSimulation(
       this.scenario,
@@ -262,7 +262,7 @@
   },
 );
 
-Then('predicted finishes earn no less, and less urgent kinds no less', function (this: World) {
+Then('predicted waits earn no less, and less urgent kinds no less', function (this: World) {
   const [now, before] = [this.predictedSimulation, this.limitedSimulation];
   assert.ok(now.earnedShare >= before.earnedShare, `${now.earnedShare} of ${before.earnedShare}`);
   const [less, lessBefore] = [now.outcomes.get('less')!, before.outcomes.get('less')!];
--- a/features/support/contention-admissions.ts
+++ b/features/support/contention-admissions.ts
@@ -1,4 +1,4 @@
-/** Ways of admission that the laboratory compares. */
+/** Admission policies that the simulation compares. */
 import { ProgramAdmission } from '../../src/relay/admission/program-admission.js';
 import { demandAhead } from '../../src/relay/admission/demand-ahead.js';
 import type { RandomSource } from '../../src/runtime/random.js';
@@ -7,7 +7,10 @@
 import { LATE_RANKS_AT_RUNNERS } from './contention-simulation.js';
 import { TURN_MILLISECONDS } from './contention-programs.js';
 
-/** One limit in requests a place, learned by each gateway from turns of late programs; 0.15 s of pause for all. */
+/**
+ * A limit on the requests in flight per slot, which each gateway adjusts when turns of late
+ * programs arrive; refused clients retry after 150 ms.
+ */
 export function fixedGatewayLimit(): SimulatedAdmission {
   const admittedPrograms = new Set<string>();
   let limit = 0.7;
@@ -26,7 +29,7 @@
   };
 }
 
-/** What decides in the gateway. */
+/** The admission control of the gateway. */
 export function predictedWaitAdmission(random: RandomSource): SimulatedAdmission {
   const admission = new ProgramAdmission(random);
   const kindStats = new ProgramStats();
@@ -34,8 +37,8 @@
     const {
       program,
       kind,
-      programRemainingMilliseconds: programRemainingMilliseconds,
-      requestRemainingMilliseconds: requestRemainingMilliseconds,
+      programRemainingMilliseconds,
+      requestRemainingMilliseconds,
       isSubAgent,
     } = turn;
     const rank = kind.rank + (programRemainingMilliseconds <= 0 ? LATE_RANKS_AT_RUNNERS : 0);
@@ -55,8 +58,8 @@
         slots: load.slots,
         turnMilliseconds: TURN_MILLISECONDS,
         turns: kindStats.expectedTurns(kind.name),
-        programRemainingMilliseconds: programRemainingMilliseconds,
-        requestRemainingMilliseconds: requestRemainingMilliseconds,
+        programRemainingMilliseconds,
+        requestRemainingMilliseconds,
       }),
     });
     if (decision.retryDelayMilliseconds === undefined) {
--- a/features/support/contention-engines.ts
+++ b/features/support/contention-engines.ts
@@ -1,19 +1,18 @@
 /**
- * Engines in virtual time by the law of model engines: a request is read, then each step of all that run takes
- * base + slope x running; places are few, a queue stands before them, and the more urgent go first and take the
- * places of the less urgent.
+ * Simulated model engines in virtual time: each engine has a few slots and a bounded queue, and
+ * more urgent requests are started first and preempt less urgent ones.
  */
 import type { VirtualClock } from '../../src/simulation/virtual-clock.js';
 import type { CancelTimer } from '../../src/runtime/runtime.js';
 
 const QUEUE_CAPACITY = 18;
-/** Time for reading a preempted request again, in milliseconds. */
+/** Time to read a preempted request again, in milliseconds. */
 const REREAD_MILLISECONDS = 5;
 
-/** One request at an engine. */
+/** A request at an engine. */
 export interface EngineRun {
   readonly rank: number;
-  /** Time that it still needs on an engine of usual speed, in milliseconds. */
+  /** Remaining time on an engine of the usual speed, in milliseconds. */
   workMilliseconds: number;
   readonly done: () => void;
 }
@@ -24,11 +23,11 @@
   readonly cancel: CancelTimer;
 }
 
-/** See the head of this file. */
+/** One simulated engine. */
 export class SimulatedEngine {
   private running: Running[] = [];
   private waiting: EngineRun[] = [];
-  /** Whether it is there. */
+  /** Whether the engine is running. */
   isUp = true;
 
   constructor(
@@ -37,7 +36,7 @@
     private readonly slowness: number,
   ) {}
 
-  /** Takes a request; false where it is full. */
+  /** Starts or queues a request; returns false if the engine is full or has failed. */
   submit(run: EngineRun): boolean {
     if (!this.isUp) {
       return false;
@@ -59,7 +58,7 @@
     return true;
   }
 
-  /** Its client left. */
+  /** Removes a request whose client disconnected. */
   cancel(run: EngineRun): void {
     this.waiting = this.waiting.filter((other) => other !== run);
     const running = this.running.find((other) => other.run === run);
@@ -69,7 +68,7 @@
     }
   }
 
-  /** Loses all that is there. */
+  /** Fails the engine; returns the requests that are lost. */
   fail(): readonly EngineRun[] {
     this.isUp = false;
     this.running.forEach(({ cancel }) => cancel());
--- a/features/support/contention-programs.ts
+++ b/features/support/contention-programs.ts
@@ -1,47 +1,49 @@
-/** Programs of the laboratory of admission, drawn ahead: nobody but the laboratory knows them. */
+/** Random programs of the admission simulation, generated ahead and unknown to the gateways. */
 import type { RandomSource } from '../../src/runtime/random.js';
 
-/** One kind of programs. */
+/** A kind of program. */
 export interface ProgramKind {
   readonly name: string;
   readonly rank: number;
   readonly programsPerSecond: number;
   readonly turns: number;
-  /** Share of turns after which sub-agents run. */
+  /** Share of turns that are followed by sub-agents. */
   readonly fanOutShare: number;
-  /** A program's aim: its time on idle engines so many times, and some milliseconds. */
+  /**
+   * Time to a program's deadline: this factor of its time on idle engines, plus some milliseconds.
+   */
   readonly deadlineFactor: number;
   readonly deadlineExtraMilliseconds: number;
   readonly value: number;
   readonly lateValue: number;
 }
 
-/** One turn of a program, drawn ahead: nobody but the laboratory knows it. */
+/** A turn of a program. */
 export interface PlannedTurn {
   readonly workMilliseconds: number;
   readonly thinkMilliseconds: number;
-  /** Sub-agents that run before the next turn. */
+  /** Turns of the sub-agents that run before the next turn. */
   readonly agents: readonly PlannedSequence[];
 }
 
-/** Turns that come one after another. */
+/** Turns that run one after another. */
 export type PlannedSequence = readonly PlannedTurn[];
 
-/** The way to a gateway, one way, in milliseconds. */
+/** One-way network delay to a gateway, in milliseconds. */
 export const ONE_WAY_MILLISECONDS = 12;
 const THINK_MILLISECONDS = 60;
 const STEP_MILLISECONDS = 3.15;
 const STEPS_PER_EVENT = 15;
 const EVENTS = 4.87;
-/** What a turn takes on an idle engine, in milliseconds. */
+/** Mean duration of a turn on an idle engine, in milliseconds. */
 export const TURN_MILLISECONDS = EVENTS * STEPS_PER_EVENT * STEP_MILLISECONDS + 4;
-/** Spread of the work of turns, about the mean above. */
+/** Standard deviation of the logarithm of a turn's work. */
 const WORK_SIGMA = 0.5;
 const MEDIAN_TO_MEAN = 0.88;
 const SUB_AGENTS = 5;
 const SUB_AGENT_TURNS = 2;
 
-/** Time of a line of turns on idle engines, in milliseconds. */
+/** Returns the time that a sequence of turns takes on idle engines, in milliseconds. */
 export function idleTimeOf(plan: PlannedSequence): number {
   return plan.reduce((sum, { workMilliseconds, thinkMilliseconds, agents }) => {
     const slowest = Math.max(0, ...agents.map(idleTimeOf));
@@ -49,7 +51,7 @@
   }, 0);
 }
 
-/** Draws a line of turns; after a share of them sub-agents run. */
+/** Generates a sequence of turns, a share of which are followed by sub-agents. */
 export function drawSequence(
   random: RandomSource,
   turns: number,
--- a/features/support/contention-requests.ts
+++ b/features/support/contention-requests.ts
@@ -1,4 +1,4 @@
-/** Requests of programs as the stage of admission meets them, without a network. */
+/** Creates requests for the admission stage, without a network. */
 import { ProgramAdmission } from '../../src/relay/admission/program-admission.js';
 import { ProgramStats } from '../../src/relay/admission/program-stats.js';
 import { ServiceDemand } from '../../src/relay/admission/service-demand.js';
@@ -10,12 +10,15 @@
 import { EngineEstimate } from '../../src/relay/runners/engine-estimate.js';
 import { RequestState } from '../../src/relay/stages/request-state.js';
 
-/** Admission that knows no program. */
+/** Returns admission control that has admitted no program yet. */
 export function freshAdmission(): ProgramAdmission {
   return new ProgramAdmission(createRandom(3));
 }
 
-/** A request of a tenant at a gateway that knows none of its programs; runners keep so much of its prompt. */
+/**
+ * Returns a tenant's request at a gateway that knows none of its programs; the runners cache
+ * `cachedTokens` tokens of its prompt.
+ */
 export function requestStateWith(
   program: string,
   promptParts: readonly PromptPart[],
@@ -31,7 +34,7 @@
     registry: {
       loadOf: () => ({ inFlight: 0, slots: 6, runners: 1 }),
       engineCosts: () => new EngineEstimate(),
-      candidates: () => [{ cachedTokens: cachedTokens }],
+      candidates: () => [{ cachedTokens }],
       loadAgeMilliseconds: () => 100,
     },
   } as unknown as RelayContext;
--- a/features/support/contention-scenario.ts
+++ b/features/support/contention-scenario.ts
@@ -1,16 +1,16 @@
-/** A day of the laboratory of admission, what a gateway sees in it, and what became of its programs. */
+/** Types of the admission simulation: its scenario, what a gateway knows, and the outcomes. */
 import type { ProgramKind } from './contention-programs.js';
 
-/** A day in the laboratory. */
+/** Parameters of one simulation. */
 export interface SimulationScenario {
   readonly kinds: readonly ProgramKind[];
   readonly seed: number;
   readonly loadAgeMilliseconds: number;
-  /** Requests of a kind at a time, against usual. */
+  /** Load of a kind at a time, relative to the usual load. */
   readonly factor: (kind: ProgramKind, second: number) => number;
-  /** Whether gateways are cut in two halves, each of which hears its own alone. */
+  /** Whether a network partition splits the gateways into two halves. */
   readonly isPartitioned?: boolean;
-  /** Engines lost, from a second on. */
+  /** Number of engines that fail, and the second at which they do. */
   readonly lostEngines?: { readonly engines: number; readonly second: number };
 }
 
@@ -18,26 +18,29 @@
 export interface SimulatedTurn {
   readonly program: string;
   readonly kind: ProgramKind;
-  /** Time until the program should be over, in milliseconds. */
+  /** Time until the program's deadline, in milliseconds. */
   readonly programRemainingMilliseconds: number;
-  /** Time that the client waits for this send, in milliseconds. */
+  /** Time until the timeout of this request, in milliseconds. */
   readonly requestRemainingMilliseconds: number;
   readonly isSubAgent: boolean;
 }
 
-/** What a gateway believes of the engines. */
+/** Load of the engines as a gateway knows it. */
 export interface SimulatedLoad {
   readonly inFlight: number;
   readonly slots: number;
   readonly runners: number;
-  /** Requests that wait behind one of a rank. */
+  /** Returns the number of requests that are less urgent than a rank. */
   readonly countLessUrgent: (rank: number) => number;
 }
 
-/** Admission at one gateway: a pause in milliseconds, or undefined to let the turn in. */
+/**
+ * Admission policy of one gateway: returns a retry delay in milliseconds, or undefined to admit the
+ * turn.
+ */
 export type SimulatedAdmission = (turn: SimulatedTurn, load: SimulatedLoad) => number | undefined;
 
-/** What became of the programs of a kind. */
+/** Outcomes of the programs of one kind. */
 export interface KindOutcome {
   programs: number;
   inTime: number;
@@ -46,6 +49,6 @@
   refused: number;
   refusals: number;
   refusalsUnderWay: number;
-  /** Share of what the programs were worth. */
+  /** Value earned by the programs, as a share of the possible value. */
   earned: number;
 }
--- a/features/support/contention-simulation.ts
+++ b/features/support/contention-simulation.ts
@@ -1,7 +1,8 @@
 /**
- * A laboratory of admission: clients run programs through many gateways at engines that are too few, in virtual
- * time, with loads that are told late. Clients do what they are told: they come back after the pause, for a third of
- * the time they have left at most, and try each turn a few times.
+ * Simulation of admission control in virtual time: clients run programs through many gateways on
+ * too few engines, and the gateways' load figures are delayed. Refused clients retry after the
+ * delay they are given, limited to a third of the time they have left, and send each turn a few
+ * times.
  */
 import { createRandom } from '../../src/runtime/random.js';
 import type { RandomSource } from '../../src/runtime/random.js';
@@ -18,7 +19,7 @@
 import { drawSequence, idleTimeOf, ONE_WAY_MILLISECONDS } from './contention-programs.js';
 import type { ProgramKind, PlannedSequence } from './contention-programs.js';
 
-/** Ranks that a late program falls behind. */
+/** Number of ranks by which a late program is less urgent. */
 export const LATE_RANKS_AT_RUNNERS = 3;
 const ENGINES = 34;
 const SLOTS_PER_ENGINE = 6;
@@ -56,12 +57,12 @@
   readonly over: () => void;
 }
 
-/** See the head of this file. */
+/** Runs one scenario under an admission policy. */
 export class ContentionSimulation {
   readonly outcomes = new Map<string, KindOutcome>();
   private readonly clock = new VirtualClock();
   private readonly random: RandomSource;
-  /** Programs and their sizes: the same whatever is decided. */
+  /** Source of the arrivals and sizes of programs, which don't depend on the policy. */
   private readonly demand: RandomSource;
   private readonly engines: SimulatedEngine[];
   private readonly loads: number[][];
@@ -87,7 +88,7 @@
     this.admissions = this.ranks.map(() => admissionOf(this.random));
   }
 
-  /** Plays the day. */
+  /** Runs the simulation. */
   run(): this {
     this.publishLoads();
     this.scenario.kinds.forEach((kind) => {
@@ -103,7 +104,7 @@
       });
       this.scheduleNextArrival(kind);
     });
-    const { lostEngines: lostEngines } = this.scenario;
+    const { lostEngines } = this.scenario;
     if (lostEngines !== undefined) {
       this.clock.schedule(lostEngines.second * 1_000, () => this.failEngines(lostEngines.engines));
     }
@@ -112,7 +113,7 @@
     return this;
   }
 
-  /** Share of the worth of all kinds that was earned. */
+  /** Share of the possible value of all programs that was earned. */
   get earnedShare(): number {
     let earned = 0;
     let possible = 0;
@@ -183,7 +184,7 @@
 
   private endProgram(program: Program): void {
     const outcome = this.outcomes.get(program.kind.name)!;
-    const { kind, deadlineAt: deadlineAt, clientWaitsUntil: clientWaitsUntil } = program;
+    const { kind, deadlineAt, clientWaitsUntil } = program;
     if (program.failed) {
       outcome.refused += 1;
     } else if (this.clock.now <= deadlineAt) {
@@ -240,7 +241,7 @@
     this.clock.schedule(this.random.integer(100, 400), () => this.send(sequence, send + 1));
   }
 
-  /** Sends a turn; the pause where it is refused. */
+  /** Sends a turn to a gateway; returns the retry delay in milliseconds if it is refused. */
   private sendTo(
     sequence: TurnSequence,
     gateway: number,
@@ -342,7 +343,10 @@
     }
   }
 
-  /** Engines in the order in which a gateway asks them: of two that are drawn the less busy, then others. */
+  /**
+   * Returns the engines in the order in which a gateway tries them: the less loaded of two random
+   * ones, the other, and a third.
+   */
   private drawEngines(gateway: number): number[] {
     const up = this.engines.flatMap((engine, index) => (engine.isUp ? [index] : []));
     const picked = Array.from({ length: 3 }, () => this.random.pick(up));
@@ -383,7 +387,7 @@
       inFlight,
       slots: up.length * SLOTS_PER_ENGINE,
       runners: up.length,
-      countLessUrgent: countLessUrgent,
+      countLessUrgent,
     };
   }
 }
