--- a/src/relay/placement/choose-runner.ts
+++ b/src/relay/placement/choose-runner.ts
@@ -1,8 +1,11 @@
-/** Decides which runner gets a request: the one with the least expected cost in milliseconds. */
+/** Chooses the runner with the lowest expected cost for a request. */
 import type { RunnerView } from '../runners/runner-view.js';
 import type { PlacementCharge, PlacementNeed } from './placement-charges.js';
 
-/** Expected cost of a request at a runner, in milliseconds, to itself and to those beside it. */
+/**
+ * Expected cost of placing a request on a runner, in milliseconds of delay to the request itself and to the
+ * requests that run there at the same time.
+ */
 export function placementCost(
   view: RunnerView,
   need: PlacementNeed,
@@ -15,7 +18,7 @@
   return cost;
 }
 
-/** The runner of least cost; undefined when there is none. */
+/** Returns the runner with the lowest cost, or undefined if `views` is empty. */
 export function chooseRunner<View extends RunnerView>(
   views: readonly View[],
   need: PlacementNeed,
--- a/src/relay/placement/place-request.ts
+++ b/src/relay/placement/place-request.ts
@@ -1,4 +1,4 @@
-/** Chooses the runner of a request's next try from what is believed of the runners of its service. */
+/** Chooses the runner for the next attempt of a request from the state of its service's runners. */
 import { hashToNumber } from '../../runtime/hashing.js';
 import type { RelayContext } from '../relay-context.js';
 import type { RunnerIncarnation } from '../runners/runner.js';
@@ -8,17 +8,18 @@
 import { sampleCandidates } from './sample-candidates.js';
 import type { PlacementNeed } from './placement-charges.js';
 
-/** What the tries so far leave to choose from. */
+/** Runners that earlier attempts of the request rule out or make less preferable. */
 export interface RunnerConstraints {
+  /** Whether the retry rules allow an attempt on a runner. */
   readonly isAllowed: (runner: RunnerIncarnation) => boolean;
-  /** Runners that refused it: asking them again at once helps nobody. */
+  /** Runners that refused the request; never chosen again, since they would most likely refuse it again. */
   readonly refusedBy: ReadonlySet<RunnerIncarnation>;
-  /** Runners at which a try failed: taken only when no other is left. */
+  /** Runners on which an attempt failed; chosen only if no other runner is left. */
   readonly failedAt: ReadonlySet<RunnerIncarnation>;
 }
 
 function needOf(context: RelayContext, requestState: RequestState, service: string): PlacementNeed {
-  const { request, routingKey: routingKey, body } = requestState;
+  const { request, routingKey, body } = requestState;
   const isEngine = context.currentTable()?.services.get(service)?.cachesPrompts === true;
   return {
     zone: context.zone,
@@ -31,8 +32,8 @@
 }
 
 /**
- * The runner of least cost among those that may be asked; undefined when there is none. Runners that take no bytes
- * are left out as long as others are left: one that only waits for a burst to pass is better than none.
+ * Returns the allowed runner with the lowest cost, or undefined if there is none. Runners under backpressure are
+ * skipped while other runners are left, but are still preferred to no runner at all.
  */
 export function placeRequest(
   context: RelayContext,
--- a/src/relay/placement/placement-charges.ts
+++ b/src/relay/placement/placement-charges.ts
@@ -1,41 +1,42 @@
 /**
- * What makes a runner a worse choice for a request, one charge a cause, all in milliseconds of delay
- * to the request and to those beside it. The table is what placement adds up; a charge can be
- * switched off by its name to measure what it is worth.
+ * The terms of the placement cost function. Each charge stands for one cause of delay and returns the delay it
+ * adds to the request and to the requests running on the same runner, in milliseconds. Placement sums all charges;
+ * each can be switched off by name.
  */
 import { mixHashes } from '../../runtime/hashing.js';
 import type { EngineCosts } from '../runners/engine-estimate.js';
 import type { RunnerView } from '../runners/runner-view.js';
 
-/** What the request needs. */
+/** The properties of a request that placement depends on. */
 export interface PlacementNeed {
+  /** Zone of the gateway that sends the request. */
   readonly zone: string;
   readonly promptTokens: number;
-  /** Bytes that travel to the runner. */
+  /** Size of the request body that is sent to the runner. */
   readonly bodyBytes: number;
-  /** Requests with the same hash prefer the same runner when nothing else tells them apart. */
+  /** Requests with the same hash prefer the same runner if the runners are otherwise equal. */
   readonly affinityHash: number;
-  /** What the service's engines cost; undefined where the service is no model engine. */
+  /** Estimated costs of the service's engines; undefined if its runners are not model engines. */
   readonly engine: EngineCosts | undefined;
 }
 
-/** One cause of delay, in milliseconds. */
+/** Computes the delay from one cause, in milliseconds. */
 export type PlacementCharge = (view: RunnerView, need: PlacementNeed) => number;
 
-/** Part of its reading and generating time by which a request holds up each one beside it. */
+/** Share of a request's prefill and generation time that it adds to each concurrent request. */
 const INTERFERENCE_FACTOR = 0.5;
-/** Charge for a runner with all places taken, as a share of the mean time there. */
+/** Crowding charge of a runner whose slots are all taken, relative to its mean request time. */
 const CROWDING_WEIGHT = 1;
-/** How late the charge for taken places sets in: the first ones hardly delay one another. */
+/** Shape of the crowding charge: the first taken slots cost little, the last ones most. */
 const CROWDING_EXPONENT = 3;
-/** Charge for leaving the zone, whatever the request, and for each thousand bytes that leave it. */
+/** Fixed charge for sending a request to another zone, and the charge per kilobyte of its body. */
 const ZONE_MILLISECONDS = 3;
 const ZONE_MILLISECONDS_PER_KILOBYTE = 1;
 const MAXIMUM_ZONE_MILLISECONDS = 60;
 const BYTES_IN_KILOBYTE = 1_000;
-/** Charge for a connection that has to be made first: a new one may also take a place for a moment. */
+/** Charge for opening a new connection. */
 const CONNECTION_MILLISECONDS = 15;
-/** Largest advantage of the runner that the affinity prefers. */
+/** Largest charge for a runner that the affinity hash does not prefer. */
 const MAXIMUM_AFFINITY_MILLISECONDS = 8;
 const HASH_RANGE = 2 ** 32;
 
@@ -47,31 +48,31 @@
   return Math.min(view.inFlight, slotsOf(view));
 }
 
-/** All charges by name. */
+/** All charges by the name under which a setting can switch them off. */
 export const PLACEMENT_CHARGES = {
-  /** How long requests take at this runner. */
+  /** Mean request time of this runner. */
   pace: (view) => view.meanMilliseconds,
 
-  /** Waiting for a place. */
+  /** Time in the queue until a slot is free. */
   queue: (view) => {
     const waiting = Math.max(0, view.inFlight + 1 - slotsOf(view));
     return (waiting * view.meanMilliseconds) / slotsOf(view);
   },
 
-  /** Places that are taken: others may fill the rest before the request is there. */
+  /** Risk that the remaining slots are taken by other gateways before the request arrives. */
   crowding: (view) => {
     const taken = runningRequests(view) / slotsOf(view);
     return view.meanMilliseconds * CROWDING_WEIGHT * taken ** CROWDING_EXPONENT;
   },
 
-  /** Reading what is not kept there, which also holds up all that run at the same time. */
+  /** Prefill of the uncached prompt tokens, which also delays all concurrent requests. */
   reading: (view, need) => {
     const uncachedTokens = Math.max(0, need.promptTokens - view.cachedTokens);
     const delayedRequests = runningRequests(view) * INTERFERENCE_FACTOR;
     return uncachedTokens * (need.engine?.millisecondsPerToken ?? 0) * (1 + delayedRequests);
   },
 
-  /** Generating beside others: each slows the others' events and its own. */
+  /** Slower generation, since concurrent requests delay each other's events. */
   generating: (view, need) => {
     if (need.engine === undefined) {
       return 0;
@@ -81,7 +82,7 @@
     return eventMillisecondsPerRequest * meanEvents * slowed;
   },
 
-  /** Leaving the zone. */
+  /** Network cost of sending the request to another zone. */
   zone: (view, need) => {
     if (view.zone === need.zone) {
       return 0;
@@ -90,19 +91,18 @@
     return Math.min(MAXIMUM_ZONE_MILLISECONDS, ZONE_MILLISECONDS + bytes);
   },
 
-  /** Opening a connection to a plain service; at an engine it costs little beside what is kept there. */
+  /** New connection to a service other than an engine; for engines the prompt cache matters far more. */
   connection: (view, need) =>
     need.engine === undefined && !view.hasIdleConnection ? CONNECTION_MILLISECONDS : 0,
 
-  /** Requests about the same thing prefer the same runner. */
+  /** Tie-breaker that keeps requests with the same affinity hash on the same runner. */
   affinity: (view, need) =>
     (mixHashes(need.affinityHash, view.hash) / HASH_RANGE) * MAXIMUM_AFFINITY_MILLISECONDS,
 } as const satisfies Readonly<Record<string, PlacementCharge>>;
 
-/** Name of a charge. */
 export type PlacementChargeName = keyof typeof PLACEMENT_CHARGES;
 
-/** All charges but those that are switched off by name. */
+/** Returns all charges except those whose names are in `off`. */
 export function chargesWithout(off: ReadonlySet<string>): readonly PlacementCharge[] {
   return Object.entries(PLACEMENT_CHARGES)
     .filter(([name]) => !off.has(name))
--- a/src/relay/placement/sample-candidates.ts
+++ b/src/relay/placement/sample-candidates.ts
@@ -1,19 +1,22 @@
 /**
- * Which runners are weighed for a request. What a gateway knows of the load that others have sent is some
- * hundred milliseconds old. Were all gateways to weigh all runners, all would send to the one that seemed
- * the least busy, and by then it would be the busiest. So where others send more than a request or so to
- * each runner before it is known, two runners are drawn anew for each request, as is known to be enough,
- * and weighed beside one of those that keep the most of the prompt.
+ * Selects the runners that placement compares for a request. A gateway learns of the load that other gateways
+ * send with a delay of some hundred milliseconds. If all gateways compared all runners, they would all choose the
+ * runner that seemed least busy and overload it before any of them noticed. When other gateways are likely to have
+ * sent more than about one unreported request to each runner, only two randomly sampled runners are compared
+ * (the power of two choices), together with one of the runners that have the most of the prompt cached.
  */
 import type { RandomSource } from '../../runtime/random.js';
 import type { LoadView, RunnerView } from '../runners/runner-view.js';
 
-/** Runners that are drawn. */
 const SAMPLED_RUNNERS = 2;
-/** Requests of others to one runner that aren't known yet, up to which all runners are weighed. */
+/** Expected unreported requests per runner up to which all runners are compared. */
 const MAXIMUM_UNSEEN_REQUESTS = 1;
 
-/** Requests that others are likely to have sent to one runner since their loads were told. */
+/**
+ * Estimates how many requests other gateways have sent to each runner, on average, since they last reported
+ * their load.
+ * @param ageMilliseconds age of the reported load
+ */
 export function unseenRequests(views: readonly LoadView[], ageMilliseconds: number): number {
   let sum = 0;
   for (const { inFlightOfOthers, meanMilliseconds } of views) {
@@ -22,7 +25,10 @@
   return views.length === 0 ? 0 : sum / views.length;
 }
 
-/** The one that keeps the most from a place of the list on; none that keeps nothing. */
+/**
+ * Returns the runner with the most cached prompt tokens, or undefined if no runner has any. Ties go to the first
+ * runner at or after `start`, wrapping around.
+ */
 function mostCached<View extends RunnerView>(
   views: readonly View[],
   start: number,
@@ -38,8 +44,8 @@
 }
 
 /**
- * The runners to be weighed.
- * @param ageMilliseconds age of what others tell of their requests
+ * Returns the runners that placement compares: all of them, or a random sample if the known load is too stale.
+ * @param ageMilliseconds age of the load that other gateways reported
  */
 export function sampleCandidates<View extends LoadView>(
   views: readonly View[],
@@ -57,7 +63,7 @@
   while (sampled.size < SAMPLED_RUNNERS) {
     sampled.add(random.pick(views));
   }
-  // From a drawn place on, so that gateways don't agree on the first of many that keep as much.
+  // A random start spreads gateways over runners that have equally much of the prompt cached.
   const mostCachedView = mostCached(views, random.integer(0, views.length - 1));
   return mostCachedView === undefined ? [...sampled] : [...sampled.add(mostCachedView)];
 }
