--- a/src/relay/runners/engine-cache-discovery.ts
+++ b/src/relay/runners/engine-cache-discovery.ts
@@ -1,8 +1,8 @@
 /**
- * Asks the model engines what their memory keeps when this gateway starts: what it knew is gone with
- * its last life, and after a loss of power of all gateways nobody else knows it either. A list holds
- * up the engine's work for a moment, so with many gateways each asks only some of the engines, one after
- * another, and tells the others what it read.
+ * Queries the model engines for the contents of their prompt caches when this gateway starts. A gateway loses what
+ * it knew about the caches when it restarts, and after a power loss of all gateways its peers know nothing either.
+ * Listing the cache interrupts an engine's work for a moment, so with many gateways each of them queries only some
+ * of the engines, one after another, and announces the results to its peers.
  */
 import { isLeft } from 'fp-ts/lib/Either.js';
 import type { Either } from 'fp-ts/lib/Either.js';
@@ -12,50 +12,50 @@
 import { incarnationHash } from './runner.js';
 import type { Runner } from './runner.js';
 
-/** A part of a prompt that an engine keeps. */
+/** A part of a prompt that an engine has cached. */
 export interface CachedPart {
   readonly key: PromptKey;
-  /** Leading tokens of the part that are kept. */
+  /** Number of leading tokens of the part that are cached. */
   readonly tokens: number;
 }
 
-/** Reads what an engine keeps; the error says in one line why it could not be read. */
+/** Lists the contents of an engine's prompt cache; on failure `done` gets a one-line reason. */
 export type ReadCachedParts = (
   runner: Runner,
   done: (result: Either<string, readonly CachedPart[]>) => void,
 ) => void;
 
-/** What asking needs. */
+/** Dependencies of `EngineCacheDiscovery`. */
 export interface EngineCacheDiscoveryOptions {
   readonly runtime: Runtime;
   readonly registry: RunnerRegistry;
   readonly read: ReadCachedParts;
-  /** Whether a service's runners are model engines that keep prompts. */
+  /** Whether a service's runners are model engines that cache prompts. */
   readonly cachesPrompts: (service: string) => boolean;
-  /** Gateways heard lately, without this one. */
+  /** Number of gateways heard from recently, not counting this one. */
   readonly peerCount: () => number;
-  /** Tells peers what a runner keeps. */
+  /** Announces a runner's cached parts to the peers. */
   readonly announce: (runnerHash: number, parts: readonly CachedPart[]) => void;
 }
 
-/** Time after the start in which engines that are seen are asked, in milliseconds. */
+/** Time after the start in which newly added engines are queried; engines added later start empty. */
 const STARTUP_MILLISECONDS = 3_000;
-/** Time for the configuration and the first peers to be heard of, in milliseconds. */
+/** Delay before the first query, in which the configuration and the first peers become known. */
 const INITIAL_DELAY_MILLISECONDS = 20;
 /**
- * Pause between two questions: gateways that all start together ask in different orders, and hear
- * meanwhile of one another and of what others have read.
+ * Time between two queries. Gateways that start together query in different orders and meanwhile learn of each
+ * other and of the caches that others have read.
  */
 const QUERY_INTERVAL_MILLISECONDS = 12;
-/** Gateways that ask the same engine, on average, when all start together. */
+/** Mean number of gateways that query the same engine when all start together. */
 const GATEWAYS_PER_ENGINE = 8;
 
-/** Gateways beyond which one that was told enough by peers asks no more. */
+/** Number of gateways above which an engine is not queried if peers have already announced its cache. */
 const MANY_GATEWAYS = 2 * GATEWAYS_PER_ENGINE;
-/** Parts known of an engine that only another's list can have told so soon after the start. */
+/** Number of known parts from which a peer must have announced the engine's cache: requests add fewer so early. */
 const ANNOUNCED_PARTS = 12;
 
-/** See the head of this file. */
+/** Schedules the queries after the start of a gateway and records their results. */
 export class EngineCacheDiscovery {
   private readonly startedAt: number;
   private readonly pendingRunners: Runner[] = [];
@@ -65,7 +65,7 @@
     this.startedAt = options.runtime.now();
   }
 
-  /** Takes note of a runner that was not known before. */
+  /** Queues a newly added runner for a query if this gateway has just started. */
   noteRunnerAdded(runner: Runner): void {
     const { runtime } = this.options;
     if (runtime.now() - this.startedAt > STARTUP_MILLISECONDS) {
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Asks a runner drawn from those that wait and fall to this gateway, then the next after a pause. */
+  /** Queries a randomly picked pending runner and schedules the next query; skips those that need none. */
   private queryNext(): void {
     const { runtime } = this.options;
     while (this.pendingRunners.length > 0) {
@@ -111,14 +111,14 @@
     read(runner, (result) => {
       if (isLeft(result)) {
         const fields = { event: 'memory.unread', runner: runner.id, reason: result.left };
-        runtime.log('warn', 'memory of a runner not read', fields);
+        runtime.log('warn', 'prompt cache of a runner could not be read', fields);
         return;
       }
       const { length: parts } = result.right;
       result.right.forEach(({ key, tokens }) => registry.learnCachedPart(hash, key, tokens));
       announce(hash, result.right);
       const fields = { event: 'memory.read', runner: runner.id, parts };
-      runtime.log('info', 'memory of a runner read', fields);
+      runtime.log('info', 'prompt cache of a runner read', fields);
     });
   }
 }
--- a/src/relay/runners/engine-estimate.ts
+++ b/src/relay/runners/engine-estimate.ts
@@ -1,60 +1,60 @@
 /**
- * Learns what the model engines of one service cost from the streams that they answer: how long a
- * prompt token takes to be read, and by how much one more request slows the events of those beside
- * it. No engine is known beforehand: the first guesses are wide, and some tens of streams replace them.
+ * Learns the costs of a service's model engines from the streams they answer: the prefill time of a prompt token,
+ * and by how much each concurrent request slows the events of the others. The initial values have a wide variance,
+ * so that a few dozen streams replace them.
  */
 import { RecursiveLeastSquares } from '../../scheduling/recursive-least-squares.js';
 
-/** What a model engine costs, as far as it is known. */
+/** Estimated costs of a service's model engines. */
 export interface EngineCosts {
-  /** Time for reading one token of a prompt, in milliseconds. */
+  /** Prefill time of one prompt token, in milliseconds. */
   readonly millisecondsPerToken: number;
-  /** Time that one more request adds to the pause between two events of a stream, in milliseconds. */
+  /** Time that each concurrent request adds to the pause between two events of a stream, in milliseconds. */
   readonly eventMillisecondsPerRequest: number;
-  /** Events of a stream of mean length. */
+  /** Mean number of events of a stream. */
   readonly meanEvents: number;
 }
 
-/** What one stream that was answered whole showed of its engine. */
+/** Timing of one complete stream. */
 export interface EngineSample {
-  /** Prompt tokens that were not kept there; undefined when that was not known for sure. */
+  /** Prompt tokens that were not cached; undefined if not known for certain. */
   readonly uncachedTokens: number | undefined;
-  /** Requests that were there when it was sent, this one included. */
+  /** Requests on the engine when this one was sent, including this one. */
   readonly running: number;
-  /** From sending to the first event, in milliseconds. */
+  /** Time from sending the request to the first event, in milliseconds. */
   readonly firstEventMilliseconds: number;
-  /** Mean pause between events, in milliseconds; undefined for streams of few events. */
+  /** Mean pause between events, in milliseconds; undefined if there were too few events. */
   readonly pauseMilliseconds: number | undefined;
   readonly eventCount: number;
 }
 
-/** First guesses: a token is read in 1/30 ms; nothing is known of how requests slow one another. */
+/** Initial values of the estimates; the initial slowdown by concurrent requests is 0. */
 const INITIAL_MILLISECONDS_PER_TOKEN = 1 / 30;
 const INITIAL_BASE_MILLISECONDS = 50;
 const INITIAL_PAUSE_MILLISECONDS = 20;
 const INITIAL_EVENT_COUNT = 10;
-/** Bounds that any engine lies within. */
+/** Bounds of the learned prefill time per token. */
 const MINIMUM_MILLISECONDS_PER_TOKEN = 1 / 5_000;
 const MAXIMUM_MILLISECONDS_PER_TOKEN = 5;
-/** Weight of the past after one more stream: some two hundred streams count. */
+/** Forgetting factor of the fits, a memory of about 200 streams. */
 const FORGETTING_FACTOR = 0.995;
-/** Weight of the newest stream in the mean number of events. */
+/** Weight of the newest stream in the mean event count, once there are enough streams. */
 const EVENT_COUNT_WEIGHT = 0.02;
-/** Features of the fits are scaled to be about one. */
+/** Scale of the fits' features, which brings them close to 1. */
 const TOKENS_PER_FEATURE_UNIT = 1_000;
 const REQUESTS_PER_FEATURE_UNIT = 10;
-/** An observation beyond so many times the expected one, and some milliseconds, counts as that. */
+/** Observations are clamped to this multiple of the expected value plus the excess. */
 const MAXIMUM_OUTLIER_RATIO = 4;
 const MAXIMUM_OUTLIER_EXCESS_MILLISECONDS = 50;
 
-/** Spreads of the first guesses, as wide as the noise of one stream. */
+/** Variances of the initial coefficients, as wide as the noise of one stream. */
 const INITIAL_VARIANCES = [1, 1, 1] as const;
 
 function dot(left: readonly number[], right: readonly number[]): number {
   return left.reduce((sum, value, index) => sum + value * right[index]!, 0);
 }
 
-/** Observes a time, held below what one stalled stream could make of it. */
+/** Adds an observation to a fit, clamped to limit the effect of a stalled stream. */
 function observeClamped(
   fit: RecursiveLeastSquares,
   features: readonly number[],
@@ -65,15 +65,15 @@
   fit.observe(features, Math.min(milliseconds, maximum));
 }
 
-/** See the head of this file. */
+/** Running estimate of the engine costs of one service. */
 export class EngineEstimate implements EngineCosts {
-  /** Time to the first event by 1, tokens to be read, and requests beside it. */
+  /** Fit of the time to the first event; features: 1, uncached tokens, running requests. */
   private readonly firstEventFit = new RecursiveLeastSquares(
     [INITIAL_BASE_MILLISECONDS, INITIAL_MILLISECONDS_PER_TOKEN * TOKENS_PER_FEATURE_UNIT, 0],
     INITIAL_VARIANCES,
     FORGETTING_FACTOR,
   );
-  /** Pause between events by 1 and requests beside it. */
+  /** Fit of the pause between events; features: 1, running requests. */
   private readonly pauseFit = new RecursiveLeastSquares(
     [INITIAL_PAUSE_MILLISECONDS, 0],
     INITIAL_VARIANCES.slice(1),
@@ -82,7 +82,7 @@
   private meanEventCount = INITIAL_EVENT_COUNT;
   private streamCount = 0;
 
-  /** Takes what one stream showed. */
+  /** Updates the estimate from one stream. */
   observe(sample: EngineSample): void {
     const { uncachedTokens, running, firstEventMilliseconds, pauseMilliseconds } = sample;
     const scaledRequests = running / REQUESTS_PER_FEATURE_UNIT;
@@ -114,7 +114,10 @@
     return this.meanEventCount;
   }
 
-  /** Time that a stream of mean length takes beside so many others, its reading left out, in milliseconds. */
+  /**
+   * Returns the generation time of a stream of mean length, without its prefill, in milliseconds.
+   * @param concurrentRequests requests on the engine
+   */
   streamMilliseconds(concurrentRequests: number): number {
     const pause = dot(this.pauseFit.coefficients, [
       1,
--- a/src/relay/runners/engine-sample.ts
+++ b/src/relay/runners/engine-sample.ts
@@ -1,9 +1,9 @@
-/** What an answered stream shows of the engine that made it. */
+/** Derives what a complete stream shows about the engine that generated it. */
 import type { EngineSample } from './engine-estimate.js';
 import type { RelayRequest } from '../request/relay-request.js';
 import type { RunnerCandidate } from './runner-registry.js';
 
-/** Events of one stream and when they came; local times in milliseconds. */
+/** Number and timing of a stream's events; local clock times in milliseconds. */
 export interface StreamTimes {
   readonly sentAt: number;
   readonly firstEventAt: number;
@@ -11,12 +11,12 @@
   readonly eventCount: number;
 }
 
-/** Fewest events whose mean pause tells anything. */
+/** Fewest events of a stream from which a mean pause is computed. */
 const MINIMUM_EVENTS_FOR_PAUSE = 4;
 
 /**
- * Tokens that the runner had to read; undefined when another node may have sent the prompt there
- * before without this one's knowledge, as after a start.
+ * Returns the number of prompt tokens that the runner had to prefill, or undefined if that is uncertain because
+ * another gateway may have sent earlier parts of the prompt without this gateway's knowledge, as after a restart.
  */
 function knownUncachedTokens(
   request: RelayRequest,
@@ -33,7 +33,7 @@
   return isKnown ? promptTokens - cachedTokens : undefined;
 }
 
-/** The sample of one stream that its first try answered whole. */
+/** Creates the sample of a stream that its first attempt answered completely. */
 export function engineSampleOf(
   request: RelayRequest,
   chosen: RunnerCandidate,
--- a/src/relay/runners/inactivity-estimate.ts
+++ b/src/relay/runners/inactivity-estimate.ts
@@ -1,23 +1,23 @@
 /**
- * Learns how long the runners of one service usually say nothing while they work, as TCP learns when
- * an acknowledgement is overdue (RFC 6298): a smoothed mean and a smoothed deviation.
+ * Learns for how long the runners of a service usually send nothing while they work on a request. The timeout is
+ * computed from a smoothed mean and a smoothed deviation, like TCP's retransmission timeout (RFC 6298).
  */
 
-/** Weights of the newest sample in the mean and in the deviation. */
+/** Weights of the newest sample in the smoothed mean and deviation. */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
-/** Deviations beyond the mean at which a silence counts as unusual. */
+/** Deviations above the mean at which the timeout lies. */
 const TIMEOUT_DEVIATIONS = 2;
-/** Bounds of what counts as unusual, in milliseconds; the lower one holds until something is known. */
+/** Bounds of the timeout; the minimum also applies before the first sample. */
 const MINIMUM_TIMEOUT_MILLISECONDS = 150;
 const MAXIMUM_TIMEOUT_MILLISECONDS = 1_000;
 
-/** See the head of this file. */
+/** Adaptive inactivity timeout of one service. */
 export class InactivityEstimate {
   private mean: number | undefined;
   private deviation = 0;
 
-  /** Takes the longest silence within one answer that came whole, in milliseconds. */
+  /** Adds the longest time without a byte within one complete answer, in milliseconds. */
   observe(milliseconds: number): void {
     if (this.mean === undefined) {
       this.mean = milliseconds;
@@ -29,7 +29,7 @@
     this.mean += error * MEAN_WEIGHT;
   }
 
-  /** Silence from which on a runner may be out of reach, in milliseconds. */
+  /** Time without a byte after which a runner may be unreachable, in milliseconds. */
   get timeoutMilliseconds(): number {
     const timeout = (this.mean ?? 0) + TIMEOUT_DEVIATIONS * this.deviation;
     return Math.min(MAXIMUM_TIMEOUT_MILLISECONDS, Math.max(MINIMUM_TIMEOUT_MILLISECONDS, timeout));
--- a/src/relay/runners/latency-estimate.ts
+++ b/src/relay/runners/latency-estimate.ts
@@ -1,39 +1,39 @@
 /**
- * Learns how long requests of one service take and how each runner compares with the others. Times
- * of streams are scaled to a stream of mean length first, so that a long answer does not make its
- * runner look slow; differences within the noise of the samples count as none.
+ * Learns how long the requests of a service take and how each runner compares with the service's mean. Stream
+ * times are first scaled to a stream of mean length, so that a long answer does not make its runner look slow.
+ * Differences between runners within the noise of the samples are ignored.
  */
 
-/** Weight of the newest sample in the running means. */
+/** Weight of the newest sample in the mean of a runner. */
 const RUNNER_MEAN_WEIGHT = 0.1;
-/** Weight of the newest sample in the mean of a whole service. */
+/** Weight of the newest sample in the means of a service, once there are enough samples. */
 const SERVICE_MEAN_WEIGHT = 0.02;
 const DEFAULT_MEAN_MILLISECONDS = 100;
-/** Largest ratio of a runner's mean to its service's that is taken for noise. */
+/** Ratio between a runner's mean and its service's mean, either way, up to which it counts as noise. */
 const NOISE_RATIO = 1.4;
-/** Bounds of the scaling of one sample, so that a stream of one event does not count for many. */
+/** Largest factor, up or down, by which one sample is scaled; limits the weight of very short streams. */
 const MAXIMUM_SCALE = 3;
 
-/** One request that was answered whole. */
+/** Timing of one request with a complete answer. */
 export interface LatencySample {
-  /** From sending to the end, in milliseconds. */
+  /** Time from sending the request to the end of its answer, in milliseconds. */
   readonly totalMilliseconds: number;
-  /** Events of a stream; 0 for other answers. */
+  /** Number of events of a stream; 0 for plain answers. */
   readonly eventCount: number;
 }
 
-/** Means of one service. */
+/** Mean latency of one service over all its runners. */
 export class ServiceLatency {
   private meanEvents = 0;
   private mean = DEFAULT_MEAN_MILLISECONDS;
   private sampleCount = 0;
 
-  /** Mean time of a request at this service, in milliseconds. */
+  /** Mean request time, in milliseconds. */
   get meanMilliseconds(): number {
     return this.mean;
   }
 
-  /** Takes a sample; returns its time scaled to a request of mean length. */
+  /** Adds a sample; returns its time scaled to a request of mean length. */
   observe(sample: LatencySample): number {
     const scaled = sample.totalMilliseconds * this.scaleOf(sample.eventCount);
     this.sampleCount += 1;
@@ -54,20 +54,20 @@
   }
 }
 
-/** Mean of one runner, which begins as its service's. */
+/** Mean latency of one runner, starting from the mean of its service. */
 export class RunnerLatency {
   private mean: number | undefined;
 
   constructor(private readonly service: ServiceLatency) {}
 
-  /** Takes a sample of this runner. */
+  /** Adds a sample of this runner, also to its service. */
   observe(sample: LatencySample): void {
     const scaled = this.service.observe(sample);
     const before = this.mean ?? this.service.meanMilliseconds;
     this.mean = before + (scaled - before) * RUNNER_MEAN_WEIGHT;
   }
 
-  /** Expected time of a request here, in milliseconds: the service's unless this one differs clearly. */
+  /** Expected request time in milliseconds: the service's mean unless this runner clearly differs. */
   get expectedMilliseconds(): number {
     const serviceMean = this.service.meanMilliseconds;
     const own = this.mean ?? serviceMean;
--- a/src/relay/runners/prompt-cache-estimate.ts
+++ b/src/relay/runners/prompt-cache-estimate.ts
@@ -1,24 +1,24 @@
-/** Which parts of prompts one runner is believed to keep: those sent there lately, within its memory. */
+/** Estimates which prompt parts a runner has cached: the most recently used ones that fit its capacity. */
 import type { PromptKey, PromptPart } from '../request/relay-request.js';
 
-/** Most parts remembered of one runner, whatever its memory. */
+/** Largest number of parts tracked for one runner, whatever its capacity. */
 const MAXIMUM_PARTS = 8_192;
 
-/** See the head of this file. Parts unused for the longest give way first. */
+/** Model of one runner's prompt cache with least-recently-used eviction. */
 export class PromptCacheEstimate {
-  /** Tokens by part, the least lately used first. */
+  /** Cached tokens by part, in order of use; the least recently used part comes first. */
   private readonly tokensByPart = new Map<PromptKey, number>();
   private totalTokens = 0;
 
-  /** @param capacityTokens tokens that the runner has memory for, as far as that is known by now */
+  /** @param capacityTokens returns the currently known capacity of the runner's cache, in tokens */
   constructor(private readonly capacityTokens: () => number) {}
 
-  /** Parts that are believed to be kept. */
+  /** Number of parts assumed to be cached. */
   get partCount(): number {
     return this.tokensByPart.size;
   }
 
-  /** Tokens of the leading parts that are kept; a part counts only if all before it are kept whole. */
+  /** Returns the cached leading tokens of a prompt; a part counts only if all parts before it are cached fully. */
   leadingTokens(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
@@ -31,7 +31,7 @@
     return tokens;
   }
 
-  /** Notes that a prompt is read there; returns the parts that were not kept so far to this length. */
+  /** Records that the runner reads a prompt; returns the parts that were not cached with the same length before. */
   touch(parts: readonly PromptPart[]): readonly PromptPart[] {
     const changed = parts.filter((part) => this.tokensByPart.get(part.key) !== part.tokens);
     parts.forEach((part) => this.put(part.key, part.tokens));
@@ -39,7 +39,7 @@
     return changed;
   }
 
-  /** Notes that a part is kept there, which another node has told. */
+  /** Records a cached part that a peer or the runner itself reported. */
   learn(key: PromptKey, tokens: number): void {
     this.put(key, Math.max(tokens, this.tokensByPart.get(key) ?? 0));
     this.evict();
--- a/src/relay/runners/runner-registry.ts
+++ b/src/relay/runners/runner-registry.ts
@@ -1,4 +1,4 @@
-/** What this node believes of the runners: listed, leaving, reachable, busy, fast, and what they keep. */
+/** Tracks what a gateway knows of the runners: membership, health, load, latency and cached prompts. */
 import type { CancelTimer, Runtime } from '../../runtime/runtime.js';
 import { EngineEstimate } from './engine-estimate.js';
 import type { EngineSample } from './engine-estimate.js';
@@ -11,71 +11,76 @@
 import { RunnerLatency, ServiceLatency } from './latency-estimate.js';
 import type { LatencySample } from './latency-estimate.js';
 
-/** Time for which a runner that left the list may still be used when no other is left. */
+/** Time for which a runner removed from the list may still be used if no other runner is left. */
 const REMOVED_GRACE_MILLISECONDS = 1_200;
+/** Time for which a runner is avoided after its first failure; doubles with each further failure. */
 const INITIAL_BACKOFF_MILLISECONDS = 300;
 const MAXIMUM_BACKOFF_MILLISECONDS = 3_000;
 
-/** Beliefs about one runner. */
+/** Local state of one runner incarnation. Times are local clock times in milliseconds. */
 export interface RunnerRecord {
   runner: Runner;
-  /** Short name of its life. */
+  /** Hash of the incarnation, by which gateways refer to it among each other. */
   readonly hash: number;
-  /** Requests of this node that are there now. */
+  /** Requests of this gateway that are in flight on the runner. */
   inFlight: number;
-  /** Local time at which it left the list; undefined while it is listed. */
+  /** When the runner was removed from the list; undefined while it is listed. */
   removedAt: number | undefined;
-  /** Stops the wait for an entry that lapsed while the store was away; undefined while none does. */
+  /** Cancels a removal that is scheduled after a lost lease; undefined if none is scheduled. */
   cancelRemoval: CancelTimer | undefined;
-  /** Not used before this time, after it could not be reached. */
+  /** End of the backoff after a failure; the runner is avoided until then. */
   unhealthyUntil: number;
+  /** Consecutive failures. */
   failures: number;
-  /** True from the time its address took no connection until it answers again. */
+  /** Whether the runner's address refused or ignored a connection and the runner has not answered since. */
   unreachable: boolean;
-  /** Local time at which a byte last came from it, in milliseconds. */
+  /** When the last byte was received from the runner, or a probe last reached it. */
   lastActivityAt: number;
   readonly latency: RunnerLatency;
-  /** Usual silences of its service. */
+  /** Usual inactivity of the runners of its service; shared by all of them. */
   readonly inactivity: InactivityEstimate;
   readonly promptCache: PromptCacheEstimate;
 }
 
-/** A runner that may be chosen. */
+/** A runner that placement may choose, with its state at that moment. */
 export interface RunnerCandidate extends LoadView {
   readonly id: RunnerIncarnation;
   readonly record: RunnerRecord;
 }
 
-/** What is learned of all runners of one service together. */
+/** Estimates shared by all runners of a service. */
 interface ServiceEstimates {
   readonly latency: ServiceLatency;
   readonly engine: EngineEstimate;
   readonly inactivity: InactivityEstimate;
 }
 
-/** See the head of this file. */
+/**
+ * Registry of all known runners. Entries come from the list of runners in the store; load, latency, health and
+ * cached prompts are learned from this gateway's own requests and from what other gateways report.
+ */
 export class RunnerRegistry {
   private readonly records = new Map<string, RunnerRecord>();
   private readonly recordsByService = new Map<string, Set<RunnerRecord>>();
   private readonly recordsByHash = new Map<number, RunnerRecord>();
   private readonly estimatesByService = new Map<string, ServiceEstimates>();
 
-  /** Requests of other gateways at a runner, by the hash of its name. */
+  /** Returns the requests that other gateways have in flight on a runner, by the hash of its incarnation. */
   inFlightOfOthers: (runnerHash: number) => number = () => 0;
-  /** Age of what is known of other gateways' requests, in milliseconds. */
+  /** Returns the age of the load that other gateways reported, in milliseconds. */
   loadAgeMilliseconds: () => number = () => 0;
-  /** Tokens that a runner of a service has memory for; undefined while that is not known. */
+  /** Returns the prompt cache capacity of a service's runners in tokens, or undefined if unknown. */
   cacheCapacityOf: (service: string) => number | undefined = () => undefined;
-  /** A runner begins to keep parts of a prompt that this node has not known there. */
+  /** Called when a request brings prompt parts to a runner that were not known to be cached there. */
   onPartsCached: (runnerHash: number, parts: readonly PromptPart[]) => void = () => undefined;
-  /** A runner is seen that was not known before. */
+  /** Called when a runner incarnation is added. */
   onRunnerAdded: (runner: Runner) => void = () => undefined;
-  /** Whether a connection to a runner is open and idle. */
+  /** Returns whether an idle connection to a runner is open. */
   hasIdleConnection: (runner: Runner) => boolean = () => false;
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** Requests of this gateway at each runner that has some, by its life. */
+  /** Returns the requests of this gateway in flight, by incarnation, for the runners that have any. */
   ownLoads(): Map<RunnerIncarnation, number> {
     const loads = new Map<RunnerIncarnation, number>();
     for (const { runner, inFlight } of this.records.values()) {
@@ -86,7 +91,7 @@
     return loads;
   }
 
-  /** Takes one entry of the list. */
+  /** Adds or updates a runner from an entry of the list. Entries of earlier incarnations are ignored. */
   put(runner: Runner): void {
     const known = this.records.get(runner.id);
     if (known === undefined) {
@@ -110,7 +115,7 @@
         ready,
       });
     }
-    // An entry that no longer tells its start is the same life's.
+    // An entry without a start time belongs to the known incarnation.
     known.runner = { ...runner, startedAt: known.runner.startedAt };
     known.removedAt = undefined;
     known.cancelRemoval?.();
@@ -118,8 +123,8 @@
   }
 
   /**
-   * Notes that an entry went while its runner could not renew it, since the store was away. The runner
-   * is used as before: it writes itself down again within the milliseconds, or is gone.
+   * Schedules the removal of a runner whose lease expired while the store was unavailable, so that the runner could
+   * not renew it. The runner stays in use until then and is kept if it registers again in time.
    */
   scheduleRemoval(id: string, milliseconds: number): void {
     const record = this.records.get(id);
@@ -132,14 +137,14 @@
     }
     const wait = Math.round(milliseconds);
     const fields = { event: 'runner.lapsed', runner: id, service: record.runner.service, wait };
-    this.runtime.log('info', 'entry of a runner lapsed with the store away', fields);
+    this.runtime.log('info', 'lease of a runner expired while the store was unavailable', fields);
     record.cancelRemoval = this.runtime.setTimer(milliseconds, () => {
       record.cancelRemoval = undefined;
       this.remove(id);
     });
   }
 
-  /** Notes that an entry is gone from the list. */
+  /** Removes a runner whose entry is gone; it stays usable as a last resort for a grace period. */
   remove(id: string): void {
     const record = this.records.get(id);
     if (record === undefined || record.removedAt !== undefined) {
@@ -148,13 +153,17 @@
     const removedAt = this.runtime.now();
     record.removedAt = removedAt;
     const { service } = record.runner;
-    this.runtime.log('info', 'runner left', { event: 'runner.left', runner: id, service });
+    this.runtime.log('info', 'runner removed', { event: 'runner.left', runner: id, service });
     this.runtime.setTimer(REMOVED_GRACE_MILLISECONDS, () =>
       this.deleteIfStillRemoved(id, removedAt),
     );
   }
 
-  /** Runners of a service that may get a request, the trusted ones only if there are any. */
+  /**
+   * Returns the runners of a service that may get a request: the healthy ones if there are any, else all listed
+   * ones, else those that were removed within the grace period.
+   * @param parts prompt of the request, for counting cached tokens
+   */
   candidates(
     service: string,
     parts: readonly PromptPart[],
@@ -171,7 +180,7 @@
     return chosen.map((record) => this.viewOf(record, parts));
   }
 
-  /** Requests and places of all runners of a service that take new requests. */
+  /** Returns the total load and capacity of the runners of a service that accept new requests. */
   loadOf(service: string): ServiceLoad {
     let inFlight = 0;
     let slots = 0;
@@ -187,7 +196,7 @@
     return { inFlight, slots, runners };
   }
 
-  /** Notes that a request is sent to a runner. */
+  /** Records that a request was sent to a runner. */
   noteRequestSent(record: RunnerRecord, parts: readonly PromptPart[]): void {
     record.inFlight += 1;
     const changed = record.promptCache.touch(parts);
@@ -196,7 +205,11 @@
     }
   }
 
-  /** Notes that a request there is over; `whole` tells how long it took if it was answered whole. */
+  /**
+   * Records that a request on a runner has ended.
+   * @param latencySample timing of a complete answer; undefined if the request failed or its timing is not usable
+   * @param engineSample what a complete stream showed of the engine
+   */
   noteRequestEnded(
     record: RunnerRecord,
     latencySample: LatencySample | undefined,
@@ -212,22 +225,22 @@
     }
   }
 
-  /** What the engines of a service cost, as far as it was learned. */
+  /** Returns the estimated costs of the engines of a service. */
   engineCosts(service: string): EngineEstimate {
     return this.estimatesOf(service).engine;
   }
 
-  /** Takes another gateway's word that a runner keeps a part of a prompt. */
+  /** Records that a runner has a prompt part cached, as reported by a peer or by the runner itself. */
   learnCachedPart(runnerHash: number, key: PromptKey, tokens: number): void {
     this.recordsByHash.get(runnerHash)?.promptCache.learn(key, tokens);
   }
 
-  /** Number of parts of prompts that a runner is believed to keep. */
+  /** Returns the number of prompt parts that are assumed to be cached on a runner. */
   cachedPartCount(runnerHash: number): number {
     return this.recordsByHash.get(runnerHash)?.promptCache.partCount ?? 0;
   }
 
-  /** Notes that a runner could not be reached or spoilt an answer. */
+  /** Records a failure of a runner and starts or extends its backoff. */
   markUnhealthy(record: RunnerRecord, reason: string): void {
     record.failures += 1;
     const pause = Math.min(
@@ -236,10 +249,10 @@
     );
     record.unhealthyUntil = this.runtime.now() + pause;
     const fields = { event: 'runner.distrusted', runner: record.runner.id, reason, pause };
-    this.runtime.log('warn', 'runner distrusted', fields);
+    this.runtime.log('warn', 'runner marked unhealthy', fields);
   }
 
-  /** Notes that a runner's address takes no connection: it ended or is cut off. */
+  /** Records that no connection to a runner's address could be opened. */
   markUnreachable(record: RunnerRecord, reason: string): void {
     record.unreachable = true;
     this.markUnhealthy(record, reason);
@@ -259,7 +272,7 @@
       inFlightOfOthers,
       meanMilliseconds: record.latency.expectedMilliseconds,
       cachedTokens: record.promptCache.leadingTokens(parts),
-      // Looked up only where a charge asks for it: at hundreds of runners that is dear.
+      // Evaluated lazily: the lookup is expensive with hundreds of runners, and few charges need it.
       get hasIdleConnection() {
         return hasIdleConnection(record.runner);
       },
@@ -272,26 +285,26 @@
       record.failures = 0;
       record.unhealthyUntil = 0;
       const fields = { event: 'runner.trusted', runner: record.runner.id };
-      this.runtime.log('info', 'runner trusted again', fields);
+      this.runtime.log('info', 'runner healthy again', fields);
     }
   }
 
-  /** Nothing that was believed of the earlier life is true of this one. */
+  /** Starts a new record: a restarted runner shares no state with its earlier incarnation. */
   private replaceIncarnation(runner: Runner, before: RunnerRecord): void {
     before.cancelRemoval?.();
     this.deleteRecord(before);
     const { id, service, startedAt } = runner;
     const fields = { event: 'runner.reborn', runner: id, service, bornAt: startedAt ?? 0 };
-    this.runtime.log('info', 'runner started again', fields);
+    this.runtime.log('info', 'runner restarted', fields);
     this.add(runner);
   }
 
   private logEarlierIncarnation(
-    { id, startedAt: startedAt = 0 }: Runner,
+    { id, startedAt = 0 }: Runner,
     { startedAt: known = 0 }: Runner,
   ): void {
     const fields = { event: 'runner.earlierLife', runner: id, bornAt: startedAt, known };
-    this.runtime.log('warn', 'entry of an earlier life of a runner ignored', fields);
+    this.runtime.log('warn', 'entry of an earlier incarnation of a runner ignored', fields);
   }
 
   private deleteRecord(record: RunnerRecord): void {
@@ -321,12 +334,13 @@
     this.recordsByService.set(runner.service, ofService.add(record));
     const { id, service, ready } = runner;
     this.onRunnerAdded(runner);
-    this.runtime.log('info', 'runner seen', { event: 'runner.seen', runner: id, service, ready });
+    this.runtime.log('info', 'runner added', { event: 'runner.seen', runner: id, service, ready });
   }
 
   /**
-   * Forgets a runner, unless it is back or left once more since. The clock is not asked again: timers may come a
-   * fraction of a millisecond early, and one that then did nothing would leave the runner usable for ever.
+   * Deletes a runner unless it was listed again, or listed and removed again, since `removedAt`. The clock is not
+   * checked: timers may fire a fraction of a millisecond early, and ignoring such a timer would leave the runner
+   * usable forever.
    */
   private deleteIfStillRemoved(id: string, removedAt: number): void {
     const record = this.records.get(id);
--- a/src/relay/runners/runner-view.ts
+++ b/src/relay/runners/runner-view.ts
@@ -1,34 +1,35 @@
-/** What placement knows of one runner when it weighs it for a request, and of a service's runners together. */
+/** Views of the runners' state that placement and admission work on. */
 
-/** What is known of one runner that may get the request. */
+/** State of a runner that may get a request, as placement needs it. */
 export interface RunnerView {
   readonly id: string;
-  /** Short name of its life. */
+  /** Hash of the incarnation. */
   readonly hash: number;
   readonly zone: string;
+  /** Number of requests the runner processes at the same time. */
   readonly slots: number;
-  /** Requests that are believed to be there, ours and those of other nodes. */
+  /** Estimated requests in flight on the runner, from this and all other gateways. */
   readonly inFlight: number;
-  /** Mean time from sending to the end of a request there, in milliseconds. */
+  /** Mean time from sending a request to the end of its answer, in milliseconds. */
   readonly meanMilliseconds: number;
-  /** Tokens of the prompt's leading parts believed to be in its memory. */
+  /** Estimated leading tokens of the request's prompt in the runner's cache. */
   readonly cachedTokens: number;
-  /** Whether a connection to it is open and idle. */
+  /** Whether an idle connection to the runner is open. */
   readonly hasIdleConnection: boolean;
 }
 
-/** What is known of one runner's load. */
+/** A runner's state with the load from other gateways listed separately. */
 export interface LoadView extends RunnerView {
-  /** Requests of other gateways that are believed to be there. */
+  /** Estimated requests of other gateways in flight on the runner. */
   readonly inFlightOfOthers: number;
 }
 
-/** How busy the runners of a service are, all gateways' requests together. */
+/** Total load of a service's runners, from all gateways. */
 export interface ServiceLoad {
-  /** Requests there, running or waiting. */
+  /** Requests running or queued on the runners. */
   readonly inFlight: number;
-  /** Requests that can run at the same time. */
+  /** Number of requests that can run at the same time. */
   readonly slots: number;
-  /** Runners that take new requests. */
+  /** Number of runners that accept new requests. */
   readonly runners: number;
 }
--- a/src/relay/runners/runner.ts
+++ b/src/relay/runners/runner.ts
@@ -1,44 +1,44 @@
-/** A runner of a service as the list of runners tells it. */
+/** A runner of a service as its entry in the list of runners describes it. */
 import { hashToNumber } from '../../runtime/hashing.js';
 
 /**
- * Names one life of a runner: its id and, where that is told, when it started. Whatever is believed of a runner is
- * believed of a life: one that starts again under its id holds and knows nothing of before.
+ * Identifies one incarnation of a runner: the runner's id and, if known, its start time. All state about a runner is
+ * kept per incarnation, since a runner that restarts under its id has lost its cache and its requests.
  */
-export type RunnerIncarnation = string & { readonly brand: 'RunnerLife' };
+export type RunnerIncarnation = string & { readonly brand: 'RunnerIncarnation' };
 
-/** One life of a runner. */
+/** One incarnation of a runner. */
 export interface Runner {
-  /** Name of the runner; it may start again under it. */
+  /** Name of the runner, which it keeps across restarts. */
   readonly id: string;
-  /** Unix time of its start in milliseconds by its own clock; undefined where that is not told. */
+  /** Unix time of the start in milliseconds by the runner's own clock; undefined if not reported. */
   readonly startedAt?: number | undefined;
   readonly service: string;
   readonly host: string;
   readonly port: number;
   readonly zone: string;
-  /** Requests it works on at the same time. */
+  /** Number of requests the runner processes at the same time. */
   readonly slots: number;
-  /** False once it is leaving: it gets no new requests. */
+  /** False once the runner is shutting down and accepts no new requests. */
   readonly ready: boolean;
 }
 
-/** `host:port` of a runner, the key of its connections. */
+/** Returns the `host:port` of a runner, by which connections are kept. */
 export function addressOf(runner: Runner): string {
   return `${runner.host}:${runner.port}`;
 }
 
-/** The life of a runner. */
+/** Returns the identifier of a runner's incarnation: `id@startedAt`, or the id alone. */
 export function incarnationOf({ id, startedAt }: Runner): RunnerIncarnation {
   return (startedAt === undefined ? id : `${id}@${startedAt}`) as RunnerIncarnation;
 }
 
-/** Short name of a life, 32 bits: what gateways tell one another of runners stands under it. */
+/** Returns the 32-bit hash of an incarnation, which gateways use for runners in messages to each other. */
 export function incarnationHash(runner: Runner): number {
   return hashToNumber(incarnationOf(runner));
 }
 
-/** Whether an entry is of an earlier life than another one; where one doesn't tell its start, it isn't known to be. */
+/** Returns whether `a` is known to be an earlier incarnation than `b`; false if a start time is missing. */
 export function isEarlierIncarnation(a: Runner, b: Runner): boolean {
   return a.startedAt !== undefined && b.startedAt !== undefined && a.startedAt < b.startedAt;
 }
--- a/src/relay/runners/traffic-split.ts
+++ b/src/relay/runners/traffic-split.ts
@@ -1,17 +1,17 @@
 /**
- * Shares the requests of a route among its services by weight. Requests with one key (a program's)
- * stay with one service; a new key goes to the service that is furthest behind its share, so that the
- * shares hold over tens of requests and not over thousands only.
+ * Splits the requests of a route among its services by weight. Requests with the same key (those of a program) stay
+ * with one service. A new key goes to the service that is furthest behind its share, so that the shares hold over
+ * tens of requests, which random assignment would reach only over thousands.
  */
 import type { Route } from '../request/routing-table.js';
 
-/** Keys remembered for each route; the longest unused go first. */
+/** Largest number of keys kept per route; the least recently used key is dropped first. */
 const MAXIMUM_KEYS = 20_000;
-/** Requests after which older ones count half, so that shares follow the present. */
+/** Number of requests after which all counts are halved, so that recent requests weigh more. */
 const HALVING_REQUESTS = 2_000;
 
 interface RouteShares {
-  /** Services and weights for which the counts hold. */
+  /** Services and weights that the counts refer to; a change starts new counts. */
   readonly signature: string;
   readonly counts: Map<string, number>;
   readonly serviceByKey: Map<string, string>;
@@ -22,11 +22,11 @@
   return route.services.map(({ service, weight }) => `${service}=${weight}`).join(' ');
 }
 
-/** See the head of this file. */
+/** Weighted assignment of keys to services, per route. */
 export class TrafficSplit {
   private readonly shares = new Map<string, RouteShares>();
 
-  /** The service of a request; undefined when the route has none. */
+  /** Returns the service for a request with this key, or undefined if the route has no service. */
   pick(route: Route, key: string): string | undefined {
     if (route.services.length <= 1) {
       return route.services[0]?.service;
