--- a/src/relay/tries/attempt-rules.ts
+++ b/src/relay/tries/attempt-rules.ts
@@ -1,24 +1,24 @@
-/** Decides, after a try failed, whether and where the request may be tried again. */
+/** Rules on whether and where a request may be retried after a failed attempt. */
 import type { RunnerIncarnation } from '../runners/runner.js';
 
-/** What is known of one call's tries. */
+/** The attempts of one call so far. */
 export interface AttemptHistory {
-  /** Whether the request may run more than once. */
+  /** Whether the request is idempotent, so that it may run more than once. */
   readonly mayRepeat: boolean;
-  /** Most runners that may be sent the request. */
+  /** Largest number of runners to which the request may be sent. */
   readonly maximumAttempts: number;
-  /** Runners that were sent it and may still be there. */
+  /** Runners to which the request was sent and that are not known to be down. */
   readonly sentTo: ReadonlySet<RunnerIncarnation>;
-  /** Tries so far, those that never left included. */
+  /** Number of attempts so far, including those that were never sent. */
   readonly attemptCount: number;
-  /** Whether any try may have run. */
+  /** Whether a runner may have run the request. */
   readonly mayHaveRun: boolean;
 }
 
-/** Most tries of one request, whatever became of them. */
+/** Largest number of attempts of one request, however they ended. */
 export const MAXIMUM_TOTAL_ATTEMPTS = 5;
 
-/** Whether another try may be made at all. */
+/** Returns whether another attempt is allowed. */
 export function mayRetry(history: AttemptHistory): boolean {
   if (history.attemptCount >= MAXIMUM_TOTAL_ATTEMPTS) {
     return false;
@@ -26,7 +26,7 @@
   return history.mayRepeat || !history.mayHaveRun;
 }
 
-/** Whether a try may go to a runner. */
+/** Returns whether the next attempt may use a runner. */
 export function maySendTo(history: AttemptHistory, runner: RunnerIncarnation): boolean {
   return history.sentTo.has(runner) || history.sentTo.size < history.maximumAttempts;
 }
--- a/src/relay/tries/attempt.ts
+++ b/src/relay/tries/attempt.ts
@@ -1,4 +1,4 @@
-/** One try of a request at one runner, over HTTP/1.1. */
+/** One attempt of a request on one runner, over HTTP/1.1. */
 import { request as httpRequest } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import type { AnswerHead, AttemptFailure } from '../answers/answer-reader.js';
@@ -7,11 +7,11 @@
 import type { RunnerAgent } from './runner-agent.js';
 import { noteKeepAlive } from './runner-agent.js';
 
-/** Receives what comes of a try; nothing follows `onEnd` or `onFailure`. */
+/** Receives the events of an attempt. After `onEnd` or `onFailure`, only `onSendEnd` may still be called. */
 export interface AttemptListener {
-  /** The connection stands, and the request goes over it. */
+  /** The connection is established, and the request is being sent over it. */
   onConnected(): void;
-  /** The connection took the whole request, or the try is over; may come twice. */
+  /** The whole request was written, or the attempt is over; may be called twice. */
   onSendEnd(): void;
   onHead(head: AnswerHead): void;
   onData(chunk: Buffer): void;
@@ -19,30 +19,30 @@
   onFailure(failure: AttemptFailure): void;
 }
 
-/** What is sent. */
+/** The HTTP request of an attempt. */
 export interface AttemptRequest {
   readonly requestId: string;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating header names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
 }
 
-/** A try under way. */
+/** An attempt in progress. */
 export interface Attempt {
-  /** Closes the connection; the listener hears nothing more. */
+  /** Closes the connection and reports no further answer events. */
   cancel(): void;
-  /** The listener hears nothing more; the rest of the answer is read, so the connection stays. */
+  /** Reports no further answer events, but reads the rest of the answer so that the connection can be reused. */
   ignoreRest(): void;
   /**
-   * Whether a byte may have reached the runner. A runner may answer before it has read a long body, so one that
-   * got any byte may have run the request.
+   * Whether any byte may have reached the runner. The runner may then have run the request, since it may answer
+   * before it has read all of a long body.
    */
   wasSent(): boolean;
-  /** Stops reading the answer; what has come already waits in a buffer of the connection's size. */
+  /** Stops reading the answer; received data stays in the connection's bounded buffer. */
   pause(): void;
-  /** Reads on. */
+  /** Resumes reading the answer. */
   resume(): void;
 }
 
@@ -65,7 +65,7 @@
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** Whether an answer carries the id of the request it came for; refusals may carry none. */
+/** Returns whether an answer carries the id of its request; answers other than success may carry none. */
 function belongsTo(head: AnswerHead, names: HeaderNames, requestId: string): boolean {
   const id = head.headers[names.requestId];
   return id === undefined ? head.status >= 300 : id === requestId;
@@ -132,7 +132,7 @@
       }
       socket.setTimeout(connectMilliseconds, () => {
         if (socket.connecting) {
-          socket.destroy(new Error('no connection in time'));
+          socket.destroy(new Error('connection timed out'));
         }
       });
       socket.once('connect', () => {
@@ -171,12 +171,12 @@
       }
     });
     response.on('end', () => this.handleEnd(response));
-    response.on('aborted', () => this.fail('answer cut off'));
+    response.on('aborted', () => this.fail('answer incomplete'));
     response.on('error', (error) => this.fail(error.message));
     this.listener.onHead(head);
   }
 
-  /** An answer that came whole and is not read yet ends when it is read: a runner may close behind it. */
+  /** Ignores the close after a complete answer that is still being read: `onEnd` follows once it has been read. */
   private handleClose(): void {
     if (this.response?.complete !== true) {
       this.fail('connection closed');
@@ -188,7 +188,7 @@
       return;
     }
     if (!response.complete) {
-      this.fail('answer cut off');
+      this.fail('answer incomplete');
       return;
     }
     this.finished = true;
@@ -207,7 +207,7 @@
   }
 }
 
-/** Sends a request to a runner. */
+/** Starts an attempt: sends a request to a runner and reports the answer to `listener`. */
 export function startAttempt(
   runner: Runner,
   agent: RunnerAgent,
--- a/src/relay/tries/call-flow-control.ts
+++ b/src/relay/tries/call-flow-control.ts
@@ -1,23 +1,24 @@
 /**
- * Reading of one call's runner, which stops while the call's client is behind. What the runner seems to be like
- * meanwhile is the client's doing: its silence is not watched, and its times teach nothing.
+ * Pauses reading from a call's runner while the call's client applies backpressure. During a pause the runner is not
+ * monitored for inactivity, and the timing of a call that was ever paused is not used for estimates, since the
+ * client caused the delay.
  */
 import type { Runtime } from '../../runtime/runtime.js';
 import type { AnswerSource } from '../answers/client-answer.js';
 import type { Attempt } from './attempt.js';
 import type { InactivityMonitor } from './inactivity-monitor.js';
 
-/** What the reading needs of its call. */
+/** The call whose runner is paused and resumed. */
 export interface FlowControlledCall {
-  /** Whether the runner is read on whatever the client takes. */
+  /** Whether the runner is read at full speed even if the client does not keep up. */
   readonly ignoresBackpressure: boolean;
-  /** The try under way. */
+  /** Returns the attempt in progress. */
   current(): { readonly attempt: Attempt; readonly inactivity: InactivityMonitor } | undefined;
-  /** Ends the call, since its client takes nothing. */
+  /** Ends the call because its client does not read. */
   end(reason: string): void;
 }
 
-/** See the head of this file. */
+/** Flow control between a call's client and the runner of its current attempt. */
 export class CallFlowControl implements AnswerSource {
   private pausedAt: number | undefined;
   private pastPauses = 0;
@@ -32,12 +33,12 @@
     return this.call.ignoresBackpressure;
   }
 
-  /** Whether reading ever stopped: times of the runner then say nothing of it. */
+  /** Whether reading was ever paused; the call's timing then says nothing about the runner. */
   get wasPaused(): boolean {
     return this.everPaused;
   }
 
-  /** All pauses so far, in milliseconds. */
+  /** Total time of all pauses so far, in milliseconds. */
   get pausedMilliseconds(): number {
     return this.pastPauses + (this.pausedAt === undefined ? 0 : this.runtime.now() - this.pausedAt);
   }
@@ -61,7 +62,7 @@
     this.call.end(reason);
   }
 
-  /** A try that begins is read. */
+  /** Ends a pause of the previous attempt; a new attempt starts out being read. */
   noteNewAttempt(): void {
     this.pastPauses = this.pausedMilliseconds;
     this.pausedAt = undefined;
--- a/src/relay/tries/call-log.ts
+++ b/src/relay/tries/call-log.ts
@@ -1,48 +1,49 @@
-/** Log lines and figures of relayed requests. */
+/** Log entries and metrics of relayed requests. */
 import type { LogFields } from '../../runtime/runtime.js';
 import type { RelayContext } from '../relay-context.js';
 import type { RelayRequest } from '../request/relay-request.js';
 import type { RunnerCandidate, RunnerRecord } from '../runners/runner-registry.js';
 
-/** Told in place of a time that never came, such as that of the first try of a request without one. */
+/** Logged in place of a missing value, such as the dispatch time of a request that was never dispatched. */
 const NOT_AVAILABLE = -1;
 
-/** One try that failed. */
+/** One failed attempt. */
 export interface FailedAttempt {
+  /** Request id. */
   readonly request: string;
   readonly record: RunnerRecord;
-  /** How it failed. */
+  /** Kind of failure. */
   readonly tag: string;
   readonly detail: string;
-  /** Tries of the request so far, this one included. */
+  /** Attempts of the request so far, including this one. */
   readonly attemptCount: number;
-  /** Local time at which the try was sent, in milliseconds. */
+  /** Local time at which the attempt started, in milliseconds. */
   readonly startedAt: number;
 }
 
-/** The end of one call. */
+/** A finished call. */
 export interface CallEnd {
   readonly request: RelayRequest;
   readonly outcome: string;
   readonly attemptCount: number;
-  /** Local times in milliseconds; undefined when it never came to that. */
+  /** Local times in milliseconds; undefined if the call did not get that far. */
   readonly dispatchedAt: number | undefined;
   readonly firstByteAt: number | undefined;
   readonly eventCount: number;
-  /** Time that its runner was not read because its client did not read, in milliseconds. */
+  /** Time for which reading from the runner was paused because the client did not read, in milliseconds. */
   readonly pausedMilliseconds: number;
-  /** Runner of the last try as it was believed to be; undefined when nothing was tried. */
+  /** State of the last attempt's runner when it was chosen; undefined if there was no attempt. */
   readonly chosen: RunnerCandidate | undefined;
-  /** What else decided the end. */
+  /** Further log fields that depend on the outcome. */
   readonly fields: LogFields;
 }
 
-/** Logs and counts a try that failed. */
+/** Logs and counts a failed attempt. */
 export function logFailedAttempt(context: RelayContext, failed: FailedAttempt): void {
   const { runtime, metrics } = context;
   const { request, record, tag, detail, attemptCount: tries, startedAt } = failed;
   metrics.count('ivyloom_relay_failed_tries_total', `tag="${tag}"`);
-  runtime.log('info', 'try failed', {
+  runtime.log('info', 'attempt failed', {
     event: 'relay.try',
     request,
     runner: record.runner.id,
@@ -54,19 +55,19 @@
   });
 }
 
-/** What placement went by. */
+/** The inputs on which placement decided, as logged. */
 interface PlacementInputs {
-  /** Milliseconds that the program had left when the request came. */
+  /** Time until the program's deadline when the request arrived, in milliseconds. */
   readonly deadline: number;
-  /** Prompt tokens believed not to be kept there. */
+  /** Estimated prompt tokens not cached on the runner. */
   readonly unread: number;
-  /** Time expected for reading them, in milliseconds. */
+  /** Expected prefill time of these tokens, in milliseconds. */
   readonly reading: number;
-  /** Requests believed to be there. */
+  /** Estimated requests in flight on the runner. */
   readonly running: number;
 }
 
-/** What placement went by, in whole tokens and milliseconds; `NEVER` where there is no such thing. */
+/** Returns the inputs of the last placement; `NOT_AVAILABLE` for those that are missing. */
 function inputsOf(context: RelayContext, { request, chosen }: CallEnd): PlacementInputs {
   const { programDeadlineAt, arrivedAt, promptTokens } = request;
   const deadline =
@@ -80,7 +81,7 @@
   return { deadline, unread, reading, running: chosen.inFlight };
 }
 
-/** Logs and counts the end of a call. */
+/** Logs a finished call and records its metrics. */
 export function logCallEnd(context: RelayContext, end: CallEnd): void {
   const { runtime, metrics } = context;
   const {
--- a/src/relay/tries/classify-answer.ts
+++ b/src/relay/tries/classify-answer.ts
@@ -1,26 +1,25 @@
-/** What the head of a runner's answer says about its request. */
+/** Classifies a runner's answer by its status and headers. */
 import { FIRST_REDIRECT } from '../answers/answer-reader.js';
 import type { AnswerHead } from '../answers/answer-reader.js';
 import type { HeaderNames } from '../request/header-names.js';
 
-/** The judgement of an answer's head. */
+/** What an answer's head says about its request. */
 export type AnswerClass =
-  /** The runner has not run the request and never will. */
+  /** The runner has not run the request and will not run it. */
   | 'NotExecuted'
-  /** The runner's own answer, success or failure, to be passed on unchanged. */
+  /** The runner's answer, success or failure, to be forwarded unchanged. */
   | 'Answer'
-  /** A status that would promise the client that nothing ran, where the runner promised nothing. */
+  /** A status that tells clients that nothing ran, without the runner having said so by its header. */
   | 'FalsePromise'
-  /** A success without the runner's signature: not an answer. */
+  /** A success without the runner's signature, which must not be forwarded. */
   | 'Unsigned';
 
-/** Statuses by which a client learns that its request has not run. */
+/** Statuses from which clients conclude that their request has not run. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const FIRST_SUCCESS = 200;
-/** First status by which a runner says that it failed. */
+/** First status code of server errors. */
 export const FIRST_SERVER_ERROR = 500;
 
-/** Judges an answer by its head. */
 export function classifyAnswer(head: AnswerHead, names: HeaderNames): AnswerClass {
   if (head.notExecuted) {
     return 'NotExecuted';
--- a/src/relay/tries/inactivity-monitor.ts
+++ b/src/relay/tries/inactivity-monitor.ts
@@ -1,26 +1,26 @@
-/** Notices that a runner has fallen silent: probes its address, since a dead one never answers. */
+/** Detects unreachable runners: probes a runner's address when nothing was received for unusually long. */
 import type { CancelTimer } from '../../runtime/runtime.js';
 import type { RelayContext } from '../relay-context.js';
 import type { RunnerRecord } from '../runners/runner-registry.js';
 
-/** How much longer the next silence may be after a probe that found the runner in reach. */
+/** Factor by which the timeout grows after a probe that reached the runner. */
 const TIMEOUT_BACKOFF_FACTOR = 2;
 
-/** Watches the runner of one try until it is stopped. */
+/** Monitors the runner of one attempt until `stop` is called. */
 export class InactivityMonitor {
   private cancelTimer: CancelTimer = () => undefined;
   private stopped = false;
   private paused = false;
   private lastActivityAt: number;
-  /** Longest time without a byte so far, in milliseconds. */
+  /** Longest time without a received byte so far, in milliseconds. */
   private longestInactivity = 0;
-  /** Silence after which the address is probed, in milliseconds. */
+  /** Time without a received byte after which the address is probed. */
   private timeoutMilliseconds: number;
 
   constructor(
     private readonly context: RelayContext,
     private readonly record: RunnerRecord,
-    /** Told once, when the runner's address takes no connection any more. */
+    /** Called once, when a probe could not connect to the runner's address. */
     private readonly onUnreachable: () => void,
   ) {
     this.lastActivityAt = context.runtime.now();
@@ -28,7 +28,7 @@
     this.scheduleCheck(this.timeoutMilliseconds);
   }
 
-  /** Notes a byte from the runner. */
+  /** Records that data was received from the runner. */
   noteActivity(): void {
     const now = this.context.runtime.now();
     this.longestInactivity = Math.max(this.longestInactivity, now - this.lastActivityAt);
@@ -36,18 +36,18 @@
     this.record.lastActivityAt = now;
   }
 
-  /** Notes that the answer came whole: its silences were usual ones. */
+  /** Adds the longest inactivity of a complete answer to the estimate of its service. */
   noteAnswerComplete(): void {
     this.record.inactivity.observe(this.longestInactivity);
   }
 
-  /** The runner is not read for a while: its silence says nothing. */
+  /** Suspends the checks while the runner is not read. */
   pause(): void {
     this.cancelTimer();
     this.paused = true;
   }
 
-  /** The runner is read again; its silence counts from now on. */
+  /** Resumes the checks; inactivity counts from now on. */
   resume(): void {
     if (this.paused && !this.stopped) {
       this.paused = false;
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Ends the watch. */
+  /** Ends the monitoring. */
   stop(): void {
     this.stopped = true;
     this.cancelTimer();
@@ -85,7 +85,7 @@
       return;
     }
     if (reachable) {
-      // Others that wait for this runner need not ask again so soon.
+      // Counts as activity, so that other attempts on this runner do not probe it again at once.
       this.record.lastActivityAt = this.context.runtime.now();
       this.timeoutMilliseconds *= TIMEOUT_BACKOFF_FACTOR;
       this.scheduleCheck(this.timeoutMilliseconds);
@@ -93,7 +93,7 @@
     }
     const { registry, connections } = this.context;
     this.stop();
-    registry.markUnreachable(this.record, 'silent and out of reach');
+    registry.markUnreachable(this.record, 'inactive and unreachable');
     this.onUnreachable();
     connections.closeAll(this.record.runner);
   }
--- a/src/relay/tries/relay-call.ts
+++ b/src/relay/tries/relay-call.ts
@@ -1,6 +1,6 @@
 /**
- * The life of one relayed request: the stages before its first try, then tries at runners until one
- * answers, the request may not be tried again, or its time is over. Every end is given at once.
+ * Processing of one relayed request: first the stages, then attempts on runners until one of them answers, no
+ * further attempt is allowed, or the request's deadline has passed.
  */
 import type { CancelTimer, LogFields } from '../../runtime/runtime.js';
 import { FIRST_REDIRECT } from '../answers/answer-reader.js';
@@ -40,24 +40,24 @@
 import { CONNECT_MILLISECONDS } from './runner-connections.js';
 import { InactivityMonitor } from './inactivity-monitor.js';
 
-/** Kept between a request's time and the answer that it is over, in milliseconds. */
+/** Time between a request's deadline and the timeout answer. */
 const DEADLINE_GRACE_MILLISECONDS = 30;
 
-/** One try under way. */
+/** The attempt in progress. */
 interface CurrentAttempt {
   readonly attempt: Attempt;
   readonly record: RunnerRecord;
   readonly startedAt: number;
   readonly inactivity: InactivityMonitor;
-  /** What its runner was believed to be like when it was chosen. */
+  /** State of the runner when it was chosen. */
   readonly chosen: RunnerCandidate;
 }
 
-/** See the head of this file. */
+/** Runs one request from the stages to the end of its answer, retrying failed attempts where allowed. */
 export class RelayCall implements AnsweredCall {
   private readonly sentTo = new Set<RunnerIncarnation>();
   private readonly failedAt = new Set<RunnerIncarnation>();
-  /** Runners that refused the request: asking them again at once helps nobody. */
+  /** Runners that refused the request; they are not chosen again. */
   private readonly refusedBy = new Set<RunnerIncarnation>();
   private attemptCount = 0;
   private mayHaveRun = false;
@@ -65,7 +65,7 @@
   private cancelDeadline: CancelTimer = () => undefined;
   private finished = false;
   private readonly requestState: RequestState;
-  /** Stage that refused it; none where it came to a try. */
+  /** Name of the stage that refused the request; empty if none did. */
   private refusingStage = '';
   private readonly stream: StreamAnswer | undefined;
   private plain: PlainAnswer | undefined;
@@ -88,7 +88,7 @@
     });
   }
 
-  /** Begins. */
+  /** Starts the deadline timer and the stages. */
   start(): void {
     const { runtime } = this.context;
     const remaining = this.remainingMilliseconds + DEADLINE_GRACE_MILLISECONDS;
@@ -98,17 +98,17 @@
     runStages(CALL_STAGES, this.requestState, (refusal) => this.handleStagesDone(refusal));
   }
 
-  /** Milliseconds until the request's time is over. */
+  /** Time until the request's deadline, in milliseconds. */
   get remainingMilliseconds(): number {
     return this.requestState.remainingMilliseconds;
   }
 
-  /** Notes the first byte of the answer that is passed on. */
+  /** Records when the first byte of the answer is forwarded. */
   noteFirstByte(): void {
     this.firstByteAt ??= this.context.runtime.now();
   }
 
-  /** A whole answer was passed on. */
+  /** Finishes the call after a complete answer was forwarded, and updates the runner's estimates. */
   finishAnswered(status: number): void {
     const current = this.clearCurrent();
     if (current !== undefined) {
@@ -128,20 +128,20 @@
     this.finish('answered', { status, runner: current?.record.runner.id ?? '' });
   }
 
-  /** The try under way failed although its connection stands. */
+  /** Fails the attempt in progress although its connection is intact, and retries if allowed. */
   failAttempt(failure: AttemptFailure): void {
     this.current?.attempt.cancel();
     this.handleFailure(failure);
   }
 
-  /** Breaks off an answer that has begun and can't be finished. */
+  /** Aborts an answer that has started and can't be completed. */
   abort(reason: string): void {
     this.cancelCurrent();
     this.answer.abort();
     this.finish('broken', { reason });
   }
 
-  /** Ends the call with an answer of the relay. */
+  /** Ends the call with a local answer; aborts it if the runner's answer has already started. */
   refuse(answer: LocalAnswer): void {
     if (this.finished) {
       return;
@@ -182,7 +182,7 @@
     };
   }
 
-  /** What an answered stream showed of its engine; undefined where it shows nothing. */
+  /** Returns the engine sample of a complete stream; undefined after a retry, a pause or for other answers. */
   private engineSampleOf({ chosen, startedAt: sentAt }: CurrentAttempt): EngineSample | undefined {
     const { stream, request, attemptCount } = this;
     if (stream?.firstEventAt === undefined || attemptCount > 1 || this.flowControl.wasPaused) {
@@ -193,7 +193,7 @@
   }
 
   private chooseRunner(): RunnerCandidate | undefined {
-    const { context, requestState: requestState, history, refusedBy, failedAt } = this;
+    const { context, requestState, history, refusedBy, failedAt } = this;
     const isAllowed = (runner: RunnerIncarnation): boolean => maySendTo(history, runner);
     return placeRequest(context, requestState, { isAllowed, refusedBy, failedAt });
   }
@@ -246,12 +246,12 @@
       onFailure: (failure) => this.handleFailure(failure),
     });
     const inactivity = new InactivityMonitor(context, record, () =>
-      this.failAttempt({ tag: 'Lost', detail: 'runner out of reach' }),
+      this.failAttempt({ tag: 'Lost', detail: 'runner unreachable' }),
     );
     this.current = { attempt, record, startedAt: now, inactivity, chosen };
   }
 
-  /** A stream goes on where the try before ended; a plain answer begins anew. */
+  /** Returns the reader for the next attempt: a stream continues, a plain answer starts over. */
   private nextReader(): AnswerReader {
     if (this.stream !== undefined) {
       return this.stream;
@@ -292,7 +292,7 @@
     reader.onHead(head);
   }
 
-  /** The runner has provably not run the request. */
+  /** Handles an answer by which the runner states that it has not run the request. */
   private handleNotExecuted(status: number): void {
     const current = this.clearCurrent();
     if (current !== undefined) {
@@ -324,13 +324,13 @@
       this.noteSentTo(current.record);
     }
     if (this.stream !== undefined && !this.stream.prepareResume()) {
-      this.abort('the stream can not be taken up again');
+      this.abort('the stream cannot be resumed');
       return;
     }
     this.startNextAttempt();
   }
 
-  /** Runners that ended or are cut off take none of the number of runners that a route allows. */
+  /** Counts a runner towards the route's limit of runners, unless it is unreachable. */
   private noteSentTo(record: RunnerRecord): void {
     if (record.unreachable) {
       this.sentTo.delete(incarnationOf(record.runner));
@@ -355,7 +355,7 @@
     this.giveUp('its time is over');
   }
 
-  /** The client closed its connection. */
+  /** Cancels the call after the client closed its connection. */
   private handleDisconnect(): void {
     if (!this.finished) {
       this.cancelCurrent();
--- a/src/relay/tries/runner-agent.ts
+++ b/src/relay/tries/runner-agent.ts
@@ -1,21 +1,21 @@
 /**
- * Kept connections to one runner. An idle connection is closed when bytes come that belong to no
- * request, and well before the runner would close it, so that no request meets a closing one.
+ * Keep-alive connections to one runner. An idle connection is closed if it receives data that belongs to no request,
+ * and well before the runner's own idle timeout, so that no request is sent on a connection that is being closed.
  */
 import { Agent } from 'node:http';
 import type { ClientRequest } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
 
-/** Part of the runner's own idle time after which we close first. */
+/** Share of the runner's idle timeout after which an idle connection is closed. */
 const IDLE_FRACTION = 0.85;
-/** Idle time of a connection whose runner told none, in milliseconds. */
+/** Idle timeout of connections whose runner announced none. */
 const DEFAULT_IDLE_MILLISECONDS = 4_000;
 const MILLISECONDS_IN_SECOND = 1_000;
 
 const discardListeners = new WeakMap<Duplex, () => void>();
 
-/** Reads the seconds of a `Keep-Alive: timeout=N` header. */
+/** Returns the idle timeout for the value of a `Keep-Alive: timeout=SECONDS` header, in milliseconds. */
 function idleMillisecondsOf(header: string | undefined): number {
   const seconds = /timeout=(\d+)/.exec(header ?? '')?.[1];
   if (seconds === undefined) {
@@ -24,13 +24,13 @@
   return Math.max(1, Number(seconds) * MILLISECONDS_IN_SECOND * IDLE_FRACTION);
 }
 
-/** See the head of this file. One agent serves one address. */
+/** HTTP agent for the connections to one address. */
 export class RunnerAgent extends Agent {
   constructor(maximumConnections: number) {
     super({ keepAlive: true, maxSockets: maximumConnections, scheduling: 'lifo', noDelay: true });
   }
 
-  /** Whether a connection is open that carries no request. */
+  /** Whether an idle connection is open. */
   get hasIdle(): boolean {
     for (const name in this.freeSockets) {
       if ((this.freeSockets[name]?.length ?? 0) > 0) {
@@ -40,7 +40,7 @@
     return false;
   }
 
-  /** Called by Node when a request is done; false closes the connection. */
+  /** Called by Node.js when a request is done; returns true to keep the connection open. */
   override keepSocketAlive(stream: Duplex): boolean {
     const socket = stream as Socket;
     const idle = idleMillisecondsOf(keepAliveHeaders.get(stream));
@@ -56,7 +56,7 @@
     return true;
   }
 
-  /** Called by Node when an idle connection is taken again. */
+  /** Called by Node.js when an idle connection is reused for a request. */
   override reuseSocket(stream: Duplex, request: ClientRequest): void {
     const socket = stream as Socket;
     const discard = discardListeners.get(stream);
@@ -72,7 +72,7 @@
 
 const keepAliveHeaders = new WeakMap<Duplex, string>();
 
-/** Notes what a runner told about its idle connections, before the connection becomes idle. */
+/** Stores the `Keep-Alive` header of an answer until its connection becomes idle. */
 export function noteKeepAlive(socket: Duplex, header: string | undefined): void {
   if (header !== undefined) {
     keepAliveHeaders.set(socket, header);
--- a/src/relay/tries/runner-connections.ts
+++ b/src/relay/tries/runner-connections.ts
@@ -1,23 +1,23 @@
-/** Connections to all runners: one agent an address, and probes of addresses that fell silent. */
+/** Connections to all runners: one HTTP agent per address, and connection probes. */
 import { connect } from 'node:net';
 import type { Runtime } from '../../runtime/runtime.js';
 import { addressOf } from '../runners/runner.js';
 import type { Runner } from '../runners/runner.js';
 import { RunnerAgent } from './runner-agent.js';
 
-/** Time that a connection to a runner may take to come up, in milliseconds. */
+/** Timeout for establishing a connection to a runner. */
 export const CONNECT_MILLISECONDS = 250;
-/** Connections to one runner where its service tells no limit. */
+/** Largest number of connections to one runner if its service sets no limit. */
 const DEFAULT_CONNECTIONS = 64;
 
-/** See the head of this file. */
+/** Pool of the agents of all runner addresses. */
 export class RunnerConnections {
   private readonly agents = new Map<string, RunnerAgent>();
   private readonly pendingProbes = new Map<string, ((reachable: boolean) => void)[]>();
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** The agent of a runner's address. */
+  /** Returns the agent for a runner's address, created with the given limit on first use. */
   agentFor(runner: Runner, maximumConnections = DEFAULT_CONNECTIONS): RunnerAgent {
     const address = addressOf(runner);
     let agent = this.agents.get(address);
@@ -28,19 +28,19 @@
     return agent;
   }
 
-  /** Whether a connection to a runner is open that carries no request. */
+  /** Returns whether an idle connection to a runner is open. */
   hasIdle(runner: Runner): boolean {
     return this.agents.get(addressOf(runner))?.hasIdle ?? false;
   }
 
-  /** Closes all connections to an address: what is under way there fails at once. */
+  /** Closes all connections to a runner's address; attempts in progress there fail at once. */
   closeAll(runner: Runner): void {
     const address = addressOf(runner);
     this.agents.get(address)?.destroy();
     this.agents.delete(address);
   }
 
-  /** Tells whether an address still takes connections. */
+  /** Checks whether a runner's address accepts connections; concurrent probes of one address are merged. */
   probe(runner: Runner, done: (reachable: boolean) => void): void {
     const address = addressOf(runner);
     const waiting = this.pendingProbes.get(address);
