--- a/src/relay/answers/answer-reader.ts
+++ b/src/relay/answers/answer-reader.ts
@@ -1,55 +1,56 @@
-/** What taking a runner's answer apart knows of the answer, and what it asks of the call that it belongs to. */
+/** Interfaces between the readers of a runner's answer and the call that the answer belongs to. */
 import type { RelayContext } from '../relay-context.js';
 import type { RelayRequest } from '../request/relay-request.js';
 import type { ClientAnswer } from './client-answer.js';
 
-/** How a try failed: `NeverSent` proves that the runner has not run it, the others prove nothing. */
+/** How an attempt failed. Only `NeverSent` proves that the runner has not run the request. */
 export type AttemptFailure =
-  /** No connection came up, so nothing was sent. */
+  /** No connection could be established, so nothing was sent. */
   | { readonly tag: 'NeverSent'; readonly detail: string }
-  /** The request was sent, and the connection ended before the whole answer. */
+  /** The request was sent, but the connection ended before the answer was complete. */
   | { readonly tag: 'Lost'; readonly detail: string }
-  /** What came is not the answer of this request. */
+  /** The runner sent something that cannot be the answer to this request. */
   | { readonly tag: 'BadAnswer'; readonly detail: string };
 
-/** The first part of an answer. */
+/** Status and headers of a runner's answer. */
 export interface AnswerHead {
   readonly status: number;
   readonly reason: string;
+  /** Alternating header names and values, as received. */
   readonly rawHeaders: readonly string[];
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
-  /** The runner says that it has not run the request. */
+  /** Whether the runner states that it has not run the request. */
   readonly notExecuted: boolean;
-  /** The runner is going to close its connections: it may be leaving. */
+  /** Whether the runner will close the connection, for example because it is shutting down. */
   readonly closing: boolean;
 }
 
-/** First status that is no success. */
+/** First status code that is not a success. */
 export const FIRST_REDIRECT = 300;
 
-/** What takes the answer of one try apart: whole bodies or streams. */
+/** Reads the answer of an attempt and forwards it to the client. */
 export interface AnswerReader {
   onHead(head: AnswerHead): void;
   onData(chunk: Buffer): void;
-  /** The runner ended its answer in order. */
+  /** The runner completed its answer. */
   onEnd(): void;
-  /** Gives back what is held: the call is over, or another try takes its place. */
+  /** Releases all buffers, at the end of the call or when another reader takes over. */
   release(): void;
 }
 
-/** The call that an answer belongs to. */
+/** The call that an answer belongs to, as its reader sees it. */
 export interface AnsweredCall {
   readonly context: RelayContext;
   readonly request: RelayRequest;
   readonly answer: ClientAnswer;
-  /** Milliseconds until the request's time is over. */
+  /** Time until the request's deadline, in milliseconds. */
   readonly remainingMilliseconds: number;
-  /** Notes the first byte of the answer that is passed on. */
+  /** Records when the first byte of the answer is forwarded. */
   noteFirstByte(): void;
-  /** A whole answer was passed on. */
+  /** Finishes the call after a complete answer was forwarded. */
   finishAnswered(status: number): void;
-  /** The try under way failed although its connection stands. */
+  /** Fails the attempt in progress although its connection is intact. */
   failAttempt(failure: AttemptFailure): void;
-  /** Breaks off an answer that has begun and can't be finished. */
+  /** Aborts an answer that has started and can't be completed. */
   abort(reason: string): void;
 }
--- a/src/relay/answers/client-answer.ts
+++ b/src/relay/answers/client-answer.ts
@@ -1,6 +1,6 @@
 /**
- * The answer to one client: a runner's own, passed on unchanged, or a short one of the relay. What the client has
- * not taken is bounded: the runner is read no faster than the client takes beyond a window.
+ * Sends one client its answer: a runner's answer, forwarded unchanged, or a short local answer of the relay. The
+ * memory for unsent data is bounded: once the client is a window behind, reading from the runner is paused.
  */
 import type { ServerResponse } from 'node:http';
 import { STATUS_CODES } from 'node:http';
@@ -16,38 +16,38 @@
 import type { DeliveryState } from './slow-reader-monitor.js';
 
 /**
- * Bytes that a client may be behind before its runner is held: a hundred usual events, so that a client that pauses
- * for a moment holds nobody. What came from its runner at once is held beside, at most 64 KiB more.
+ * Unsent bytes up to which the runner is still read: about a hundred typical events, so that a short pause of the
+ * client does not pause the runner. Data that was already received adds up to 64 KiB.
  */
 export const WINDOW_BYTES = 16 * 1024;
 
-/** Where the answer comes from, as long as it comes. */
+/** The runner that an answer is read from. */
 export interface AnswerSource {
-  /** Whether it is read on whatever the client takes. */
+  /** Whether the runner is read at full speed even if the client does not keep up. */
   readonly ignoresBackpressure: boolean;
-  /** Reads nothing more from the runner. */
+  /** Pauses reading from the runner. */
   pause(): void;
-  /** Reads on. */
+  /** Resumes reading from the runner. */
   resume(): void;
-  /** A try that begins is read. */
+  /** Ends a pause, since a new attempt starts. */
   noteNewAttempt(): void;
-  /** The client does not take its answer, which is cut. */
+  /** Ends the call because the client does not read its answer. */
   end(reason: string): void;
 }
 
-/** What an answer is made with. */
+/** Dependencies of `ClientAnswer`. */
 export interface ClientAnswerOptions {
-  /** When the request is over. */
+  /** Reports the end of the exchange with the client. */
   readonly completion: RequestCompletion;
   readonly runtime: Runtime;
   readonly memory: MemoryBudget;
   readonly requestIdHeader: string;
   readonly requestId: string;
-  /** Whether the connection is to be closed after the answer. */
+  /** Whether to close the connection after the answer. */
   readonly isClosing: () => boolean;
 }
 
-/** See the head of this file. */
+/** The answer to one request of a client, with flow control and slow-reader detection. */
 export class ClientAnswer implements SlowReader {
   private headSent = false;
   private ended = false;
@@ -78,27 +78,27 @@
     options.completion.onComplete(() => this.release());
   }
 
-  /** Whether the first byte of an answer is out. */
+  /** Whether the head of an answer was sent. */
   get started(): boolean {
     return this.headSent;
   }
 
-  /** Name of the request. */
+  /** Id of the request. */
   get requestId(): string {
     return this.options.requestId;
   }
 
-  /** Bytes that the client has not taken yet. */
+  /** Bytes that are buffered because the client has not read them yet. */
   get heldBytes(): number {
     return this.writer.bufferedBytes;
   }
 
-  /** Time since the client last took something, in milliseconds; it counts while the client is behind. */
+  /** Time since the client last read something, in milliseconds; only meaningful under backpressure. */
   get idleMilliseconds(): number {
     return this.monitor.idleMilliseconds;
   }
 
-  /** Calls back when the client left before the end of its answer. */
+  /** Calls `listener` if the client disconnects before the end of its answer. */
   onDisconnect(listener: () => void): void {
     this.options.completion.onComplete(() => {
       if (!this.response.writableFinished) {
@@ -107,19 +107,19 @@
     });
   }
 
-  /** Names what is read for this answer. */
+  /** Sets the source that is paused and resumed as the client's reading requires. */
   setSource(source: AnswerSource): void {
     this.source = source;
   }
 
-  /** Another runner is read from now on: only what it sends may hold it. */
+  /** Resets flow control for a new attempt, so that only data of the new runner can pause it. */
   noteNewAttempt(): void {
     this.sourcePaused = false;
     this.windowBytes = WINDOW_BYTES;
     this.source?.noteNewAttempt();
   }
 
-  /** Gives an answer of the relay itself. */
+  /** Sends a local answer as problem details (`application/problem+json`). */
   sendLocal(answer: LocalAnswer, requestId: string | undefined): void {
     const { status, detail, verdict, retryAfterSeconds } = answer;
     const title = STATUS_CODES[status] ?? 'Error';
@@ -140,7 +140,7 @@
     this.response.end(body);
   }
 
-  /** Passes on a runner's whole answer. */
+  /** Forwards a runner's complete answer. */
   sendWhole(head: AnswerHead, body: Buffer): void {
     const headers = headersToClient(head.rawHeaders);
     headers.push('content-length', String(body.length));
@@ -154,13 +154,13 @@
     this.writer.end();
   }
 
-  /** Begins to pass on a runner's stream. */
+  /** Starts to forward a runner's stream. */
   beginStream(head: AnswerHead): void {
     this.writeHead(head.status, head.reason, headersToClient(head.rawHeaders));
     this.response.flushHeaders();
   }
 
-  /** Passes on some of a stream; nothing once the client is gone. */
+  /** Forwards a part of a stream; does nothing after the client has disconnected. */
   write(bytes: Buffer): void {
     if (this.response.destroyed) {
       return;
@@ -171,22 +171,22 @@
     }
   }
 
-  /** Ends a stream as complete. */
+  /** Ends a complete stream. */
   end(): void {
     this.ended = true;
     this.writer.end();
   }
 
-  /** Breaks the connection, so that what was sent can't look complete. */
+  /** Destroys the connection, so that a partial answer cannot be mistaken for a complete one. */
   abort(): void {
     this.response.destroy();
   }
 
-  /** Ends an answer that its client does not take. */
+  /** Disconnects a client that does not read its answer, and ends the call. */
   cut(reason: string): void {
     const { runtime, memory, requestId } = this.options;
     memory.noteCut();
-    runtime.log('warn', 'slow reader cut', {
+    runtime.log('warn', 'slow reader disconnected', {
       event: 'memory.cut',
       request: requestId,
       reason,
@@ -212,7 +212,7 @@
     this.noteBuffered();
   }
 
-  /** Some more waits for the client. */
+  /** Updates the memory allocation after data was buffered, and pauses the source if the window is exceeded. */
   private noteBuffered(): void {
     const { heldBytes } = this;
     this.monitor.noteRead();
@@ -241,7 +241,7 @@
     }
   }
 
-  /** The runner must not go unread for long: one more window is read. */
+  /** Reads another window from a paused runner, which would otherwise time out. */
   private extendWindow(): void {
     if (this.sourcePaused) {
       this.windowBytes = this.heldBytes + WINDOW_BYTES;
--- a/src/relay/answers/client-writer.ts
+++ b/src/relay/answers/client-writer.ts
@@ -1,34 +1,34 @@
 /**
- * What waits to be taken by one client. A client that keeps up is written to at once; one that is behind is
- * handed one piece after another, so that each piece taken shows that it reads.
+ * Writes an answer to one client. Data is written directly as long as the client keeps up. Under backpressure it is
+ * queued and written chunk by chunk, so that each completed write shows that the client is still reading.
  */
 
 /**
- * Bytes handed to a client that is behind at a time: a reader of a few kilobytes a second still shows that it
- * reads within the time that it has.
+ * Size of the chunks written under backpressure: small enough that a client reading a few kilobytes per second
+ * completes a write within the idle timeout.
  */
 export const CHUNK_BYTES = 8 * 1024;
 
-/** What an outlet writes to: the part of Node's response that it uses. */
+/** The part of Node's `ServerResponse` that `ClientWriter` uses. */
 export interface WriterTarget {
-  /** Bytes that the target itself holds. */
+  /** Bytes buffered by the target itself. */
   readonly writableLength: number;
   write(bytes: Buffer, done?: (error: Error | null | undefined) => void): boolean;
   end(bytes?: Buffer): unknown;
   once(event: 'drain', listener: () => void): unknown;
 }
 
-/** Told what becomes of a client that is behind. */
+/** Receives the changes of a client's backpressure. */
 export interface WriterListener {
-  /** It began to be behind. */
+  /** The client no longer keeps up. */
   onBackpressure(): void;
-  /** It has taken some of what waited. */
+  /** The client has read some of the buffered data. */
   onProgress(): void;
-  /** All is taken but what the target holds. */
+  /** The queue is empty; only the target's own buffer may still hold data. */
   onDrained(): void;
 }
 
-/** See the head of this file. */
+/** Writer for one answer, with a queue for the data that the client has not read. */
 export class ClientWriter {
   private queue: Buffer[] = [];
   private queuedBytes = 0;
@@ -40,17 +40,17 @@
     private readonly listener: WriterListener,
   ) {}
 
-  /** Bytes that the client has not taken. */
+  /** Bytes in the queue and in the target's buffer. */
   get bufferedBytes(): number {
     return this.queuedBytes + this.target.writableLength;
   }
 
-  /** Whether the client is behind. */
+  /** Whether the client does not keep up at present. */
   get isBackpressured(): boolean {
     return this.backpressured;
   }
 
-  /** Hands over bytes. */
+  /** Writes data, or queues it under backpressure. */
   push(bytes: Buffer): void {
     if (this.backpressured || bytes.length > CHUNK_BYTES) {
       this.enqueue(bytes);
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Ends the answer once all is taken. */
+  /** Ends the answer once the queue is empty. */
   end(): void {
     this.ended = true;
     if (!this.backpressured) {
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Forgets what waits. */
+  /** Discards the queue. */
   discard(): void {
     this.queue = [];
     this.queuedBytes = 0;
--- a/src/relay/answers/event-splitter.ts
+++ b/src/relay/answers/event-splitter.ts
@@ -1,14 +1,14 @@
-/** Cuts the bytes of an event stream into whole events, without changing a byte. */
+/** Splits the bytes of a `text/event-stream` into complete events without changing any byte. */
 
-/** One whole event. */
+/** One complete event. */
 export interface StreamEvent {
-  /** The event with its closing blank line, as it came. */
+  /** The event as received, including the blank line that ends it. */
   readonly bytes: Buffer;
-  /** Its `id` field, if it has one. */
+  /** Value of the `id` field, if there is one. */
   readonly id: string | undefined;
-  /** Its `data` lines joined by line feeds. */
+  /** Values of the `data` lines, joined by line feeds. */
   readonly data: Buffer;
-  /** Whether it has a `data` line at all: comments and bare fields have none. */
+  /** Whether there is a `data` line; comments and events with other fields only have none. */
   readonly hasData: boolean;
 }
 
@@ -20,10 +20,10 @@
 const EMPTY_BUFFER = Buffer.alloc(0);
 const LINE_SEPARATOR = Buffer.from('\n');
 
-/** Longest event that is taken, in bytes. */
+/** Largest accepted event. */
 export const MAXIMUM_EVENT_BYTES = 1024 * 1024;
 
-/** Where the blank line that ends the first event ends; -1 when it has not come yet. */
+/** Returns the offset after the blank line that ends the first event, or -1 if it has not been received yet. */
 function endOfEvent(bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     const next = bytes[at + 1];
@@ -69,11 +69,11 @@
   };
 }
 
-/** See the head of this file. */
+/** Incremental splitter for one stream. */
 export class EventSplitter {
   private rest: Buffer = EMPTY_BUFFER;
 
-  /** Takes a chunk; returns the events that are whole now. Throws on one beyond the bound. */
+  /** Adds a chunk; returns the events it completes. Throws a `RangeError` if an event exceeds the maximum size. */
   push(chunk: Buffer): StreamEvent[] {
     this.rest = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
     const events: StreamEvent[] = [];
@@ -82,12 +82,12 @@
       this.rest = this.rest.subarray(end);
     }
     if (this.rest.length > MAXIMUM_EVENT_BYTES) {
-      throw new RangeError('an event exceeds the bound');
+      throw new RangeError('an event exceeds the maximum size');
     }
     return events;
   }
 
-  /** Bytes after the last whole event. */
+  /** Removes and returns the bytes after the last complete event. */
   takeRest(): Buffer {
     const rest = this.rest;
     this.rest = EMPTY_BUFFER;
--- a/src/relay/answers/local-answers.ts
+++ b/src/relay/answers/local-answers.ts
@@ -1,39 +1,38 @@
 /**
- * What the relay itself answers when no runner's answer goes out: the status, whether the request may
- * have run, and when the client should come back. A refusal that says "not run" is given only where no
- * try can have reached a runner.
+ * The answers of the relay itself, sent when there is no runner's answer to forward. They tell the client whether the
+ * request may have run and when to retry. The verdict `NotRun` is given only if no attempt can have reached a runner.
  */
 import type { Verdict } from '../../model/verdict.js';
 
-/** An answer that the relay gives itself. */
+/** An answer that the relay sends on its own. */
 export interface LocalAnswer {
   readonly status: number;
-  /** One sentence for people. */
+  /** One human-readable sentence. */
   readonly detail: string;
   /** Whether the request may have run. */
   readonly verdict: Verdict;
-  /** When a new try makes sense; undefined when the relay can't tell. */
+  /** Delay after which a retry makes sense; undefined if unknown. */
   readonly retryAfterSeconds?: number;
 }
 
-/** Pause told to clients when no runner had room. */
+/** Retry delay when no runner could take the request. */
 const NO_RUNNER_RETRY_SECONDS = 0.1;
-/** Pause told to clients while the gateway's memory is short: slow readers are cut within a second or two. */
+/** Retry delay while the gateway's memory is low; disconnecting slow readers takes a second or two. */
 const MEMORY_RETRY_SECONDS = 0.5;
-/** Pause told to clients when what the request needs is out of reach. */
+/** Retry delay when a dependency of the request is unavailable. */
 const UNAVAILABLE_RETRY_SECONDS = 0.2;
-/** Pause told to clients when another gateway may reach what this one doesn't. */
+/** Retry delay when another gateway may still reach the dependency. */
 const OTHER_GATEWAY_RETRY_SECONDS = 0.02;
 
-/** A proof comes within half a second of the store's return, or another gateway has one already. */
+/** Retry delay while the configuration is not proven current; a proof follows soon after the store is back. */
 export const RETRY_WITHOUT_PROOF_SECONDS = 0.5;
-/** Least pause told to clients of a tenant whose requests are used up. */
+/** Shortest retry delay for tenants that exceeded their quota. */
 const MINIMUM_QUOTA_RETRY_SECONDS = 0.05;
 const MILLISECONDS_IN_SECOND = 1_000;
 
 /**
- * The program is new and would wait longer than it can bear behind those under way.
- * @param pauseMilliseconds time until there is expected to be room
+ * Admission control refused a new program because its predicted wait exceeds the limit.
+ * @param pauseMilliseconds expected time until there is capacity
  */
 export function overloaded(pauseMilliseconds: number): LocalAnswer {
   const detail = 'all places are taken, and programs under way go first';
@@ -41,21 +40,21 @@
   return { status: 503, detail, verdict: 'NotRun', retryAfterSeconds };
 }
 
-/** The gateway holds as many bytes for others as it may. */
+/** The gateway has reached its memory budget for buffered data. */
 export function memoryLimitReached(): LocalAnswer {
   const detail = 'this gateway holds as much as it may for clients and runners that are slow';
   return { status: 503, detail, verdict: 'NotRun', retryAfterSeconds: MEMORY_RETRY_SECONDS };
 }
 
-/** Enough replicas deny that there is the turn to go on from. */
+/** A quorum of replicas does not know the previous turn. */
 export function turnNotFound(): LocalAnswer {
   return { status: 404, detail: 'there is no such earlier turn', verdict: 'NotRun' };
 }
 
 /**
- * The tenant's requests are used up.
- * @param waitMilliseconds time until its rate has room again
- * @param jitter from 0 to 1: spreads clients, so that they don't come back together
+ * The tenant has exceeded its quota.
+ * @param waitMilliseconds time until the quota allows another request
+ * @param jitter random number from 0 to 1 that spreads the retries of clients
  */
 export function quotaExceeded(waitMilliseconds: number, jitter: number): LocalAnswer {
   const pause = (waitMilliseconds / MILLISECONDS_IN_SECOND) * (1 + jitter);
@@ -64,12 +63,12 @@
   return { status: 429, detail, verdict: 'NotRun', retryAfterSeconds };
 }
 
-/** What is left of the program's budget does not hold this turn. */
+/** The remaining token budget of the program is too small for this turn. */
 export function budgetExhausted(): LocalAnswer {
   return { status: 402, detail: 'the token budget is spent', verdict: 'NotRun' };
 }
 
-/** What details say that are out of reach, by what is needed. */
+/** Details of the answers for unavailable dependencies. */
 const UNAVAILABLE_DETAILS = {
   turns: 'the earlier turns are out of reach',
   account: 'the token account is out of reach',
@@ -77,8 +76,8 @@
 } as const;
 
 /**
- * Earlier turns or the token account are out of reach.
- * @param replicasReachable whether enough replicas answer here; if not, another gateway may reach them
+ * A dependency of the request is unavailable.
+ * @param replicasReachable whether this gateway reaches enough replicas; if not, another gateway may reach them
  */
 export function dependencyUnavailable(
   what: keyof typeof UNAVAILABLE_DETAILS,
@@ -90,18 +89,18 @@
   return { status: 503, detail: UNAVAILABLE_DETAILS[what], verdict: 'NotRun', retryAfterSeconds };
 }
 
-/** No runner can have begun it, and none may take it now. */
+/** No runner can have run the request, and none may be tried now. */
 export function noRunnerAvailable(detail: string): LocalAnswer {
   return { status: 503, detail, verdict: 'NotRun', retryAfterSeconds: NO_RUNNER_RETRY_SECONDS };
 }
 
-/** A runner may have run it; its answer is lost. */
+/** A runner may have run the request, but its answer is lost. */
 export function answerLost(reason: string, isPastDeadline: boolean): LocalAnswer {
   const detail = `the runner's answer is lost: ${reason}`;
   return { status: isPastDeadline ? 504 : 502, detail, verdict: 'MayHaveRun' };
 }
 
-/** Its time is over while a runner may be running it. */
+/** The deadline has passed while a runner may be running the request. */
 export function answerTimedOut(): LocalAnswer {
   return { status: 504, detail: 'no answer in time', verdict: 'MayHaveRun' };
 }
--- a/src/relay/answers/plain-answer.ts
+++ b/src/relay/answers/plain-answer.ts
@@ -1,11 +1,11 @@
-/** A runner's answer that is passed on as a whole, once all of it is there. */
+/** Buffers a runner's plain answer and forwards it once it is complete. */
 import type { MemoryAllocation } from '../memory/memory-accounts.js';
 import type { AnsweredCall, AnswerHead, AnswerReader } from './answer-reader.js';
 
-/** Largest answer that is taken, in bytes. */
+/** Largest accepted body of a plain answer. */
 const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
 
-/** See the head of this file. */
+/** Reader of one attempt's plain answer. */
 export class PlainAnswer implements AnswerReader {
   private readonly chunks: Buffer[] = [];
   private bytes = 0;
@@ -26,7 +26,7 @@
     this.bytes += chunk.length;
     this.allocation.set(this.bytes);
     if (this.bytes > MAXIMUM_ANSWER_BYTES) {
-      this.call.failAttempt({ tag: 'BadAnswer', detail: 'the answer exceeds the bound' });
+      this.call.failAttempt({ tag: 'BadAnswer', detail: 'the answer exceeds the maximum size' });
     }
   }
 
--- a/src/relay/answers/slow-reader-monitor.ts
+++ b/src/relay/answers/slow-reader-monitor.ts
@@ -1,47 +1,50 @@
 /**
- * Judges a client that is behind: how long it may take nothing, and when its runner is read on all the same so
- * that the runner does not end the answer for going unread.
+ * Monitors a client under backpressure. It disconnects a client that reads nothing for too long, and it lets a
+ * paused runner be read a little from time to time, so that the runner does not time out and abort the answer.
  */
 import type { CancelTimer, Runtime } from '../../runtime/runtime.js';
 
-/** How the answer of a client that is behind stands. */
+/** How the answer of a client under backpressure is delivered. */
 export type DeliveryState =
-  /** Its runner is read no faster than the client takes. */
+  /** The runner is read no faster than the client reads. */
   | 'held'
-  /** Its runner is read on, whatever the client takes: the answer is kept for others as well. */
+  /** The runner is read at full speed, because the answer is also stored as a turn. */
   | 'readOn'
-  /** The whole answer is here. */
+  /** The whole answer is buffered. */
   | 'ready';
 
-/** Time between two looks, in milliseconds: half the least time that counts. */
+/** Time between two checks; half of the shortest limit below. */
 const CHECK_INTERVAL_MILLISECONDS = 500;
 /**
- * Time that a runner is left unread for a client's sake, in milliseconds: runners cut answers off that stay
- * unread for some seconds, and one step of the way to the runner and back is to spare.
+ * Longest pause of a runner before another window is read. Runners abort answers that are not read for some seconds;
+ * this leaves a margin for the round trip to the runner.
  */
 const MAXIMUM_PAUSE_MILLISECONDS = 1_000;
 /**
- * Time that a client may take nothing while its runner is working, in milliseconds: longer than a lost packet, a
- * change of a mobile link or a pause of its process takes.
+ * Idle timeout of a client while its runner is working. It tolerates a lost packet, a mobile network handover, or a
+ * pause of the client's process.
  */
 const IDLE_TIMEOUT_MILLISECONDS = 5_000;
-/** The same while memory is short, and the runner is therefore not read on: before the runner cuts it off. */
+/**
+ * The same while memory is low. The runner is then not read during a pause, so the client is disconnected before
+ * the runner would abort the answer.
+ */
 const LOW_MEMORY_IDLE_TIMEOUT_MILLISECONDS = 2_000;
-/** Time that a client may take nothing of an answer that is ready, in milliseconds: nothing else waits for it. */
+/** Idle timeout of a client once the whole answer is buffered; longer, since no runner is occupied. */
 const READY_IDLE_TIMEOUT_MILLISECONDS = 20_000;
 
-/** What a watch knows of its answer and does with it. */
+/** The answer that `SlowReaderMonitor` observes and controls. */
 export interface MonitoredReader {
   deliveryState(): DeliveryState;
-  /** Whether there is memory for waiting. */
+  /** Whether there is enough memory to buffer for slow readers. */
   hasSpareMemory(): boolean;
-  /** Reads a little more from the runner. */
+  /** Reads another window from the runner. */
   extendWindow(): void;
-  /** Ends the answer. */
+  /** Disconnects the client and ends the answer. */
   disconnect(reason: string): void;
 }
 
-/** See the head of this file. */
+/** Timer-driven monitor of one client, active while the client is under backpressure. */
 export class SlowReaderMonitor {
   private cancelTimer: CancelTimer = () => undefined;
   private lastProgressAt = 0;
@@ -52,12 +55,12 @@
     private readonly reader: MonitoredReader,
   ) {}
 
-  /** Time since the client last took something, in milliseconds. */
+  /** Time since the client last read something, in milliseconds. */
   get idleMilliseconds(): number {
     return this.runtime.now() - this.lastProgressAt;
   }
 
-  /** The client began to be behind. */
+  /** Starts monitoring, when backpressure begins. */
   start(): void {
     this.lastProgressAt = this.runtime.now();
     this.lastReadAt = this.lastProgressAt;
@@ -65,17 +68,17 @@
     this.check();
   }
 
-  /** The client has taken something. */
+  /** Records that the client has read something. */
   noteProgress(): void {
     this.lastProgressAt = this.runtime.now();
   }
 
-  /** The runner was read. */
+  /** Records that data was read from the runner. */
   noteRead(): void {
     this.lastReadAt = this.runtime.now();
   }
 
-  /** The client has caught up or is gone. */
+  /** Stops monitoring, when the client has caught up or disconnected. */
   stop(): void {
     this.cancelTimer();
   }
@@ -96,7 +99,7 @@
   private check(): void {
     const { reader, runtime } = this;
     if (this.idleMilliseconds >= this.idleTimeoutMilliseconds) {
-      reader.disconnect('the client takes nothing of its answer');
+      reader.disconnect('the client does not read its answer');
       return;
     }
     const unread = runtime.now() - this.lastReadAt;
--- a/src/relay/answers/stream-answer.ts
+++ b/src/relay/answers/stream-answer.ts
@@ -1,6 +1,6 @@
 /**
- * A runner's stream, passed on event by event. Only whole events go to the client, so a broken
- * stream can be taken up after the last one. A kept turn is stored before the stream's end goes out.
+ * Forwards a runner's event stream. Only complete events are sent to the client, so that an interrupted stream can be
+ * resumed after the last one. On routes that retain turns, the turn is stored before the end of the stream is sent.
  */
 import type { MemoryAllocation } from '../memory/memory-accounts.js';
 import { EventSplitter } from './event-splitter.js';
@@ -10,17 +10,17 @@
 import { tenantScopedId } from '../request/tenant.js';
 
 const LINE_FEED = Buffer.from('\n');
-/** Longest time for storing a turn, in milliseconds. */
+/** Timeout for storing a turn. */
 const STORE_TIMEOUT_MILLISECONDS = 1_500;
 const MILLISECONDS_IN_SECOND = 1_000;
 
-/** See the head of this file. */
+/** Reader of one call's stream; it stays in use across attempts. */
 export class StreamAnswer implements AnswerReader {
-  /** Identifier of the last event passed on; undefined before the first. */
+  /** Id of the last forwarded event; undefined before the first event with an id. */
   lastEventId: string | undefined;
-  /** Events with data that were passed on. */
+  /** Number of forwarded events with data. */
   eventCount = 0;
-  /** Local times of the first and the last event of this try, in milliseconds. */
+  /** Local times of the first and the last forwarded event, in milliseconds. */
   firstEventAt: number | undefined;
   lastEventAt = 0;
   private splitter = new EventSplitter();
@@ -32,7 +32,7 @@
     this.allocation = call.context.memory.allocate('turns');
   }
 
-  /** Tokens handed to the client. */
+  /** Upper bound of the tokens delivered to the client. */
   get deliveredTokens(): number {
     const { route } = this.call.request;
     const services = this.call.context.currentTable()?.services;
@@ -43,11 +43,11 @@
     return this.eventCount * perEvent;
   }
 
-  /** Prepares for another runner; false when the stream has begun and may not be taken up. */
+  /** Prepares for another attempt; returns false if the stream has started and is not resumable. */
   prepareResume(): boolean {
     this.splitter = new EventSplitter();
     if ((this.head?.status ?? 0) >= FIRST_REDIRECT) {
-      // The part of an error's body is of no turn.
+      // Collected bytes of an error's body must not become part of the turn.
       this.output.length = 0;
       this.allocation.set(0);
     }
@@ -89,7 +89,7 @@
     }
     const rest = this.splitter.takeRest();
     if (rest.length > 0) {
-      this.call.failAttempt({ tag: 'Lost', detail: 'the stream ended inside an event' });
+      this.call.failAttempt({ tag: 'Lost', detail: 'the stream ended within an event' });
       return;
     }
     this.storeThenEnd(head.status);
@@ -138,7 +138,7 @@
         this.call.answer.end();
         this.call.finishAnswered(status);
       } else {
-        this.call.abort('the turn could not be kept');
+        this.call.abort('the turn could not be stored');
       }
     });
   }
