--- a/features/steps/placement.steps.ts
+++ b/features/steps/placement.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about routes, splits, placement and events; plain data in, decisions out. */
+/** Steps about routes, traffic splits, placement, estimates and event streams. They call the functions directly. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -24,7 +24,7 @@
   promptCache: PromptCacheEstimate;
 }
 
-/** An engine that reads 270 tokens in a millisecond. */
+/** An engine with a prefill rate of 270 tokens per millisecond. */
 const ENGINE = {
   millisecondsPerToken: 1 / 270,
   eventMillisecondsPerRequest: 0,
@@ -78,14 +78,14 @@
       const sum = parts.reduce((left, right) => left + right, 0);
       parts.forEach((weight, index) => {
         const off = Math.abs((counts.get(`s${index}`) ?? 0) - (total * weight) / sum);
-        // A program is placed as a whole, and several services may be behind at a time.
+        // All requests of a program go to one service, and several services may be behind at the same time.
         assert.ok(off <= 12 * parts.length, `share is ${off} of ${total} requests off`);
       });
     }),
   );
 });
 
-Then('a path finds the route with the longest prefix of its host', function () {
+Then('a path matches the route of its host with the longest prefix', function () {
   const prefixes = ['/', '/a/', '/a/b/', '/a/b/c/', '/x/'];
   const routes = prefixes.map((prefix) => routeWith(prefix, [1]));
   fc.assert(
@@ -100,7 +100,7 @@
   );
 });
 
-Then('any chunks of a stream give the same events and the same bytes', function () {
+Then('a stream in chunks of any size gives the same events and the same bytes', function () {
   const event = fc.record({ id: fc.nat(999), data: fc.stringMatching(/^[ -~]{0,40}$/) });
   const ending = fc.constantFrom('\n', '\r\n');
   fc.assert(
@@ -131,7 +131,7 @@
     const [id, zone, slots, inFlight, mean, cached] = word.split(':');
     return {
       id: id!,
-      // All alike, so that the preference of a key decides nothing here.
+      // Equal hashes keep the affinity charge from deciding here.
       hash: 0,
       zone: zone!,
       slots: Number(slots),
@@ -160,11 +160,11 @@
   },
 );
 
-When('the connection to {string} has yet to be made', function (this: World, id: string) {
+When('no connection to {string} is open', function (this: World, id: string) {
   this.views = this.views.map((view) => ({ ...view, hasIdleConnection: view.id !== id }));
 });
 
-/** What one emulated engine does, in milliseconds. */
+/** Costs of an emulated engine, in milliseconds. */
 interface EmulatedEngine {
   readonly perToken: number;
   readonly perRequest: number;
@@ -173,7 +173,7 @@
 const BASE_MILLISECONDS = 25;
 const BASE_PAUSE = 15;
 
-/** Streams of an engine with some noise, taken by a fresh estimate. */
+/** Returns an estimate that has observed streams of an engine, with some noise. */
 function learnFrom(engine: EmulatedEngine, streams: readonly number[]): EngineEstimate {
   const estimate = new EngineEstimate();
   streams.forEach((uncachedTokens, index) => {
@@ -193,7 +193,7 @@
 const PROMPTS = fc.array(fc.integer({ min: 200, max: 6_000 }), { minLength: 60, maxLength: 60 });
 
 Then(
-  'the reading rates of engines that differ twentyfold are within 20 % after 60 streams',
+  'the prefill rates of engines that differ twentyfold are known within 20 % after 60 streams',
   function () {
     const perToken = fc.constantFrom(1 / 10, 1 / 38, 1 / 90, 1 / 200);
     fc.assert(
@@ -206,20 +206,17 @@
   },
 );
 
-Then(
-  'an engine whose events slow down with each request beside them is known within 30 %',
-  function () {
-    fc.assert(
-      fc.property(PROMPTS, fc.constantFrom(0.5, 2, 10), (prompts, perRequest) => {
-        const learned = learnFrom({ perToken: 1 / 38, perRequest }, prompts);
-        const ratio = learned.eventMillisecondsPerRequest / perRequest;
-        assert.ok(ratio > 0.7 && ratio < 1.3, `${ratio} of the slope`);
-      }),
-    );
-  },
-);
+Then('the delay that each concurrent request adds to events is known within 30 %', function () {
+  fc.assert(
+    fc.property(PROMPTS, fc.constantFrom(0.5, 2, 10), (prompts, perRequest) => {
+      const learned = learnFrom({ perToken: 1 / 38, perRequest }, prompts);
+      const ratio = learned.eventMillisecondsPerRequest / perRequest;
+      assert.ok(ratio > 0.7 && ratio < 1.3, `${ratio} of the slope`);
+    }),
+  );
+});
 
-Then('streams that stall leave the reading rate of an engine within bounds', function () {
+Then('stalled streams leave the prefill rate of an engine within its bounds', function () {
   const sample = fc.record({
     uncachedTokens: fc.option(fc.integer({ min: 0, max: 1e9 }), { nil: undefined }),
     running: fc.integer({ min: 1, max: 10_000 }),
@@ -238,7 +235,7 @@
   );
 });
 
-Given('a runner with memory for {int} tokens', function (this: World, tokens: number) {
+Given('a runner with a prompt cache of {int} tokens', function (this: World, tokens: number) {
   this.promptCache = new PromptCacheEstimate(() => tokens);
 });
 
@@ -247,13 +244,13 @@
 });
 
 Then(
-  'it keeps {int} tokens of the prompt {string}',
+  '{int} tokens of the prompt {string} are cached',
   function (this: World, tokens: number, prompt: string) {
     assert.equal(this.promptCache.leadingTokens(parsePromptParts(prompt)), tokens);
   },
 );
 
-/** The unusual silence of a service whose answers had these longest silences. */
+/** Returns the inactivity timeout of a service after answers with these longest times without a byte. */
 function timeoutAfter(silences: readonly number[]): number {
   const estimate = new InactivityEstimate();
   silences.forEach((silence) => estimate.observe(silence));
@@ -261,7 +258,7 @@
 }
 
 Then(
-  'a service that says nothing for {int} milliseconds is not asked again before {int} milliseconds',
+  'a service whose runners are inactive for {int} milliseconds is not probed before {int} milliseconds',
   function (usual: number, least: number) {
     const around = fc.integer({ min: Math.round(usual * 0.8), max: Math.round(usual * 1.2) });
     const silences = fc.array(around, { minLength: 20, maxLength: 60 });
@@ -271,35 +268,38 @@
 );
 
 Then(
-  'a service that is never silent for long is asked again after {int} milliseconds',
+  'a service whose runners are never inactive for long is probed after {int} milliseconds',
   function (least: number) {
     const silences = fc.array(fc.integer({ min: 0, max: 40 }), { maxLength: 60 });
     fc.assert(fc.property(silences, (some) => assert.equal(timeoutAfter(some), least)));
   },
 );
 
-Then('no silence is usual beyond {int} milliseconds', function (most: number) {
+Then('no timeout exceeds {int} milliseconds', function (most: number) {
   const silences = fc.array(fc.integer({ min: 0, max: 1e9 }), { maxLength: 60 });
   fc.assert(fc.property(silences, (some) => assert.ok(timeoutAfter(some) <= most)));
 });
 
-Then('streams of any length leave a usual runner as fast as its service', function () {
-  const lengths = fc.array(fc.integer({ min: 4, max: 24 }), { minLength: 40, maxLength: 120 });
-  fc.assert(
-    fc.property(lengths, fc.integer({ min: 5, max: 60 }), (counts, perEvent) => {
-      const service = new ServiceLatency();
-      const runners = [new RunnerLatency(service), new RunnerLatency(service)];
-      counts.forEach((eventCount, index) => {
-        runners[index % 2]!.observe({ totalMilliseconds: eventCount * perEvent, eventCount });
-      });
-      const [first, second] = runners.map((runner) => runner.expectedMilliseconds);
-      assert.equal(first, second);
-    }),
-  );
-});
+Then(
+  'streams of any length leave equally fast runners with the same expected latency',
+  function () {
+    const lengths = fc.array(fc.integer({ min: 4, max: 24 }), { minLength: 40, maxLength: 120 });
+    fc.assert(
+      fc.property(lengths, fc.integer({ min: 5, max: 60 }), (counts, perEvent) => {
+        const service = new ServiceLatency();
+        const runners = [new RunnerLatency(service), new RunnerLatency(service)];
+        counts.forEach((eventCount, index) => {
+          runners[index % 2]!.observe({ totalMilliseconds: eventCount * perEvent, eventCount });
+        });
+        const [first, second] = runners.map((runner) => runner.expectedMilliseconds);
+        assert.equal(first, second);
+      }),
+    );
+  },
+);
 
 Then(
-  'a runner that takes five times as long is known after {int} requests',
+  'a runner that takes five times as long is recognized after {int} requests',
   function (some: number) {
     const service = new ServiceLatency();
     const usual = new RunnerLatency(service);
@@ -314,7 +314,7 @@
   },
 );
 
-Then('it goes to {string}', function (this: World, chosen: string) {
+Then('runner {string} is chosen', function (this: World, chosen: string) {
   assert.equal(this.chosen, chosen);
 });
 
--- a/features/steps/stale-loads.steps.ts
+++ b/features/steps/stale-loads.steps.ts
@@ -1,7 +1,7 @@
 /**
- * Steps about many gateways whose picture of the load is old. The pattern is the shifted site's second
- * 8 of scale-1: 57 gateways, 32 engines of 12 places, 640 requests a second of some half a second, others'
- * requests known 0.3 s later, prompts of which the shared part is kept at all engines.
+ * Steps about many gateways with stale load information. The simulation has 57 gateways and 32 engines with 12 slots,
+ * 640 requests per second of about half a second each, and loads that are reported 0.3 s late. All engines have the
+ * shared part of the prompts cached.
  */
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
@@ -35,7 +35,7 @@
 
 type Draw = (views: readonly LoadView[], random: RandomSource) => readonly LoadView[];
 
-/** Requests at each runner, by the gateway that sent them. */
+/** Requests on each runner, by the gateway that sent them. */
 type Loads = number[][];
 
 class StaleLoads {
@@ -45,9 +45,9 @@
   private readonly loads: Loads = Array.from({ length: RUNNERS }, () =>
     new Array<number>(GATEWAYS).fill(0),
   );
-  /** The loads as they were told at the last times, the oldest first. */
+  /** The most recently published loads, the oldest first. */
   private published: Loads[] = [];
-  /** Requests beyond the places of their runners, summed over all requests sent. */
+  /** Requests beyond the slots of the chosen runner, summed over all requests sent. */
   excess = 0;
   sent = 0;
 
@@ -103,7 +103,7 @@
 }
 
 Then(
-  'with loads told 0.3 s late, a sixth as many requests stand in front of others where runners are drawn as where all are weighed',
+  'with loads reported 0.3 s late, sampling runners causes less than a sixth of the queueing that comparing all of them causes',
   function () {
     const all = new StaleLoads((views) => views).run();
     const drawn = new StaleLoads((views, random) =>
@@ -115,7 +115,7 @@
   },
 );
 
-Then('where others send little before it is known, all runners are weighed', function () {
+Then('if others send few requests before they are reported, all runners are compared', function () {
   const views = Array.from({ length: RUNNERS }, (_, index) => viewWith(index, 0, 2));
   assert.equal(sampleCandidates(views, AGE_MILLISECONDS / 3, createRandom(1)).length, RUNNERS);
 });
@@ -134,7 +134,7 @@
   };
 }
 
-Then('whoever keeps the most of a prompt is always among those that are weighed', function () {
+Then('a runner with the most cached tokens is always among those compared', function () {
   const kept = fc.array(fc.nat(20_000), { minLength: 1, maxLength: 80 });
   fc.assert(
     fc.property(kept, fc.nat(), (tokens, seed) => {
