--- a/features/runner-lives.feature
+++ b/features/runner-lives.feature
@@ -1,39 +1,39 @@
-# Seen: read in the code: everything believed of a runner was held by its id, and a runner may start again under it.
-# Cause: what it kept, its places taken and its failures were believed of the new life, which knows nothing of them.
-Feature: Runners that start again under their id
-  Scenario Outline: Nothing believed of an earlier life is believed of a later one
-    Given a runner "a" born at 1000 of which <belief> is believed
-    When its entry tells that it was born at 2000
-    Then nothing of that is believed of it
+# Found in review: all state of a runner was kept by its id, and a runner may restart under the same id. Its cached
+# prompts, requests in flight and failures were then attributed to the new incarnation, which has none of them.
+Feature: Runners that restart under their id
+  Scenario Outline: No state of an earlier incarnation carries over to a later one
+    Given a runner "a" born at 1000 of which <state> is believed
+    When its entry reports a start at 2000
+    Then none of that state is attributed to it
 
     Examples:
-      | belief                      |
-      | that it keeps a prompt      |
-      | that it has requests        |
-      | that others have requests   |
-      | that it can not be reached  |
-      | that others say it keeps it |
-      | that it is about to lapse   |
+      | state                                             |
+      | that it has a prompt cached                       |
+      | that it has requests in flight                    |
+      | that other gateways have requests in flight there |
+      | that it is unreachable                            |
+      | that peers reported a cached prompt               |
+      | that its removal is scheduled                     |
 
-  Scenario: Word of an earlier life that comes late changes nothing
-    Given a runner "a" born at 2000 of which that it keeps a prompt is believed
-    When its entry tells that it was born at 1000 at another address
-    Then it is still the life born at 2000, with all that is believed of it
+  Scenario: A late entry of an earlier incarnation changes nothing
+    Given a runner "a" born at 2000 of which that it has a prompt cached is believed
+    When its entry reports a start at 1000 at another address
+    Then it is still the incarnation started at 2000, with all of its state
 
-  Scenario: An entry that no longer tells its start is of the same life
-    Given a runner "a" born at 2000 of which that it keeps a prompt is believed
-    When its entry no longer tells when it was born
-    Then it is still the life born at 2000, with all that is believed of it
+  Scenario: An entry without a start time belongs to the same incarnation
+    Given a runner "a" born at 2000 of which that it has a prompt cached is believed
+    When its entry no longer reports a start time
+    Then it is still the incarnation started at 2000, with all of its state
 
-  Scenario: A request that was refused by an earlier life may go to the later one
-    Given a runner "a" born at 1000 of which that it has requests is believed
-    When its entry tells that it was born at 2000
-    Then a request that the earlier life refused may be sent to it, and what ends at the earlier one changes nothing
+  Scenario: A request refused by an earlier incarnation may be sent to the later one
+    Given a runner "a" born at 1000 of which that it has requests in flight is believed
+    When its entry reports a start at 2000
+    Then a request that the earlier incarnation refused may be sent to it, and requests that end at the earlier one change nothing
 
-  Scenario: In whatever order entries of several lives come, the latest life is used
-    Then of any entries of lives in any order the latest is used, with nothing of the others
+  Scenario: In whatever order the entries of several incarnations come, the latest is used
+    Then of the entries of several incarnations in any order the latest is used, with no state of the others
 
-  Scenario Outline: An entry whose start is no whole number is refused
+  Scenario Outline: An entry whose start time is not an integer is refused
     When the entry of a runner reads {"Service":"s","Address":"10.0.0.1:80","State":"ready","born":<born>}
     Then that entry is refused
 
--- a/features/steps/runner-lives.steps.ts
+++ b/features/steps/runner-lives.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about runners that start again under their id: the registry alone, in virtual time. */
+/** Steps about runners that restart under their id: the registry alone, in virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -18,7 +18,7 @@
 interface World {
   clock: VirtualClock;
   registry: RunnerRegistry;
-  /** What others tell, by the short name of a life. */
+  /** Requests in flight that other gateways report, by the hash of an incarnation. */
   others: Map<number, number>;
   runner: Runner;
   before: RunnerCandidate;
@@ -44,16 +44,17 @@
 }
 
 const BELIEFS: Record<string, (world: World, record: RunnerCandidate['record']) => void> = {
-  'that it keeps a prompt': ({ registry }, record) => {
+  'that it has a prompt cached': ({ registry }, record) => {
     registry.noteRequestSent(record, PARTS);
     registry.noteRequestEnded(record, undefined);
   },
-  'that it has requests': ({ registry }, record) => registry.noteRequestSent(record, []),
-  'that others have requests': ({ others, runner }) => others.set(incarnationHash(runner), 3),
-  'that it can not be reached': ({ registry }, record) => registry.markUnreachable(record, 'test'),
-  'that others say it keeps it': ({ registry, runner }) =>
+  'that it has requests in flight': ({ registry }, record) => registry.noteRequestSent(record, []),
+  'that other gateways have requests in flight there': ({ others, runner }) =>
+    others.set(incarnationHash(runner), 3),
+  'that it is unreachable': ({ registry }, record) => registry.markUnreachable(record, 'test'),
+  'that peers reported a cached prompt': ({ registry, runner }) =>
     registry.learnCachedPart(incarnationHash(runner), PARTS[0]!.key, PARTS[0]!.tokens),
-  'that it is about to lapse': ({ registry, runner }) =>
+  'that its removal is scheduled': ({ registry, runner }) =>
     registry.scheduleRemoval(runner.id, LAPSE_MILLISECONDS),
 };
 
@@ -68,22 +69,22 @@
   },
 );
 
-When('its entry tells that it was born at {int}', function (this: World, bornAt: number) {
+When('its entry reports a start at {int}', function (this: World, bornAt: number) {
   this.registry.put(runnerStartedAt(bornAt));
 });
 
 When(
-  'its entry tells that it was born at {int} at another address',
+  'its entry reports a start at {int} at another address',
   function (this: World, bornAt: number) {
     this.registry.put({ ...runnerStartedAt(bornAt), host: '10.0.0.2' });
   },
 );
 
-When('its entry no longer tells when it was born', function (this: World) {
+When('its entry no longer reports a start time', function (this: World) {
   this.registry.put(runnerStartedAt(undefined));
 });
 
-Then('nothing of that is believed of it', function (this: World) {
+Then('none of that state is attributed to it', function (this: World) {
   const candidate = candidateOf(this);
   assert.deepEqual([candidate.inFlight, candidate.cachedTokens], [0, 0]);
   assert.deepEqual([candidate.record.failures, candidate.record.unreachable], [0, false]);
@@ -93,7 +94,7 @@
 });
 
 Then(
-  'it is still the life born at {int}, with all that is believed of it',
+  'it is still the incarnation started at {int}, with all of its state',
   function (this: World, bornAt: number) {
     const candidate = candidateOf(this);
     assert.equal(candidate.record, this.before.record);
@@ -103,7 +104,7 @@
 );
 
 Then(
-  'a request that the earlier life refused may be sent to it, and what ends at the earlier one changes nothing',
+  'a request that the earlier incarnation refused may be sent to it, and requests that end at the earlier one change nothing',
   function (this: World) {
     const refusedBy = new Set([incarnationOf(this.runner)]);
     assert.equal(this.registry.candidates(SERVICE, PARTS, refusedBy).length, 1);
@@ -113,7 +114,7 @@
 );
 
 Then(
-  'of any entries of lives in any order the latest is used, with nothing of the others',
+  'of the entries of several incarnations in any order the latest is used, with no state of the others',
   function (this: World) {
     const births = fc.array(fc.nat(5), { minLength: 1, maxLength: 8 });
     fc.assert(
