--- a/features/steps/memory.steps.ts
+++ b/features/steps/memory.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about what engines keep and who asks them, in virtual time. */
+/** Steps about the discovery of the engines' prompt caches, in virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -29,31 +29,34 @@
   return { id, service, host: id, port: 1, zone: 'z', slots: 8, ready: true };
 }
 
-Given('a gateway that has just started beside {int} others', function (this: World, peers: number) {
-  this.memoryClock = new VirtualClock();
-  const runtime = new SimulatedProcess('g', this.memoryClock, createRandom(3)).begin();
-  this.registry = new RunnerRegistry(runtime);
-  this.cachedPartsByRunner = new Map();
-  this.queried = [];
-  this.peerCount = peers;
-  const discovery = new EngineCacheDiscovery({
-    runtime,
-    registry: this.registry,
-    read: (runner, done) => {
-      this.queried.push(runner.id);
-      runtime.setTimer(ANSWER_MILLISECONDS, () =>
-        done(E.right(this.cachedPartsByRunner.get(runner.id) ?? [])),
-      );
-    },
-    cachesPrompts: (service) => service === 'engines',
-    peerCount: () => this.peerCount,
-    announce: (runnerHash, parts) => (this.announced ??= new Map()).set(runnerHash, parts),
-  });
-  this.registry.onRunnerAdded = (runner) => discovery.noteRunnerAdded(runner);
-});
+Given(
+  'a gateway that has just started next to {int} others',
+  function (this: World, peers: number) {
+    this.memoryClock = new VirtualClock();
+    const runtime = new SimulatedProcess('g', this.memoryClock, createRandom(3)).begin();
+    this.registry = new RunnerRegistry(runtime);
+    this.cachedPartsByRunner = new Map();
+    this.queried = [];
+    this.peerCount = peers;
+    const discovery = new EngineCacheDiscovery({
+      runtime,
+      registry: this.registry,
+      read: (runner, done) => {
+        this.queried.push(runner.id);
+        runtime.setTimer(ANSWER_MILLISECONDS, () =>
+          done(E.right(this.cachedPartsByRunner.get(runner.id) ?? [])),
+        );
+      },
+      cachesPrompts: (service) => service === 'engines',
+      peerCount: () => this.peerCount,
+      announce: (runnerHash, parts) => (this.announced ??= new Map()).set(runnerHash, parts),
+    });
+    this.registry.onRunnerAdded = (runner) => discovery.noteRunnerAdded(runner);
+  },
+);
 
 When(
-  'engine {string} that keeps {string} and plain runner {string} are seen',
+  'engine {string} with {string} cached and plain runner {string} are added',
   function (this: World, engine: string, parts: string, plain: string) {
     this.cachedPartsByRunner.set(engine, parsePromptParts(parts));
     this.registry.put(runnerOf(engine, 'engines'));
@@ -61,7 +64,7 @@
   },
 );
 
-When('{int} engines are seen', function (this: World, count: number) {
+When('{int} engines are added', function (this: World, count: number) {
   for (let index = 0; index < count; index += 1) {
     this.registry.put(runnerOf(`e${index}`, 'engines'));
   }
@@ -72,7 +75,7 @@
 });
 
 Then(
-  '{int} tokens of the prompt {string} are known to be at {string}',
+  '{int} tokens of the prompt {string} are known to be cached at {string}',
   function (this: World, tokens: number, prompt: string, runner: string) {
     const candidates = this.registry.candidates('engines', parsePromptParts(prompt), new Set());
     assert.equal(candidates.find(({ id }) => id === runner)?.cachedTokens, tokens);
@@ -80,7 +83,7 @@
 );
 
 When(
-  '{int} peers are heard, and each engine is told to keep {int} parts',
+  '{int} peers are heard from, and each engine is reported to have {int} parts cached',
   function (this: World, peers: number, parts: number) {
     this.peerCount = peers;
     for (const { hash } of this.registry.candidates('engines', [], new Set())) {
@@ -91,27 +94,27 @@
   },
 );
 
-Then('its peers are told what {string} keeps', function (this: World, runner: string) {
+Then('its peers are told what {string} has cached', function (this: World, runner: string) {
   assert.deepEqual(this.announced!.get(hashToNumber(runner)), this.cachedPartsByRunner.get(runner));
 });
 
-Then('at most {int} engines were asked', function (this: World, most: number) {
-  assert.ok(this.queried.length <= most, `${this.queried.length} were asked`);
+Then('at most {int} engines were queried', function (this: World, most: number) {
+  assert.ok(this.queried.length <= most, `${this.queried.length} were queried`);
 });
 
-Then('only {string} was asked', function (this: World, runner: string) {
+Then('only {string} was queried', function (this: World, runner: string) {
   assert.deepEqual(this.queried, [runner]);
 });
 
 Then(
-  'between {int} and {int} engines were asked',
+  'between {int} and {int} engines were queried',
   function (this: World, least: number, most: number) {
     const { length } = this.queried;
-    assert.ok(length >= least && length <= most, `${length} were asked`);
+    assert.ok(length >= least && length <= most, `${length} were queried`);
   },
 );
 
-Then('any bytes are read as a list of kept parts or refused', function () {
+Then('any bytes are decoded as a list of cached parts or refused', function () {
   const row = fc.tuple(fc.string(), fc.string(), fc.double(), fc.string());
   const text = fc.oneof(
     fc.string(),
