--- a/features/steps/slow-readers.steps.ts
+++ b/features/steps/slow-readers.steps.ts
@@ -15,27 +15,27 @@
 import type { RunnerIncarnation } from '../../src/relay/runners/runner.js';
 
 const MEGABYTE = 1024 * 1024;
-/** Twice what the kernel takes on both ways for a client that reads nothing: some 9 MB. */
+/** Size of long streams: about 19 MB, twice what the kernel buffers for a client that reads nothing. */
 const EVENT_BYTES = 16 * 1024;
 const EVENTS = 1_200;
-/** The same of a turn, which is read on whatever the kernel takes: 8 MB. */
+/** Events of the stream of a stored turn, which is read without backpressure: 8 MB. */
 const KEPT_EVENTS = 512;
 /**
- * Streams where there are hundreds of clients. The kernel takes some 9 MB for each client that reads nothing, on both
- * ways together: only one stream in five is longer than that, the others are taken by the kernel.
+ * Streams for hundreds of clients. The kernel buffers about 9 MB for each client that reads nothing, in both
+ * directions together. Only one stream in five is longer than that; the others fit into the kernel's buffers.
  */
 const CROWD_STREAMS = { eventBytes: 64 * 1024, eventCount: 20 };
 const ENDLESS_QUERY = 'stream&events=600';
 const ENDLESS_INTERVAL = 5;
 const ANSWER_BYTES = 8 * MEGABYTE;
 const STEP_MILLISECONDS = 20;
-/** Time in which a request that does not wait is answered, with much to spare. */
+/** Ample time for a request that does not have to wait. */
 const WAIT_MILLISECONDS = 500;
-/** Time without an event after which a runner waits: less than the pause after which it is read on. */
+/** Time without an event after which a runner counts as waiting; shorter than the longest pause of a runner. */
 const STALL_MILLISECONDS = 300;
-/** Expected of a runner of which nothing is known. */
+/** Expected latency of a runner without samples. */
 const DEFAULT_LATENCY_MILLISECONDS = 100;
-/** Answers that say that the request has not run. */
+/** Statuses that state that the request has not run. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const LONG = { timeout: 60_000 };
 
@@ -49,11 +49,11 @@
   maximumResidentBytes: number;
   nonReadingRunner?: NonReadingRunner;
   answers: ClientResult[];
-  /** Requests of which anything came to the runner that takes nothing. */
+  /** Ids of the requests of which any byte reached the runner that reads nothing. */
   reached: string[];
   others?: MemoryAllocation;
   waiting?: Promise<ClientResult>;
-  /** Events of the stream that is read. */
+  /** Number of events of the stream that is read. */
   expectedEvents: number;
 }
 
@@ -61,7 +61,7 @@
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-/** Waits for a condition; fails after a time. */
+/** Waits for a condition; fails if it does not hold within the given time. */
 async function until(what: string, milliseconds: number, holds: () => boolean): Promise<void> {
   const end = performance.now() + milliseconds;
   while (!holds()) {
@@ -110,7 +110,7 @@
   },
 );
 
-Given('the first stream breaks off in the middle', function (this: World) {
+Given('the first stream is interrupted in the middle', function (this: World) {
   const shared = ['cutOff' as const];
   this.slow.runners.forEach((runner) => {
     runner.behaviours.shift = () => shared.shift();
@@ -121,33 +121,33 @@
   const query = route === 'kept' ? `stream&events=${KEPT_EVENTS}` : route;
   this.expectedEvents = route === 'kept' ? KEPT_EVENTS : EVENTS;
   this.reader = new SlowClient(this.slow.frontPort, route, 'slow-1', 'nothing', query);
-  await until('the client is behind', 4_000, () => this.slow.gateway.memory.heldBytes > 0);
+  await until('backpressure of the client', 4_000, () => this.slow.gateway.memory.heldBytes > 0);
 });
 
-When('it reads on after {int} milliseconds', async function (this: World, pause: number) {
+When('it resumes reading after {int} milliseconds', async function (this: World, pause: number) {
   await sleep(pause);
   this.reader.resume();
 });
 
-When('it leaves', function (this: World) {
+When('it disconnects', function (this: World) {
   this.reader.disconnect();
 });
 
 Then(
-  'the gateway holds at most {int} bytes for it, and its runner waits',
+  'the gateway buffers at most {int} bytes for it, and its runner waits',
   async function (this: World, most: number) {
     const { memory } = this.slow.gateway;
     const sent = (): number =>
       this.slow.runners.reduce((sum, { eventsSent }) => sum + eventsSent, 0);
     let before = -1;
     for (let looks = 0; before !== sent(); looks += 1) {
-      assert.ok(looks < 20, 'the runner never waits');
+      assert.ok(looks < 20, 'the runner never stops sending');
       before = sent();
       await sleep(STALL_MILLISECONDS);
     }
-    assert.ok(before < EVENTS, 'all was sent');
+    assert.ok(before < EVENTS, 'the whole stream was sent');
     const held = memory.heldBytes;
-    assert.ok(held > 0 && held <= most, `${held} bytes held`);
+    assert.ok(held > 0 && held <= most, `${held} bytes buffered`);
   },
 );
 
@@ -169,10 +169,10 @@
   assert.equal(text.length - text.indexOf('\r\n\r\n') - 4, ANSWER_BYTES);
 });
 
-Then("no try failed, and nothing was learned of its runner's pace", function (this: World) {
+Then('no attempt failed, and no latency sample of its runner was taken', function (this: World) {
   assert.ok(!this.slow.gateway.metrics.render().includes('ivyloom_relay_failed_tries_total'));
   const paces = this.slow.gateway.registry.candidates('workers', [], new Set());
-  // Without a sample each runner is as quick as its service, and that as quick as any.
+  // Without samples, the expected latency of a runner is that of its service, which has its default.
   assert.deepEqual(
     paces.map(({ record }) => record.latency.expectedMilliseconds),
     [DEFAULT_LATENCY_MILLISECONDS, DEFAULT_LATENCY_MILLISECONDS],
@@ -180,18 +180,18 @@
 });
 
 Then(
-  'its answer is cut within {int} milliseconds without looking complete',
+  'it is disconnected within {int} milliseconds without its answer looking complete',
   LONG,
   async function (this: World, most: number) {
     const { memory } = this.slow.gateway;
-    await until('the cut', most, () => memory.heldBytes === 0);
+    await until('the disconnect', most, () => memory.heldBytes === 0);
     this.reader.resume();
     await until('the close', 3_000, () => this.reader.isClosed);
     assert.ok(!this.reader.isComplete);
   },
 );
 
-Then('its run has ended, and nothing is held any more', async function (this: World) {
+Then('its run has ended, and nothing is buffered any more', async function (this: World) {
   await until('the end of the run', 1_000, () =>
     this.slow.runners.flatMap((runner) => runner.runs).every((run) => run.left),
   );
@@ -206,24 +206,27 @@
 });
 
 Then(
-  'the turn is kept whole within {int} milliseconds, and the gateway holds the rest of the answer',
+  'the turn is stored completely within {int} milliseconds, and the gateway buffers the rest of the answer',
   LONG,
   async function (this: World, most: number) {
-    await until('the kept turn', most, () => this.slow.keptTurns === 1);
+    await until('the stored turn', most, () => this.slow.keptTurns === 1);
     assert.ok(this.slow.gateway.memory.byAccount().answers > MEGABYTE);
     assert.ok(!this.reader.isClosed);
   },
 );
 
-Then('the gateway holds the rest of the answer, and the run is over', async function (this: World) {
-  const { memory } = this.slow.gateway;
-  await until('the whole answer', 3_000, () => memory.byAccount().answers > MEGABYTE);
-  await until('the end of the run', 1_000, () =>
-    this.slow.runners.some((runner) => runner.runs[0]?.isAnswered === true),
-  );
-});
+Then(
+  'the gateway buffers the rest of the answer, and the run is over',
+  async function (this: World) {
+    const { memory } = this.slow.gateway;
+    await until('the whole answer', 3_000, () => memory.byAccount().answers > MEGABYTE);
+    await until('the end of the run', 1_000, () =>
+      this.slow.runners.some((runner) => runner.runs[0]?.isAnswered === true),
+    );
+  },
+);
 
-/** Asks in ten lines of thirty; each is answered by a short plain answer. */
+/** Sends `count` requests in ten concurrent sequences; each gets a short plain answer. */
 async function sendUsualRequests(world: World, count: number): Promise<void> {
   const LINES = 10;
   const done: { result: ClientResult; milliseconds: number }[] = [];
@@ -239,7 +242,7 @@
 }
 
 When(
-  '{int} usual clients ask, one after another of each ten',
+  '{int} normal clients send requests, ten at a time',
   LONG,
   async function (this: World, count: number) {
     await sendUsualRequests(this, count);
@@ -252,7 +255,7 @@
   world.initialResidentBytes = process.memoryUsage.rss();
   const { frontPort } = world.slow;
   for (let index = 0; index < sips; index += 1) {
-    world.readers.push(new SlowClient(frontPort, 'repeatable', `sip-${index}`, 'sips'));
+    world.readers.push(new SlowClient(frontPort, 'repeatable', `trickle-${index}`, 'trickle'));
   }
   for (let index = 0; index < nothing; index += 1) {
     const query = index % ENDLESS_INTERVAL === 0 ? ENDLESS_QUERY : 'stream';
@@ -268,11 +271,11 @@
     const { memory } = this.slow.gateway;
     const slow = (): number => Number(/slow_readers (\d+)/.exec(memory.render())?.[1]);
     const endless = nothing / ENDLESS_INTERVAL;
-    await until('all are behind', 20_000, () => slow() + memory.cutCount >= endless);
+    await until('backpressure of all clients', 20_000, () => slow() + memory.cutCount >= endless);
   },
 );
 
-When('it holds {int} bytes for others', function (this: World, bytes: number) {
+When('the gateway buffers {int} bytes for others', function (this: World, bytes: number) {
   this.others ??= this.slow.gateway.memory.allocate('bodies');
   this.others.set(bytes);
 });
@@ -309,11 +312,11 @@
   return sorted[Math.floor(sorted.length * fraction)]!;
 }
 
-/** What a client may notice, in milliseconds: half of the time within which an event is to be passed on. */
+/** Accepted increase of answer times: half of the time within which an event is to be forwarded. */
 const TOLERATED_DELAY_MILLISECONDS = 100;
 
 Then(
-  'all usual clients were answered whole, the later ones as soon as the earlier ones',
+  'all normal clients got complete answers, the later ones as fast as the earlier ones',
   function (this: World) {
     const [before, after] = this.usual.map((asked) =>
       asked.map(({ milliseconds }) => milliseconds),
@@ -331,20 +334,20 @@
 );
 
 Then(
-  'the gateway held at most {int} MB for the others, and the process took at most {int} MB more',
+  'the gateway buffered at most {int} MB for the others, and the process used at most {int} MB more',
   function (this: World, held: number, resident: number) {
-    assert.ok(this.maximumHeldBytes <= held * MEGABYTE, `${this.maximumHeldBytes} bytes held`);
+    assert.ok(this.maximumHeldBytes <= held * MEGABYTE, `${this.maximumHeldBytes} bytes buffered`);
     const more = this.maximumResidentBytes - this.initialResidentBytes;
     assert.ok(more <= resident * MEGABYTE, `${more} bytes more resident`);
   },
 );
 
 Then(
-  'those that read nothing are cut within {int} milliseconds, and nothing is held for them any more',
+  'those that read nothing are disconnected within {int} milliseconds, and nothing is buffered for them any more',
   LONG,
   async function (this: World, most: number) {
     const { memory } = this.slow.gateway;
-    await until('all cuts', most, () => memory.byAccount().answers === 0);
+    await until('all disconnects', most, () => memory.byAccount().answers === 0);
     const streams = this.slow.runners.flatMap((runner) => runner.runs);
     const unread = streams.filter(({ requestId }) => requestId.startsWith('none-'));
     assert.equal(unread.length, 300);
@@ -354,7 +357,7 @@
 );
 
 Then(
-  'a new request is refused with 503, a time to come back, and no run',
+  'a new request is refused with 503 and a retry delay, and is not run',
   LONG,
   async function (this: World) {
     const result = await this.slow.send('repeatable', { body: 'late', id: 'refused' });
@@ -365,7 +368,7 @@
   },
 );
 
-Given('a gateway with two runners, the first of which takes nothing', async function (this: World) {
+Given('a gateway with two runners, the first of which reads nothing', async function (this: World) {
   await startWorld(this, { maximumConnections: 200 });
   this.nonReadingRunner = new NonReadingRunner();
   const port = await this.nonReadingRunner.listen();
@@ -393,21 +396,21 @@
 );
 
 Then(
-  'at most {int} bytes wait for the first runner, and the others were answered by the second',
+  'at most {int} bytes are unsent to the first runner, and the second one answered the other requests',
   async function (this: World, most: number) {
-    assert.ok(this.maximumHeldBytes <= most, `${this.maximumHeldBytes} bytes waited`);
+    assert.ok(this.maximumHeldBytes <= most, `${this.maximumHeldBytes} bytes unsent`);
     this.reached = await this.nonReadingRunner!.readIds();
     const others = this.answers.filter((_, index) => !this.reached.includes(`body-${index}`));
     assert.deepEqual(
       others.map(({ status }) => status),
       others.map(() => 200),
     );
-    assert.ok(others.length > 0, 'all went to the first runner');
+    assert.ok(others.length > 0, 'all requests went to the first runner');
   },
 );
 
 Then(
-  'none that reached the first runner in part or whole is said not to have run',
+  'no request that reached the first runner, even in part, is reported as not run',
   function (this: World) {
     assert.ok(this.reached.length > 0);
     for (const id of this.reached) {
@@ -417,7 +420,7 @@
   },
 );
 
-/** Sends one try over a connection that closes after it, and does not read its answer. */
+/** Starts an attempt over a connection that the runner closes after its answer, and pauses reading the answer. */
 function startUnread(world: World, bytes: number, ended: (outcome: string) => void): Attempt {
   const { runner } = world.slow.gateway.registry.candidates('workers', [], new Set())[0]!.record;
   let read = 0;
@@ -446,7 +449,7 @@
 }
 
 Then(
-  'an answer of {int} bytes that is read {int} milliseconds after its runner closed the connection is whole',
+  'an answer of {int} bytes that is read {int} milliseconds after its runner closed the connection is complete',
   async function (this: World, bytes: number, pause: number) {
     const outcomes: string[] = [];
     const attempt = startUnread(this, bytes, (outcome) => outcomes.push(outcome));
@@ -462,7 +465,7 @@
 );
 
 When(
-  'a client sends {int} requests with bodies one behind the other, and leaves after {int} milliseconds',
+  'a client sends {int} pipelined requests with bodies and disconnects after {int} milliseconds',
   async function (this: World, count: number, pause: number) {
     const socket = connect(this.slow.frontPort, '127.0.0.1');
     for (let index = 0; index < count; index += 1) {
@@ -484,10 +487,10 @@
 );
 
 Then(
-  'no request is under way within {int} milliseconds, all runs have ended, and nothing is held',
+  'all requests and all runs have ended within {int} milliseconds, and nothing is buffered',
   async function (this: World, most: number) {
     const { gateway, runners } = this.slow;
-    await until('no request is under way', most, () => gateway.activeRequests === 0);
+    await until('the end of all requests', most, () => gateway.activeRequests === 0);
     const runs = runners.flatMap((runner) => runner.runs);
     await until('the end of all runs', most, () => runs.every(({ left }) => left));
     assert.equal(gateway.memory.heldBytes, 0);
@@ -502,7 +505,7 @@
 });
 
 Then(
-  'one with a body whose time is over before it is read is refused with 503 and a time to come back, and no run',
+  'one with a body whose deadline passes before it is read is refused with 503 and a retry delay, and is not run',
   async function (this: World) {
     const headers = { [DEFAULT_HEADER_NAMES.timeout]: '200' };
     const result = await this.slow.send('repeatable', { body: 'unread', id: 'unread', headers });
--- a/features/support/non-reading-runner.ts
+++ b/features/support/non-reading-runner.ts
@@ -1,4 +1,4 @@
-/** A runner that takes connections and reads nothing from them. */
+/** Test runner that accepts connections but reads nothing from them. */
 import { createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { DEFAULT_HEADER_NAMES } from '../../src/relay/request/default-header-names.js';
@@ -6,7 +6,7 @@
 const READ_MILLISECONDS = 500;
 const REQUEST_ID = new RegExp(`${DEFAULT_HEADER_NAMES.requestId}: (\\S+)`, 'gi');
 
-/** See the head of this file. */
+/** TCP server on loopback that leaves its sockets paused. */
 export class NonReadingRunner {
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
@@ -18,7 +18,7 @@
     });
   }
 
-  /** Listens on a free loopback port; resolves with it. */
+  /** Listens on a free loopback port; resolves with the port. */
   listen(): Promise<number> {
     return new Promise((resolve) => {
       this.server.listen(0, '127.0.0.1', () => {
@@ -27,7 +27,7 @@
     });
   }
 
-  /** Reads at last; resolves with the names of all requests of which anything came. */
+  /** Reads what has arrived; resolves with the ids of all requests whose head did. */
   async readIds(): Promise<string[]> {
     let text = '';
     this.sockets.forEach((socket) => {
@@ -38,7 +38,7 @@
     return [...text.matchAll(REQUEST_ID)].map((match) => match[1]!);
   }
 
-  /** Ends at once. */
+  /** Closes the server and all connections. */
   close(): void {
     this.server.close();
     this.sockets.forEach((socket) => socket.destroy());
--- a/features/support/slow-client.ts
+++ b/features/support/slow-client.ts
@@ -1,38 +1,42 @@
-/** A client over a plain socket that reads as fast or as slowly as a test says. */
+/** Test client that reads its answer at a chosen pace. */
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 import { DEFAULT_HEADER_NAMES } from '../../src/relay/request/default-header-names.js';
 import { ROUTED_HOST } from './relay-world.js';
 
 const HOST = '127.0.0.1';
-/** Time that a client tells it waits, in milliseconds. */
+/** Timeout that the client sends with its request. */
 const TIMEOUT_MILLISECONDS = 20_000;
-/** Bytes that a slow reader takes at a time, and the pause between, in milliseconds. */
+/** Bytes that a trickling client reads at a time, and the pause between two reads. */
 const TRICKLE_BYTES = 4;
 const TRICKLE_INTERVAL_MILLISECONDS = 1_000;
 
+/** Length of the blank line that ends the head. */
 const END_OF_HEAD = 4;
 const LAST_CHUNK = '0\r\n\r\n';
 
-/** How a client reads. */
-export type ReadingPace = 'nothing' | 'sips' | 'all';
+/** How much of its answer a client reads: nothing, a few bytes per second, or everything at once. */
+export type ReadingPace = 'nothing' | 'trickle' | 'all';
 
-/** See the head of this file. */
+/** HTTP/1.1 client with one request on a plain socket. */
 export class SlowClient {
   private readonly socket: Socket;
   private readonly chunks: Buffer[] = [];
   private pace: ReadingPace;
-  /** Whether the connection is over. */
+  /** Whether the connection is closed. */
   isClosed = false;
 
-  /** @param query what is asked for, after the question mark */
+  /**
+   * Sends the request.
+   * @param query part of the path after the question mark, which selects the runner's answer
+   */
   constructor(port: number, route: string, id: string, pace: ReadingPace, query = route) {
     this.pace = pace;
     this.socket = connect({
       port,
       host: HOST,
       onread: {
-        buffer: Buffer.alloc(pace === 'sips' ? TRICKLE_BYTES : 65_536),
+        buffer: Buffer.alloc(pace === 'trickle' ? TRICKLE_BYTES : 65_536),
         callback: (bytes, buffer) => this.receive(Buffer.from(buffer.subarray(0, bytes))),
       },
     });
@@ -56,12 +60,12 @@
     }
   }
 
-  /** What was read. */
+  /** Everything read so far. */
   get text(): string {
     return Buffer.concat(this.chunks).toString('latin1');
   }
 
-  /** Whether a whole chunked or sized answer was read. */
+  /** Whether a complete answer was read, either chunked or with a content length. */
   get isComplete(): boolean {
     const first = this.chunks[0]?.toString('latin1') ?? '';
     const length = /content-length: (\d+)/i.exec(first)?.[1];
@@ -73,20 +77,19 @@
     return last.toString('latin1').endsWith(LAST_CHUNK);
   }
 
-  /** Reads everything from now on. */
+  /** Reads at full speed from now on. */
   resume(): void {
     this.pace = 'all';
     this.socket.resume();
   }
 
-  /** Closes the connection. */
   disconnect(): void {
     this.socket.destroy();
   }
 
   private receive(bytes: Buffer): boolean {
     this.chunks.push(bytes);
-    if (this.pace === 'sips') {
+    if (this.pace === 'trickle') {
       setTimeout(() => this.socket.resume(), TRICKLE_INTERVAL_MILLISECONDS).unref();
       return false;
     }
