--- a/features/support/faulty-gateway.ts
+++ b/features/support/faulty-gateway.ts
@@ -1,4 +1,4 @@
-/** A stand-in of a gateway that breaks one promise, to show that the clients of the soak notice it. */
+/** Fake gateway with one injected fault, to show that the clients of the soak test detect it. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { PLATFORM_HEADER_NAMES as NAMES } from '../../platform/header-names.js';
@@ -12,34 +12,34 @@
 import { LIMITED_KEY, LIMITED_TENANT } from '../../soak/tenant-check.js';
 import type { RelayRunner } from '../../src/emulator/relay-runner.js';
 
-/** Promises that it may break; `nothing` keeps them all. */
+/** Faults that can be injected; `nothing` injects none. */
 export type GatewayFault =
   | 'nothing'
-  /** Gives the answer of another request. */
+  /** Returns the answer of another request. */
   | 'foreignAnswer'
-  /** Ends a stream as complete before its last event. */
+  /** Ends a stream before its last event as if it were complete. */
   | 'endsEarly'
-  /** Leaves out an event. */
+  /** Omits an event. */
   | 'skipsEvent'
-  /** Runs what may not repeat a second time. */
+  /** Runs a non-repeatable request twice. */
   | 'runsTwice'
-  /** Says that a request has not run that has. */
+  /** Reports a request that has run as not run. */
   | 'refusesAfterRun'
-  /** Never says that a budget is spent. */
+  /** Never enforces a token budget. */
   | 'ignoresBudget'
-  /** Knows no earlier turn. */
+  /** Does not find any earlier turn. */
   | 'forgetsTurns'
-  /** Gives a runner the chain of nobody. */
+  /** Sends a runner a chain that belongs to no program. */
   | 'mixesChains'
-  /** Knows no route that was added. */
+  /** Has no route. */
   | 'forgetsRoutes'
-  /** Names another tenant to runners. */
+  /** Sends runners the name of another tenant. */
   | 'namesAnother'
-  /** Passes the key on. */
+  /** Forwards the client's key to the runner. */
   | 'passesKey'
-  /** Knows every key there ever was. */
+  /** Accepts revoked keys. */
   | 'servesOldKeys'
-  /** Never says that a tenant's requests are used up. */
+  /** Never enforces a tenant's quota. */
   | 'ignoresLimit';
 
 /** Tenants by key. */
@@ -47,11 +47,11 @@
   [`Token ${SOAK_KEY}`]: SOAK_TENANT,
   [`Token ${LIMITED_KEY}`]: LIMITED_TENANT,
 };
-/** Requests of the tenant with a limit that are let in at all. */
+/** Number of requests of the limited tenant that are accepted. */
 const LIMITED_REQUESTS = 100;
 const MOST_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
 
-/** See the head of this file. */
+/** HTTP server that answers like a gateway and runs requests in memory, with the given fault. */
 export class FaultyGateway {
   private readonly server: Server;
   private readonly chains = new Map<string, string>();
@@ -69,12 +69,12 @@
     });
   }
 
-  /** Listens; resolves when it does. */
+  /** Starts to listen. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve) => this.server.listen(port, host, () => resolve()));
   }
 
-  /** Ends. */
+  /** Closes the server and all connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -144,7 +144,7 @@
     return this.fault === 'skipsEvent' ? all.filter((event) => event !== 2) : all;
   }
 
-  /** Status with which a request is refused for its key or its tenant's limit. */
+  /** Returns the status of the refusal for an unknown key or an exceeded quota, or undefined if accepted. */
   private refusalOf({ headers }: IncomingMessage): number | undefined {
     const tenant = TENANTS[String(headers[NAMES.key])];
     if (tenant === undefined) {
