--- a/src/relay/answers/client-answer.ts
+++ b/src/relay/answers/client-answer.ts
@@ -1,6 +1,6 @@
 /**
  * Sends one client its answer: a runner's answer, forwarded unchanged, or a short local answer of the relay. The
- * memory for unsent data is bounded: once the client is a window behind, reading from the runner is paused.
+ * memory for unsent data is bounded: once it exceeds a window, reading from the runner is paused.
  */
 import type { ServerResponse } from 'node:http';
 import { STATUS_CODES } from 'node:http';
--- a/src/relay/placement/placement-charges.ts
+++ b/src/relay/placement/placement-charges.ts
@@ -34,7 +34,7 @@
 const ZONE_MILLISECONDS_PER_KILOBYTE = 1;
 const MAXIMUM_ZONE_MILLISECONDS = 60;
 const BYTES_IN_KILOBYTE = 1_000;
-/** Charge for opening a new connection. */
+/** Charge for opening a new connection, which may also occupy a slot for a moment. */
 const CONNECTION_MILLISECONDS = 15;
 /** Largest charge for a runner that the affinity hash does not prefer. */
 const MAXIMUM_AFFINITY_MILLISECONDS = 8;
--- a/src/relay/tries/attempt-rules.ts
+++ b/src/relay/tries/attempt-rules.ts
@@ -3,7 +3,7 @@
 
 /** The attempts of one call so far. */
 export interface AttemptHistory {
-  /** Whether the request is idempotent, so that it may run more than once. */
+  /** Whether the route allows the request to run more than once. */
   readonly mayRepeat: boolean;
   /** Largest number of runners to which the request may be sent. */
   readonly maximumAttempts: number;
