--- a/src/peers/aggregate-codec.ts
+++ b/src/peers/aggregate-codec.ts
@@ -1,10 +1,10 @@
-/** Bytes of tallies: a section of the messages between gateways. */
+/** Binary encoding of aggregates, carried as an extension section of load messages. */
 import * as r from 'restructure';
 import { WireError } from '../wire/fields.js';
 import { MAXIMUM_AMOUNTS } from './aggregates.js';
 import type { Aggregate, AggregateRow, AggregateTopic } from './aggregates.js';
 
-/** Bytes of a row without its amounts: topic, key, number of amounts. */
+/** Size of an encoded row without its amounts: topic, key and number of amounts. */
 const ROW_HEAD_BYTES = 6;
 const AMOUNT_BYTES = 4;
 
@@ -18,7 +18,7 @@
   return size;
 }
 
-/** Tallies as bytes; amounts as 32-bit floating point numbers. */
+/** Encodes aggregates; amounts are 32-bit floating point numbers. */
 export function encodeAggregates(aggregates: readonly Aggregate[]): Uint8Array {
   const bytes = new Uint8Array(sizeOf(aggregates));
   const stream = new r.EncodeStream(bytes);
@@ -34,7 +34,10 @@
   return bytes;
 }
 
-/** Tallies of a section. Throws on bytes that are none, and on amounts that are no numbers. */
+/**
+ * Decodes the content of an aggregates section. Throws on truncated input and on amounts that are
+ * not finite.
+ */
 export function decodeAggregates(bytes: Uint8Array): Aggregate[] {
   const stream = new r.DecodeStream(bytes);
   const byTopic = new Map<AggregateTopic, AggregateRow[]>();
@@ -54,11 +57,11 @@
   for (let index = 0; index < length; index += 1) {
     const amount = stream.readFloatBE();
     if (!Number.isFinite(amount)) {
-      throw new WireError('an amount that is no number');
+      throw new WireError('aggregate amount is not a finite number');
     }
     amounts.push(amount);
   }
-  // A later build may append places that nobody here reads.
+  // Newer builds may append amounts that this build does not read.
   amounts.splice(MAXIMUM_AMOUNTS);
   return { key, amounts };
 }
--- a/src/peers/aggregate-registry.ts
+++ b/src/peers/aggregate-registry.ts
@@ -1,23 +1,29 @@
-/** Where the parts of a gateway put what they tell of a topic, and read what all other gateways tell of it. */
+/**
+ * Registry through which the components of a gateway publish rows of a topic and read the sums of
+ * all other gateways.
+ */
 import { largestRows } from './aggregates.js';
 import type { Aggregate, AmountsByKey, AggregateRow, AggregateTopic } from './aggregates.js';
 
-/** What nobody tells. */
+/** The empty result for a topic that no other gateway reports. */
 export const NO_AMOUNTS: AmountsByKey = new Map();
 
-/** See the head of this file. */
+/** Holds one source of rows for each topic that this gateway publishes. */
 export class AggregateRegistry {
   private readonly sources = new Map<AggregateTopic, () => readonly AggregateRow[]>();
 
-  /** Figures of all other gateways under a topic, added up by key; none until gossip is there. */
+  /**
+   * Returns the amounts of all other gateways under a topic, summed by key. Empty until the gossip
+   * is connected.
+   */
   ofOthers: (topic: AggregateTopic) => AmountsByKey = () => NO_AMOUNTS;
 
-  /** Tells a topic from now on: the rows are asked for each time that something is told. */
+  /** Publishes a topic. `rows` is called each time the gateway sends a load message. */
   register(topic: AggregateTopic, rows: () => readonly AggregateRow[]): void {
     this.sources.set(topic, rows);
   }
 
-  /** What this gateway tells now. */
+  /** Returns the current rows of all registered topics, bounded to the size of a message. */
   collectOwn(): Aggregate[] {
     const aggregates: Aggregate[] = [];
     for (const [topic, rows] of this.sources) {
--- a/src/peers/aggregates.ts
+++ b/src/peers/aggregates.ts
@@ -1,23 +1,32 @@
 /**
- * Figures that gateways add up over all of them, beside their loads: rows of amounts, each under a topic and a
- * key. They travel the way of loads, from a gateway to its zone's sum to the sum of all; a topic that is not
- * known here is added up and told on all the same, so that builds that know it can meet over ones that don't.
+ * Amounts that are summed over all gateways, beside the load of the runners. A topic groups rows of
+ * amounts, each under a key. Like loads, aggregates are sent from a gateway to its zone's
+ * aggregator and on into the global sum. Topics unknown to this build are summed and forwarded all
+ * the same, so that newer builds can exchange them through older ones.
  */
 
-/** Topics known here, by their number on the wire: append only, a number is never used again. */
+/**
+ * Topics known to this build, by their number on the wire. Append only; numbers are never reused.
+ */
 export const AGGREGATE_TOPICS = {
-  // 1 is that of what requests showed of runners, which nobody tells.
-  /** What is asked of a service; the key is the hash of its name. */
+  // 1 is reserved: what requests showed of runners; no build sends it.
+  /** Requests in progress at a service; the key is the hash of the service's name. */
   serviceDemand: 2,
-  // 3 was that of a tenant's demand, which nobody told.
-  /** Late requests of a service by the rank that they had in time; the key is the hash of its name. */
+  // 3 is reserved: a tenant's demand; no build sent it.
+  /**
+   * Late requests of a service by their rank before they became late; the key is the hash of the
+   * service's name.
+   */
   lateDemand: 4,
 } as const;
 
-/** Number of a topic. */
+/** Number of a topic on the wire. */
 export type AggregateTopic = number;
 
-/** Amounts under one key. What each place of the row means is the topic's; places are only ever appended. */
+/**
+ * Amounts under one key. The topic defines the meaning of each index; amounts are only ever
+ * appended.
+ */
 export interface AggregateRow {
   /** Hash of a name, 32 bits. */
   readonly key: number;
@@ -30,19 +39,17 @@
   readonly rows: readonly AggregateRow[];
 }
 
-/** Amounts by key. */
 export type AmountsByKey = ReadonlyMap<number, readonly number[]>;
-/** Amounts by topic and key. */
 export type AmountsByTopic = ReadonlyMap<AggregateTopic, AmountsByKey>;
 
-/** Rows of one topic in a message: bounds the bytes whatever the number of runners or tenants. */
+/** Limits the rows of one topic in a message, whatever the number of runners or tenants. */
 const MAXIMUM_ROWS_PER_TOPIC = 48;
 /**
- * Topics in a message, the lowest numbers first: more than builds that run side by side know, and with all their
- * rows a message stays a quarter of what a section holds.
+ * Limits the topics in a message; those with the lowest numbers are kept. With all their rows a
+ * message fills about a quarter of the largest section.
  */
 const MAXIMUM_TOPICS = 8;
-/** Amounts in a row. */
+/** Maximum number of amounts in a row. */
 export const MAXIMUM_AMOUNTS = 8;
 
 function addAmounts(sums: number[], amounts: readonly number[], factor: number): void {
@@ -68,8 +75,8 @@
 }
 
 /**
- * Adds up what several messages tell.
- * @param own is taken off the sum: what of it is one's own
+ * Sums the aggregates of several messages.
+ * @param own this gateway's own share, which is subtracted from the sums
  */
 export function sumAggregates(
   lists: Iterable<readonly Aggregate[]>,
@@ -83,7 +90,10 @@
   return sums;
 }
 
-/** Sums as a message tells them: the topics of the lowest numbers, and of each the rows of the largest sums. */
+/**
+ * Converts sums to the aggregates of a message: the topics with the lowest numbers, and of each
+ * topic the rows with the largest totals.
+ */
 export function toAggregates(sums: AmountsByTopic): Aggregate[] {
   const topics = [...sums].sort(([left], [right]) => left - right).slice(0, MAXIMUM_TOPICS);
   return topics.map(([topic, byKey]) => {
@@ -92,7 +102,7 @@
   });
 }
 
-/** The rows of the largest sums of amounts, as many as a message takes. */
+/** Returns the rows with the largest totals, at most as many as a message holds. */
 export function largestRows(rows: readonly AggregateRow[]): readonly AggregateRow[] {
   if (rows.length <= MAXIMUM_ROWS_PER_TOPIC) {
     return rows;
--- a/src/peers/datagram-port.ts
+++ b/src/peers/datagram-port.ts
@@ -1,29 +1,29 @@
-/** Datagrams between gateways: they may be lost, doubled or come in another order. */
+/** Datagrams between gateways. They may be lost, duplicated or reordered. */
 import { createSocket } from 'node:dgram';
 import type { SocketOptions } from 'node:dgram';
 
-/** Receives one datagram and the host that sent it. */
+/** Receives a datagram and the address of the host that sent it. */
 export type DatagramListener = (bytes: Uint8Array, from: string) => void;
 
-/** See the head of this file. */
+/** Sends datagrams to the gateways of other hosts and receives theirs. */
 export interface DatagramPort {
   onDatagram(listener: DatagramListener): void;
-  /** Sends to the gateway of a host; nobody tells whether it arrived. */
+  /** Sends a datagram to the gateway on a host, without confirmation of delivery. */
   send(bytes: Uint8Array, host: string): void;
   close(): void;
 }
 
 const IPV4 = 4;
 /**
- * Hands a host back as it is: hosts are IPv4 addresses, and Node's own look-up for each datagram costs more than
- * sending it.
+ * Returns the host unchanged: hosts are IPv4 addresses, and Node's own lookup for each datagram
+ * costs more than the send itself.
  */
 const resolveIpAddress: SocketOptions['lookup'] = (host, _options, done) => done(null, host, IPV4);
 
-/** Sends and receives over UDP; all gateways listen on the same port. */
+/** Opens a UDP socket; all gateways listen on the same port. */
 export function openUdpPort(host: string, port: number): DatagramPort {
   const socket = createSocket({ type: 'udp4', lookup: resolveIpAddress });
-  // A datagram that could not be sent is a datagram lost.
+  // A send error counts as a lost datagram.
   socket.on('error', () => undefined);
   socket.bind(port, host);
   return {
--- a/src/peers/gossip-pace.ts
+++ b/src/peers/gossip-pace.ts
@@ -1,29 +1,35 @@
 /**
- * How often a gateway tells others of itself. One that has had nothing to tell for a while, and whose word nobody
- * passes on, tells half as often: the first request after that is known a tenth of a second later.
+ * Decides how often a gateway sends load messages. A gateway that has been idle for a while, and
+ * whose messages no other gateway depends on, sends at half the rate; its first request after that
+ * may be reported up to one period later.
  */
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 
-/** Time between two messages of a gateway with requests, in milliseconds. */
+/** Time between two messages of a busy gateway, in milliseconds. */
 export const GOSSIP_PERIOD_MILLISECONDS = 100;
-/** The same of a quiet one; shorter than reports are remembered, so that it goes on to be counted. */
+/**
+ * Time between two messages of an idle gateway, in milliseconds. Shorter than the time for which
+ * aggregators keep a report, so that the gateway stays in the sums.
+ */
 const IDLE_PERIOD_MILLISECONDS = 200;
-/** Time without anything of its own to tell after which a gateway is quiet, in milliseconds. */
+/** Time without anything to report after which a gateway is idle, in milliseconds. */
 const IDLE_AFTER_MILLISECONDS = 1_000;
 
-/** What the pace is made with. */
 export interface GossipPaceOptions {
   readonly runtime: Runtime;
-  /** Whether others rely on this gateway's word at each period: it adds up, or is told of directly. */
+  /**
+   * Whether other gateways need a message each period: this gateway aggregates, or reports directly
+   * to its peers.
+   */
   readonly needsFullRate: () => boolean;
-  /** Tells; true when there was something of its own to tell. */
+  /** Sends a round of messages; returns whether there was anything to report. */
   readonly send: () => boolean;
 }
 
-/** See the head of this file. */
+/** Schedules the rounds of load messages. */
 export class GossipPace {
   private cancelTimer: CancelTimer = () => undefined;
-  /** Local time at which there last was something to tell, in milliseconds. */
+  /** Local time of the last round with something to report, in milliseconds. */
   private lastBusyAt: number;
   private closed = false;
 
@@ -32,7 +38,7 @@
     this.scheduleNext();
   }
 
-  /** Tells no more. */
+  /** Stops sending. */
   close(): void {
     this.closed = true;
     this.cancelTimer();
--- a/src/peers/load-gossip.ts
+++ b/src/peers/load-gossip.ts
@@ -1,10 +1,12 @@
 /**
- * Gateways tell one another several times a second how many of their requests are at each runner, so
- * that each can weigh all load and not its own alone. A few gateways tell some others directly. Where
- * there are many, each tells the two that come first in its zone; the first adds up what its zone told,
- * exchanges sums with the first of the other zones, and sends all of its zone the sum of all: what a
- * gateway sends and receives does not grow with their number. Datagrams may be lost; what a silent
- * sender told is forgotten soon. Peers are found through seeds and through one another.
+ * Gossip between gateways about load: each gateway reports several times a second how many of its
+ * requests are at each runner, so that all gateways can balance on the total load. In small
+ * clusters a gateway reports directly to some of its peers. In large ones it reports to the two
+ * first-ranked gateways of its zone, the aggregators. The acting aggregator sums the reports of its
+ * zone, exchanges sums with the aggregators of the other zones, and sends the global sum to its
+ * zone, so that the traffic of a gateway does not grow with the number of gateways. Datagrams may
+ * be lost; the reports of a silent sender expire soon. Gateways discover one another through seeds
+ * and through their peers.
  */
 import type { ProofRank, StoreProof } from '../mirror/store-freshness.js';
 import { hashToNumber } from '../runtime/hashing.js';
@@ -29,17 +31,18 @@
 import { NO_AMOUNTS } from './aggregate-registry.js';
 import type { Aggregate, AmountsByKey, AmountsByTopic, AggregateTopic } from './aggregates.js';
 
-/** What the gossip is made with. */
 export interface LoadGossipOptions extends OwnState {
   readonly runtime: Runtime;
   readonly host: string;
   readonly zone: string;
   readonly datagrams: DatagramPort;
-  /** Hosts to begin with. */
+  /** Hosts to contact first. */
   readonly seeds: () => readonly string[];
-  /** A peer told what it knows of the store. */
+  /** Called with what a peer knows of the store, for each of its messages. */
   readonly onPeerStoreState: (state: PeerStoreState) => void;
-  /** A peer told what runners have begun to keep. */
+  /**
+   * Called with the prompt parts that runners have recently begun to cache, as a peer reports them.
+   */
   readonly onPlaces: (places: readonly PromptPlace[]) => void;
 }
 
@@ -47,42 +50,57 @@
 export interface PeerStoreState {
   /** Host of the peer. */
   readonly from: string;
-  /** Revision up to which it misses nothing. */
+  /** Revision up to which the peer has all changes. */
   readonly revision: number;
-  /** Newest proof of the store's revision that it knows; undefined when it knows none. */
+  /** Newest proof of the store's revision known to the peer; undefined when it knows none. */
   readonly proof: StoreProof | undefined;
 }
 
-/** Gateways up to which each tells others directly: beyond, sums by zone cost fewer messages. */
+/**
+ * Cluster size up to which gateways report directly to peers; beyond it, sums by zone take fewer
+ * messages.
+ */
 const MAXIMUM_DIRECT_GATEWAYS = 16;
-/** Most peers told directly in a period. */
+/** Peers to which a gateway reports directly in a period. */
 const FAN_OUT = 8;
-/** Gateways of a zone that collect what it tells: the first announces the sum, the next stands in. */
+/**
+ * Gateways of a zone that receive its reports: the first one sends the sums, the second one takes
+ * over when the first is silent.
+ */
 const AGGREGATORS_PER_ZONE = 2;
-/** Periods between two direct messages to any peer where sums are told: they join parted groups. */
+/**
+ * Periods between two reports to a random gateway while aggregation is in use; these reunite groups
+ * of gateways that lost sight of each other.
+ */
 const DISCOVERY_PERIODS = 3;
-/** Least time after which what a silent peer told is forgotten, in milliseconds. */
+/** Minimum time after which the direct report of a silent peer expires, in milliseconds. */
 const STALE_MILLISECONDS = 500;
-/** The same for what is told each period to the same gateway: two lost messages of a busy one, none of a quiet one. */
+/**
+ * Time after which a report to an aggregator or a zone's sum expires, in milliseconds. Covers two
+ * lost messages of a busy sender and none of an idle one.
+ */
 const STALE_REPORT_MILLISECONDS = 350;
-/** The same in mean times between two direct messages of a peer: with more peers these are longer. */
+/**
+ * Expiry of direct reports as a multiple of the mean interval between two messages of a peer, which
+ * grows with the number of peers.
+ */
 const STALE_MESSAGE_INTERVALS = 2.5;
-/** Silence of the first of a zone after which the next announces, in milliseconds. */
+/** Silence of the first aggregator after which the second one takes over, in milliseconds. */
 const TAKEOVER_MILLISECONDS = 300;
-/** Times that each place is told to the same gateway, since datagrams are lost now and then. */
+/** Number of times that each place is sent to the same gateway, to make up for lost datagrams. */
 const PLACE_REPEATS = 3;
-/** Periods until a request counts in a sum of all. */
+/** Periods until a request is counted in the global sum. */
 const SUM_DELAY_PERIODS = 3;
-/** Periods until this gateway's own requests come back to it in a sum of all. */
+/** Periods until this gateway's own requests return in the global sum. */
 const OWN_ECHO_PERIODS = 2;
 
-/** What this gateway told of itself in one period. */
+/** What this gateway reported of itself in one period. */
 interface OwnReport {
   readonly loads: readonly RunnerLoad[];
   readonly aggregates: readonly Aggregate[];
 }
 
-/** A sum holds this gateway's own requests as they were when it reported them. */
+/** Subtracts this gateway's own requests, as it reported them, from a sum that includes them. */
 function subtractOwn(sums: Map<number, number>, own: readonly RunnerLoad[]): Map<number, number> {
   for (const { runnerHash, inFlight } of own) {
     sums.set(runnerHash, Math.max(0, (sums.get(runnerHash) ?? 0) - inFlight));
@@ -90,7 +108,7 @@
   return sums;
 }
 
-/** See the head of this file. */
+/** Exchanges load messages with other gateways and keeps the resulting totals. */
 export class LoadGossip {
   private readonly table: PeerTable;
   private readonly received: Readonly<Record<LoadScope, LatestMessages>> = {
@@ -106,11 +124,11 @@
   private readonly otherPlaces: PlaceRelay;
   private period = 0;
   private isAggregating = false;
-  /** What was told of itself in the last periods, the newest last. */
+  /** Reports of the last periods, newest last. */
   private ownHistory: OwnReport[] = [];
   /** Requests of all other gateways by the hash of their runner. */
   private totals = new Map<number, number>();
-  /** Figures of all other gateways. */
+  /** Sums of the aggregates of all other gateways. */
   private aggregateSums: AmountsByTopic = new Map();
 
   constructor(private readonly options: LoadGossipOptions) {
@@ -128,24 +146,30 @@
     });
   }
 
-  /** Requests of other gateways that are believed to be at a runner, by the hash of its life, see `lifeHash`. */
+  /**
+   * Returns the estimated number of other gateways' requests at a runner, given the hash of its
+   * incarnation; see `incarnationHash`.
+   */
   inFlightOfOthers(runnerHash: number): number {
     return this.totals.get(runnerHash) ?? 0;
   }
 
-  /** Figures of all other gateways under a topic, added up by key. */
+  /** Returns the amounts of all other gateways under a topic, summed by key. */
   aggregatesOfOthers(topic: AggregateTopic): AmountsByKey {
     return this.aggregateSums.get(topic) ?? NO_AMOUNTS;
   }
 
-  /** Age of what is known of other gateways' requests, in milliseconds: reports, sums of zones, sums of all. */
+  /**
+   * Typical age of the known requests of other gateways, in milliseconds. Each stage of aggregation
+   * (report, zone sum, global sum) adds one period.
+   */
   get loadAgeMilliseconds(): number {
     return this.usesAggregation
       ? SUM_DELAY_PERIODS * GOSSIP_PERIOD_MILLISECONDS
       : this.messageMilliseconds;
   }
 
-  /** Whether a gateway that was heard or counted lately reaches the replicas. */
+  /** Whether a gateway heard from recently, or one counted in its sums, reaches the replicas. */
   get somePeerReachesReplicas(): boolean {
     const { gateway, zone, all } = this.received;
     const heard = [
@@ -156,35 +180,38 @@
     return heard.some((message) => message.reachesReplicas);
   }
 
-  /** Other gateways, as far as they are known or counted. */
+  /** Number of other gateways, whether known directly or counted in the global sum. */
   get peerCount(): number {
     const counted = this.newestGlobalSum()?.gateways ?? 0;
     return Math.max(this.table.size, counted - 1);
   }
 
-  /** Gateways of this zone that come before this one; none while all tell one another directly. */
+  /**
+   * Number of gateways of this zone that rank before this one; 0 while gateways report directly to
+   * peers.
+   */
   get rank(): number {
     return this.usesAggregation ? this.table.rankInZone() : 0;
   }
 
-  /** Where this gateway stands among those of all zones that may read the store. */
+  /** Rank of this gateway among those of all zones that may read the store for a proof. */
   get proofRank(): ProofRank {
     const alive = this.usesAggregation ? this.peerCount : this.table.aliveCount;
     return { rank: this.table.globalRank(), gateways: alive + 1 };
   }
 
-  /** Hosts of the gateways of this zone that come first. */
+  /** Returns the hosts of the first-ranked gateways of this zone. */
   firstInZone(count: number): string[] {
     const peers = this.table.aliveInZone(this.zoneHash);
     return peers.slice(0, count).map(({ host }) => host);
   }
 
-  /** Hosts of some gateways, drawn anew each time. */
+  /** Returns the hosts of randomly chosen gateways and, if some seed is silent, one such seed. */
   randomPeers(count: number): string[] {
     return [...this.withSilentSeed(this.randomHosts(count))];
   }
 
-  /** Ends. */
+  /** Stops sending and receiving. */
   close(): void {
     this.pace.close();
     this.options.datagrams.close();
@@ -198,7 +225,7 @@
     return this.options.runtime.now() - milliseconds;
   }
 
-  /** True when there was something of its own to tell. */
+  /** Sends the messages of one period; returns whether there was anything to report. */
   private sendRound(): boolean {
     this.table.forgetSilent();
     this.period += 1;
@@ -224,7 +251,7 @@
     );
   }
 
-  /** Tells the collectors of the zone, and now and then any other gateway. */
+  /** Reports to the zone's aggregators and, now and then, to a random gateway. */
   private sendReport(own: LoadMessage): void {
     const aggregators = new Set(this.firstInZone(AGGREGATORS_PER_ZONE));
     const isDiscoveryPeriod = this.period % DISCOVERY_PERIODS === 0;
@@ -232,7 +259,7 @@
     this.send(own, new Set([...aggregators, ...others]));
   }
 
-  /** Announces the sums if that falls to this gateway, and takes what is told of all load. */
+  /** Sends the sums if this gateway is the acting aggregator, and updates the totals. */
   private exchangeSums(own: LoadMessage): void {
     this.setAggregating(this.shouldAggregate());
     if (!this.isAggregating) {
@@ -265,9 +292,9 @@
       gateways: this.peerCount + 1,
     };
     if (isAggregating) {
-      log('info', 'tells its zone the sums', { event: 'sums.announced', ...inputs });
+      log('info', 'acting as load aggregator of the zone', { event: 'sums.announced', ...inputs });
     } else {
-      log('info', 'leaves the sums to another', { event: 'sums.left', ...inputs });
+      log('info', 'leaving load aggregation to another gateway', { event: 'sums.left', ...inputs });
     }
   }
 
@@ -281,7 +308,10 @@
     return hosts;
   }
 
-  /** With one seed that was not heard, so that parted groups find one another again. */
+  /**
+   * Adds one seed that has not been heard from, so that separated groups of gateways find each
+   * other again.
+   */
   private withSilentSeed(hosts: Set<string>): Set<string> {
     const { seeds, host, runtime } = this.options;
     const silent = seeds().filter((seed) => seed !== host && !this.table.has(seed));
@@ -324,19 +354,25 @@
     return zoneHash === this.zoneHash && this.table.rankInZone() < AGGREGATORS_PER_ZONE;
   }
 
-  /** Names to a gateway who comes first in its zone: it greets, or does not know whom to report to. */
+  /**
+   * Answers a gateway that reported to the wrong peer, or is discovering peers, with the
+   * first-ranked gateways of its zone.
+   */
   private answer(host: string, zoneHash: number): void {
     this.send(this.writer.answer(host, zoneHash), [host]);
   }
 
-  /** Whether this gateway tells its zone the sums: it comes first, or stands in for who does. */
+  /**
+   * Whether this gateway is the acting aggregator of its zone: it ranks first, or ranks second and
+   * the first is silent.
+   */
   private shouldAggregate(): boolean {
     const rank = this.table.rankInZone();
     const heard = this.received.all.since(this.since(TAKEOVER_MILLISECONDS));
     return rank === 0 || (rank < AGGREGATORS_PER_ZONE && heard.length === 0);
   }
 
-  /** What the gateways of the zone reported to this one as a collector. */
+  /** Reports that this gateway received as an aggregator of its zone. */
   private reports(): LoadMessage[] {
     return this.received.gateway
       .since(this.since(STALE_REPORT_MILLISECONDS))
@@ -349,7 +385,7 @@
       .flatMap(({ host, zoneHash }) => (zoneHash === this.zoneHash ? [host] : []));
   }
 
-  /** The newest sum of each other zone. */
+  /** Newest sum of each other zone. */
   private otherZoneSums(): LoadMessage[] {
     const newest = new Map<number, LoadMessage>();
     for (const message of this.received.zone.since(this.since(STALE_REPORT_MILLISECONDS))) {
@@ -370,7 +406,7 @@
     );
   }
 
-  /** The newest sum of all that was told here. */
+  /** Newest global sum received. */
   private newestGlobalSum(): LoadMessage | undefined {
     return this.received.all.since(this.since(STALE_MILLISECONDS)).at(-1);
   }
@@ -379,12 +415,12 @@
     return this.received.gateway.since(this.since(this.staleMilliseconds));
   }
 
-  /** Time after which what a silent peer told directly is forgotten, in milliseconds. */
+  /** Time after which the direct report of a silent peer expires, in milliseconds. */
   private get staleMilliseconds(): number {
     return Math.max(STALE_MILLISECONDS, STALE_MESSAGE_INTERVALS * this.messageMilliseconds);
   }
 
-  /** Mean time between two messages to the same gateway, in milliseconds. */
+  /** Mean interval between two messages to the same gateway, in milliseconds. */
   private get messageMilliseconds(): number {
     const told = this.usesAggregation ? 1 : this.table.size / FAN_OUT;
     return GOSSIP_PERIOD_MILLISECONDS * Math.max(1, told);
--- a/src/peers/load-message.ts
+++ b/src/peers/load-message.ts
@@ -1,4 +1,4 @@
-/** What gateways tell one another of their load and of the store, in one datagram. */
+/** The datagram in which gateways report their load and what they know of the store. */
 import * as r from 'restructure';
 import {
   count,
@@ -18,53 +18,62 @@
 import type { Aggregate } from './aggregates.js';
 import { decodeAggregates, encodeAggregates } from './aggregate-codec.js';
 
-/** Requests at one runner. */
+/** Requests in progress at one runner. */
 export interface RunnerLoad {
-  /** Hash of the runner's identifier, 32 bits: messages stay small at hundreds of runners. */
+  /** Hash of the runner's incarnation, 32 bits; keeps messages small with hundreds of runners. */
   readonly runnerHash: number;
   readonly inFlight: number;
 }
 
 /**
- * Whose requests a message counts: of the sender, of the gateways of its zone, or of all. One of the
- * scope `answer` counts none: it names to its receiver who comes first in the receiver's zone.
+ * Which requests a message counts: those of the sender, of all gateways of its zone, or of all
+ * gateways. A message of the scope `answer` counts none: it lists the first-ranked gateways of the
+ * receiver's zone.
  */
 export const LOAD_SCOPES = ['gateway', 'zone', 'all', 'answer'] as const;
 
-/** One of these. */
 export type LoadScope = (typeof LOAD_SCOPES)[number];
 
-/** One datagram. */
+/** A decoded load message. */
 export interface LoadMessage {
-  /** Rises with each message of one life of the sender. */
+  /** Increases with each message of one life of the sender. */
   readonly sequence: number;
-  /** Names the life of the sender; see `FIRST_LIFE_WITH_TAIL`. */
+  /**
+   * Random number of this run of the sender's process. Numbers from `FIRST_LIFE_WITH_EXTENSIONS` on
+   * tell that the sender reads extensions.
+   */
   readonly life: number;
   readonly scope: LoadScope;
   /** Hash of the name of the sender's zone. */
   readonly zoneHash: number;
-  /** Gateways whose requests are counted. */
+  /** Number of gateways whose requests are counted. */
   readonly gateways: number;
-  /** Runners with requests; all others have none. */
+  /** Requests by runner; runners without requests are left out. */
   readonly loads: readonly RunnerLoad[];
-  /** Some gateways that the sender has heard lately, those of its zone that come first among them. */
+  /**
+   * Some gateways that the sender has recently heard from, including the first-ranked ones of its
+   * zone.
+   */
   readonly peers: readonly NamedPeer[];
-  /** Revision of the store up to which the sender misses nothing; 0 when it knows none. */
+  /** Revision of the store up to which the sender has all changes; 0 before its first list. */
   readonly revision: number;
-  /** What runners have lately begun to keep. */
+  /** Prompt parts that runners have recently begun to cache. */
   readonly places: readonly PromptPlace[];
-  /** Whether one of the gateways that are counted reaches a majority of the replicas. */
+  /** Whether one of the counted gateways reaches a majority of the replicas. */
   readonly reachesReplicas: boolean;
-  /** Newest proof of the store's revision that the sender knows, its age bounded; none has the life 0. */
+  /**
+   * Newest proof of the store's revision known to the sender; `NO_PROOF` when there is none or when
+   * it is too old.
+   */
   readonly proof: StoreProof;
-  /** Figures beside the loads; only told to who reads them. */
+  /** Amounts summed over gateways; an extension, sent only to gateways that support it. */
   readonly aggregates: readonly Aggregate[];
 }
 
-/** What stands for no proof. */
+/** Placeholder for a missing proof. */
 export const NO_PROOF: StoreProof = { life: 0, number: 0, revision: 0, ageMilliseconds: 0 };
 
-/** Largest age that a message tells, in milliseconds; older proofs are told as none. */
+/** Largest proof age that fits a message, in milliseconds; older proofs are left out. */
 export const MAXIMUM_PROOF_AGE_MILLISECONDS = 0xffff;
 
 const load = record({ runnerHash: count, inFlight: shortCount });
@@ -90,25 +99,25 @@
 });
 
 /**
- * Lives from here on are of processes that read a tail of sections behind the fields above; earlier builds
- * drew theirs below, up to 2^31, and refuse a datagram with a tail.
+ * First life number of builds that accept extension sections behind the fields of a message. Older
+ * builds draw lower numbers, up to 2^31, and reject datagrams with extensions.
  */
 export const FIRST_LIFE_WITH_EXTENSIONS = 2 ** 31 + 1;
 
-/** Kinds of sections in the tail: append only, a number is never used again. */
+/** Kind of the extension section with aggregates. Append only; numbers are never reused. */
 const AGGREGATES_SECTION = 1;
 
-/** Whether the sender of a message reads a tail. */
+/** Whether the sender of a message accepts extensions. */
 export function supportsExtensions({ life }: LoadMessage): boolean {
   return life >= FIRST_LIFE_WITH_EXTENSIONS;
 }
 
-/** Encodes a datagram as every build reads it: without a tail. */
+/** Encodes a message without extensions, as every build reads it. */
 export function encodeLoadMessage(loadMessage: LoadMessage): Uint8Array {
   return encodeField(message, loadMessage);
 }
 
-/** Puts the tail behind an encoded datagram. */
+/** Appends the extension sections to an encoded message. */
 export function withExtensions(encoded: Uint8Array, { aggregates }: LoadMessage): Uint8Array {
   if (aggregates.length === 0) {
     return encoded;
@@ -127,7 +136,7 @@
   return sections.flatMap(({ content }) => decodeAggregates(content));
 }
 
-/** Decodes a datagram with or without a tail; undefined when it is none. */
+/** Decodes a message with or without extensions; returns undefined for malformed input. */
 export function decodeLoadMessage(bytes: Uint8Array): LoadMessage | undefined {
   try {
     const stream = new r.DecodeStream(bytes);
--- a/src/peers/message-writer.ts
+++ b/src/peers/message-writer.ts
@@ -1,4 +1,4 @@
-/** Puts together what this gateway tells others of its load, of sums of loads, and of the store. */
+/** Builds the load messages of this gateway: its own report, sums, and answers. */
 import { hashToNumber } from '../runtime/hashing.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { StoreProof } from '../mirror/store-freshness.js';
@@ -14,31 +14,34 @@
 import { sumAggregates, toAggregates } from './aggregates.js';
 import type { Aggregate } from './aggregates.js';
 
-/** What this gateway has to tell of itself. */
+/** What a gateway reports of itself. */
 export interface OwnState {
   readonly runtime: Runtime;
-  /** Requests of this gateway by runner. */
+  /** Requests of this gateway by runner incarnation. */
   readonly ownLoads: () => ReadonlyMap<string, number>;
-  /** Revision of the store up to which nothing is missing here. */
+  /** Revision of the store up to which this gateway has all changes. */
   readonly ownRevision: () => number;
   /** Newest proof of the store's revision; undefined while none is known. */
   readonly proof: () => StoreProof | undefined;
   /** Whether this gateway reaches a majority of the replicas. */
   readonly reachesReplicas: () => boolean;
-  /** What this gateway's requests have put into runners' memory within the last milliseconds. */
+  /**
+   * Prompt parts that this gateway's requests have put into runners' caches within the last
+   * `milliseconds`.
+   */
   readonly ownPlaces: (milliseconds: number) => readonly PromptPlace[];
-  /** This gateway's own figures, to be added up over all. */
+  /** This gateway's amounts, to be summed over all gateways. */
   readonly ownAggregates: () => readonly Aggregate[];
 }
 
-/** Time within which a peer was heard that is named to others, in milliseconds. */
+/** Peers heard from within this time are listed in messages, in milliseconds. */
 export const NAMED_PEER_MILLISECONDS = 1_000;
-/** Peers named in a message. */
+/** Maximum number of peers listed in a message. */
 const NAMED_PEERS = 4;
-/** Lives that are told apart: of so many two hardly ever fall together. */
+/** Number of possible lives; large enough that two processes hardly ever draw the same one. */
 const LIFE_COUNT = 2 ** 31 - 1;
 
-/** See the head of this file. */
+/** Builds load messages and numbers them. */
 export class MessageWriter {
   private readonly life: number;
   private sequence = 0;
@@ -51,7 +54,7 @@
     this.life = FIRST_LIFE_WITH_EXTENSIONS + ownState.runtime.random.integer(0, LIFE_COUNT - 1);
   }
 
-  /** This gateway's own requests, and what they put into memory within the last milliseconds. */
+  /** Builds the report of this gateway's own requests, with the places of the last milliseconds. */
   report(placesMilliseconds: number): LoadMessage {
     const places = this.ownState.ownPlaces(placesMilliseconds);
     const aggregates = this.ownState.ownAggregates();
@@ -59,7 +62,7 @@
     return { ...this.header('gateway', this.namedPeers()), ...counted };
   }
 
-  /** What a message counts and what others told beside it. */
+  /** Builds the sum of a message and of other gateways' messages. */
   sum(
     scope: LoadScope,
     base: LoadMessage,
@@ -80,14 +83,17 @@
     };
   }
 
-  /** Names to a gateway who comes first in its zone, and counts nothing. */
+  /**
+   * Builds an answer: it lists the first-ranked gateways of the receiver's zone and counts no
+   * requests.
+   */
   answer(host: string, zoneHash: number): LoadMessage {
     const first = this.table.aliveInZone(zoneHash).slice(0, NAMED_PEERS);
     const peers = first.filter((peer) => peer.host !== host);
     return { ...this.header('answer', peers), gateways: 0, loads: [], places: [], aggregates: [] };
   }
 
-  /** What every message says of its sender. */
+  /** Builds the fields that are common to all messages of this gateway. */
   private header(
     scope: LoadScope,
     peers: readonly NamedPeer[],
@@ -118,7 +124,10 @@
     return this.sequence;
   }
 
-  /** The first of the own zone among those heard lately, so that all agree on who they are. */
+  /**
+   * Returns the first-ranked peers of this zone that were heard from recently, so that all gateways
+   * agree on the ranking, and one random peer.
+   */
   private namedPeers(): NamedPeer[] {
     const heard = this.table.heardWithin(NAMED_PEER_MILLISECONDS);
     const zonePeers = heard.filter((peer) => peer.zoneHash === this.zoneHash);
--- a/src/peers/peer-exchange.ts
+++ b/src/peers/peer-exchange.ts
@@ -1,7 +1,8 @@
 /**
- * Gateways tell one another what has changed in the store, so that few need to follow it, and one that
- * starts or is cut off while the store is out of reach still learns the configuration and the runners.
- * Items carry revisions: whatever a peer tells, nothing goes back to an older one.
+ * HTTP exchange of store snapshots between gateways. It lets few gateways follow the store, and
+ * lets a gateway that starts or is cut off during an outage of the store learn the configuration
+ * and the runners from its peers. Items carry revisions, so a peer's snapshot never replaces a
+ * newer item by an older one.
  */
 import { createServer, request } from 'node:http';
 import type { Server } from 'node:http';
@@ -19,26 +20,25 @@
   peers: t.array(t.string),
 });
 
-/** What one gateway tells another. */
+/** The answer of a gateway: changes of the store and what else it knows. */
 export interface PeerSnapshot extends KeySpaceChanges {
-  /** Newest record of the members, as text. */
+  /** Newest member record, as text. */
   readonly members: string;
-  /** Addresses (`host:port`) of gateways it knows. */
+  /** Addresses (`host:port`) of gateways known to the sender. */
   readonly peers: readonly string[];
 }
 
-/** What the exchange is made with. */
 export interface PeerExchangeOptions {
   readonly runtime: Runtime;
-  /** `host:port` at which this gateway serves its snapshot. */
+  /** `host:port` at which this gateway serves snapshots. */
   readonly ownAddress: string;
   readonly seeds: () => readonly string[];
-  /** Revision of the store up to which nothing is missing here. */
+  /** Revision of the store up to which this gateway has all changes. */
   readonly ownRevision: () => number;
-  /** What one that misses nothing up to a revision lacks. */
+  /** Returns the changes after a revision, and the member record. */
   readonly snapshotSince: (revision: number) => Omit<PeerSnapshot, 'peers'>;
   readonly onSnapshot: (snapshot: PeerSnapshot, from: string) => void;
-  /** Whether anything is needed from peers now. */
+  /** How urgently this gateway needs snapshots from its peers. */
   readonly isNeeded: () => 'urgently' | 'now and then' | 'no';
 }
 
@@ -49,12 +49,12 @@
 const NORMAL_INTERVAL_MILLISECONDS = 500;
 const CALL_TIMEOUT_MILLISECONDS = 600;
 const MAXIMUM_PEERS = 400;
-/** Peers named in an answer. */
+/** Maximum number of peers listed in an answer. */
 const NAMED_PEERS = 8;
-/** Peers asked at a time. */
+/** Peers asked in one round. */
 const FAN_OUT = 2;
 
-/** See the head of this file. */
+/** Serves snapshots to other gateways and fetches theirs. */
 export class PeerExchange {
   private readonly known = new Set<string>();
   private readonly server: Server;
@@ -75,13 +75,16 @@
     });
   }
 
-  /** Serves snapshots and asks for them when they are needed. */
+  /** Starts the server and the periodic rounds of requests. */
   start(host: string, port: number): void {
     this.server.listen({ host, port });
     this.scheduleAsk(0);
   }
 
-  /** Asks one gateway for what is missing here; calls back when that is over, well or not. */
+  /**
+   * Fetches the missing changes from one gateway; `done` is called at the end, also after a
+   * failure.
+   */
   fetchFrom(address: string, done: () => void): void {
     this.ask(address, done);
   }
@@ -91,7 +94,10 @@
     this.server.close();
   }
 
-  /** Some of the gateways known: each names some, so that answers stay small at hundreds of them. */
+  /**
+   * Returns some of the known gateways: each answer lists only a few, which keeps answers small
+   * with hundreds of gateways.
+   */
   private namedPeers(): string[] {
     const newest = [...this.known].slice(-NAMED_PEERS);
     return [...newest, this.options.ownAddress];
--- a/src/peers/peer-table.ts
+++ b/src/peers/peer-table.ts
@@ -1,43 +1,49 @@
 /**
- * The gateways that this one knows, with their zones. Within a zone they are ranked by the hash of
- * their host: whoever comes first takes on what one gateway does for the zone. Nobody elects it; ranks
- * follow from who is heard, and two that both believe themselves first do some work twice.
+ * The gateways known to this one, with their zones. Within a zone, gateways are ranked by the hash
+ * of their host; the first-ranked gateway does the work that is done once for the zone. There is no
+ * election: ranks follow from which gateways are alive, and if two gateways both consider
+ * themselves first, some work is done twice.
  */
 import { hashToNumber } from '../runtime/hashing.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** A gateway as others name it. */
+/** A gateway as listed in messages. */
 export interface NamedPeer {
   readonly host: string;
-  /** Hash of its zone's name. */
+  /** Hash of the name of the gateway's zone. */
   readonly zoneHash: number;
 }
 
 /** What is known of a gateway. */
 export interface Peer extends NamedPeer {
-  /** Whether its process reads messages with a tail, as its own messages tell. */
+  /** Whether the gateway accepts messages with extensions, according to its own messages. */
   supportsExtensions: boolean;
-  /** Rank of the host: lower ones come first. */
+  /** Hash of the host; lower hashes rank first. */
   readonly hash: number;
-  /** Local time of its last message here, in milliseconds. */
+  /** Local time of the last message received from the gateway, in milliseconds. */
   heardAt: number;
-  /** Local time at which it was last heard here or by who collects for its zone, in milliseconds. */
+  /**
+   * Local time of its last sign of life, in milliseconds: a message, or a message of another
+   * gateway that lists it.
+   */
   aliveAt: number;
 }
 
-/** What the table is made with. */
 export interface PeerTableOptions {
   readonly runtime: Runtime;
   readonly host: string;
   readonly zoneHash: number;
 }
 
-/** Time after which a gateway that nobody hears counts as gone from its rank, in milliseconds. */
+/**
+ * Time without a sign of life after which a gateway no longer counts in the ranking, in
+ * milliseconds.
+ */
 const ALIVE_TIMEOUT_MILLISECONDS = 1_500;
-/** Time after which it is no longer sent to, in milliseconds. */
+/** Time without a sign of life after which a gateway is removed from the table, in milliseconds. */
 const RETENTION_MILLISECONDS = 10_000;
 
-/** See the head of this file. */
+/** Keeps the known gateways and ranks them. */
 export class PeerTable {
   private readonly peers = new Map<string, Peer>();
   private readonly ownHash: number;
@@ -46,12 +52,10 @@
     this.ownHash = hashToNumber(options.host);
   }
 
-  /** Gateways known. */
   get size(): number {
     return this.peers.size;
   }
 
-  /** Hosts of all known. */
   hosts(): string[] {
     return [...this.peers.keys()];
   }
@@ -60,18 +64,18 @@
     return this.peers.has(host);
   }
 
-  /** Whether a gateway is known to read messages with a tail. */
+  /** Whether a gateway is known to accept messages with extensions. */
   supportsExtensions(host: string): boolean {
     return this.peers.get(host)?.supportsExtensions ?? false;
   }
 
-  /** Notes a message of a gateway. */
+  /** Records a message received from a gateway. */
   noteHeard(named: NamedPeer, supportsExtensions: boolean): void {
     const now = this.options.runtime.now();
     this.upsert(named, now, now).supportsExtensions = supportsExtensions;
   }
 
-  /** Notes that another gateway named one that it had heard just now. */
+  /** Records that another gateway lists this one as recently heard from. */
   noteNamed(named: NamedPeer): void {
     if (named.host !== this.options.host) {
       const heardAt = this.peers.get(named.host)?.heardAt ?? -Infinity;
@@ -79,7 +83,7 @@
     }
   }
 
-  /** Gateways of a zone that are alive, without this one, the first ranked first. */
+  /** Returns the other gateways of a zone that are alive, first-ranked first. */
   aliveInZone(zoneHash: number): Peer[] {
     const since = this.options.runtime.now() - ALIVE_TIMEOUT_MILLISECONDS;
     return [...this.peers.values()]
@@ -87,31 +91,34 @@
       .sort((left, right) => left.hash - right.hash);
   }
 
-  /** Gateways heard here within the last milliseconds. */
+  /** Returns the gateways from which a message was received within the last `milliseconds`. */
   heardWithin(milliseconds: number): Peer[] {
     const since = this.options.runtime.now() - milliseconds;
     return [...this.peers.values()].filter((peer) => peer.heardAt >= since);
   }
 
-  /** Hashes of all zones of which gateways are known, this one's own among them. */
+  /** Returns the hashes of all known zones, including this gateway's own. */
   zones(): Set<number> {
     const hashes = [...this.peers.values()].map((peer) => peer.zoneHash);
     return new Set([this.options.zoneHash, ...hashes]);
   }
 
-  /** Gateways alive in the own zone that come before this one. */
+  /** Number of live gateways of this zone that rank before this one. */
   rankInZone(): number {
     return this.aliveInZone(this.options.zoneHash).filter((peer) => peer.hash < this.ownHash)
       .length;
   }
 
-  /** Gateways of all zones that are alive and come before this one: the first of each zone, then the next. */
+  /**
+   * Rank among the live gateways of all zones: the first of each zone comes before the second of
+   * any.
+   */
   globalRank(): number {
     const zones = [...this.zones()].sort((left, right) => left - right);
     return this.rankInZone() * zones.length + zones.indexOf(this.options.zoneHash);
   }
 
-  /** Gateways that are alive, as far as they are known, without this one. */
+  /** Number of other gateways that are alive. */
   get aliveCount(): number {
     const since = this.options.runtime.now() - ALIVE_TIMEOUT_MILLISECONDS;
     let count = 0;
@@ -121,7 +128,7 @@
     return count;
   }
 
-  /** Drops those that nobody has heard for long. */
+  /** Removes gateways that have been silent for too long. */
   forgetSilent(): void {
     const since = this.options.runtime.now() - RETENTION_MILLISECONDS;
     for (const [host, { aliveAt }] of this.peers) {
--- a/src/peers/proof-exchange.ts
+++ b/src/peers/proof-exchange.ts
@@ -1,8 +1,9 @@
 /**
- * Gateways ask one another as of when the configuration is known to be the newest. Word that is told
- * unasked may lie in a buffer for any time, so it proves nothing; an answer is never older than the
- * asker's own time of asking less the age that it tells. Each life of a process has a clock of its own, so
- * what an earlier life asked says nothing to the next one.
+ * Exchange of proofs that the configuration in force is the newest one: gateways ask one another
+ * for their newest proof. Unrequested messages may have been buffered for any length of time and
+ * therefore prove nothing. An answer proves the configuration as of the time at which the question
+ * was sent, less the age stated in the answer. Each process has its own clock, so answers to an
+ * earlier life of the process are ignored.
  */
 import type { ConfigurationProof } from '../mirror/configuration-proof.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
@@ -11,20 +12,20 @@
 import { decodeGrown } from '../wire/sections.js';
 import type { DatagramPort } from './datagram-port.js';
 
-/** A question with the asker's life and local time, which come back in the answer. */
+/** A question; the answer echoes the asker's life and local time. */
 interface ProofQuestion {
   readonly type: 'question';
   readonly life: number;
   readonly askedAt: number;
 }
 
-/** What the one asked knows. */
+/** The newest proof of the gateway that was asked. */
 interface ProofAnswer {
   readonly type: 'answer';
   readonly life: number;
   readonly askedAt: number;
   readonly revision: number;
-  /** Time since it was proved, as the one asked knows, in milliseconds. */
+  /** Age of the proof at the sender of the answer, in milliseconds. */
   readonly ageMilliseconds: number;
 }
 
@@ -36,27 +37,26 @@
   },
 ]);
 
-/** What the exchange is made with. */
 export interface ProofExchangeOptions {
   readonly runtime: Runtime;
   readonly datagrams: DatagramPort;
   readonly proof: ConfigurationProof;
-  /** Hosts to ask in this round. */
+  /** Returns the hosts to ask in this round. */
   readonly hostsToAsk: () => readonly string[];
-  /** Whether a proof is needed here at all. */
+  /** Whether this gateway needs proofs at all. */
   readonly isNeeded: () => boolean;
 }
 
 /** Time between two rounds of questions, in milliseconds. */
 const ASK_INTERVAL_MILLISECONDS = 400;
-/** Age of a proof below which nobody is asked, in milliseconds. */
+/** A gateway asks only when its own proof is at least this old, in milliseconds. */
 const FRESH_PROOF_MILLISECONDS = 300;
 const MAXIMUM_LIFE = 2 ** 31;
 
-/** See the head of this file. */
+/** Asks peers for configuration proofs and answers their questions. */
 export class ProofExchange {
   private readonly cancelTimer: CancelTimer;
-  /** Names this life of the process. */
+  /** Random number of this run of the process. */
   private readonly life: number;
 
   constructor(private readonly options: ProofExchangeOptions) {
@@ -66,7 +66,7 @@
     this.cancelTimer = setRepeatingTimer(runtime, ASK_INTERVAL_MILLISECONDS, () => this.ask());
   }
 
-  /** Ends. */
+  /** Stops asking and answering. */
   close(): void {
     this.cancelTimer();
     this.options.datagrams.close();
@@ -108,14 +108,14 @@
 
   private handleAnswer({ life, askedAt, revision, ageMilliseconds }: ProofAnswer): void {
     const { proof, runtime } = this.options;
-    // One to an earlier life or with a broken time would prove too much.
+    // An answer to an earlier life, or one with an invalid time, would claim too new a proof.
     if (life === this.life && askedAt <= runtime.now() && ageMilliseconds >= 0) {
       proof.note({ revision, provenAt: askedAt - ageMilliseconds });
     }
   }
 }
 
-/** A message with whatever sections behind it; undefined when it is none that is known here. */
+/** Decodes a message and ignores sections behind it; returns undefined for malformed input. */
 function decode(bytes: Uint8Array): ProofQuestion | ProofAnswer | undefined {
   try {
     const decoded = decodeGrown(message, bytes).value as ProofQuestion | ProofAnswer;
--- a/src/peers/recent-places.ts
+++ b/src/peers/recent-places.ts
@@ -1,30 +1,36 @@
-/** What this gateway's requests have lately put into the memory of runners, to be told to its peers. */
+/**
+ * Places of prompts: which prompt parts runners have recently begun to cache, as gateways report
+ * them to their peers.
+ */
 import type { Runtime } from '../runtime/runtime.js';
 import type { PromptKey, PromptPart } from '../relay/request/relay-request.js';
 
-/** A part of a prompt that a runner keeps. */
+/** A prompt part cached by a runner. */
 export interface PromptPlace {
-  /** Hash of the runner's life, 32 bits. */
+  /** Hash of the runner's incarnation, 32 bits. */
   readonly runnerHash: number;
   readonly part: PromptKey;
-  /** Tokens of the part that are kept. */
+  /** Number of cached tokens of the part. */
   readonly tokens: number;
 }
 
-/** Most places told in one message: the newest are told, the others are found out by reading again. */
+/**
+ * Maximum number of own places in a message. The newest are sent; a part whose place is not
+ * reported may be cached again elsewhere.
+ */
 const MAXIMUM_SENT = 64;
 
 interface TimedPlace extends PromptPlace {
   readonly notedAt: number;
 }
 
-/** See the head of this file. */
+/** Keeps the places that this gateway's own requests have recently created. */
 export class RecentPlaces {
   private noted: TimedPlace[] = [];
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** Notes parts that a runner is about to keep. */
+  /** Records parts that a runner is about to cache. */
   note(runnerHash: number, parts: readonly PromptPart[]): void {
     const notedAt = this.runtime.now();
     for (const { key, tokens } of parts) {
@@ -32,7 +38,7 @@
     }
   }
 
-  /** Places noted within the last milliseconds; older ones are dropped. */
+  /** Returns the places of the last `milliseconds`, newest last, and drops older ones. */
   within(milliseconds: number): readonly PromptPlace[] {
     const since = this.runtime.now() - milliseconds;
     this.noted = this.noted.filter((place) => place.notedAt >= since).slice(-MAXIMUM_SENT);
@@ -40,26 +46,29 @@
   }
 }
 
-/** Most places relayed in one message: bounds the bytes whatever the number of gateways. */
+/** Maximum number of relayed places in a message, whatever the number of gateways. */
 const MAXIMUM_RELAYED = 80;
-/** Times that each is relayed, since datagrams are lost now and then. */
+/** Number of times that each place is relayed, to make up for lost datagrams. */
 const RELAY_REPEATS = 2;
-/** Time for which a place that was relayed is not taken again: its own gateway repeats it. */
+/**
+ * Time for which a relayed place is remembered, in milliseconds, so that repeated reports of it are
+ * not relayed again.
+ */
 const RETENTION_MILLISECONDS = 1_000;
-/** Most places that wait to be relayed; the oldest are dropped. */
+/** Maximum number of remembered places; the oldest are dropped first. */
 const MAXIMUM_REMEMBERED = 2_048;
 
 interface RelayedPlace extends TimedPlace {
   sendCount: number;
 }
 
-/** Places that other gateways have told lately, to be told on a few times, the newest first. */
+/** Relays the places reported by other gateways a few times, newest first. */
 export class PlaceRelay {
   private readonly noted = new Map<string, RelayedPlace>();
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** Notes places; one that was relayed lately is not relayed again. */
+  /** Records reported places; one that was relayed recently is not relayed again. */
   note(places: readonly PromptPlace[]): void {
     const notedAt = this.runtime.now();
     for (const place of places) {
@@ -71,7 +80,7 @@
     }
   }
 
-  /** Places for the next message. */
+  /** Returns the places for the next message. */
   take(): readonly PromptPlace[] {
     this.evict();
     const waiting = [...this.noted.values()].filter(({ sendCount }) => sendCount < RELAY_REPEATS);
--- a/src/peers/store-catch-up.ts
+++ b/src/peers/store-catch-up.ts
@@ -1,54 +1,65 @@
 /**
- * Takes what peers know of the store and this gateway doesn't: who follows the store checks that its
- * watch does not hang, all others fetch the changes from a peer that has them. One fetch is awaited at a
- * time, and not for long.
+ * Catches up with changes of the store that peers already have. A gateway that follows the store
+ * checks that its watch is not stalled; any other gateway fetches the changes from a peer. One
+ * fetch runs at a time, with a short deadline after which the next one may start.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { PeerStoreState } from './load-gossip.js';
 
-/** What of the mirror is read and told from here. */
+/** The part of the mirror that catch-up uses. */
 export interface CatchUpMirror {
-  /** Whether it follows the store and hears from it. */
+  /** Whether the mirror follows the store and the store answers it. */
   readonly isFollowingReachableStore: boolean;
-  /** Revision up to which nothing is missing here. */
+  /** Revision up to which the mirror has all changes. */
   readonly completeRevision: number;
   noteStoreRevision(revision: number): void;
 }
 
-/** What the catching up is made with. */
 export interface StoreCatchUpOptions {
   readonly runtime: Runtime;
   readonly mirror: CatchUpMirror;
-  /** Other hosts that are likely to have what one of them has. */
+  /** Returns other hosts that are likely to have a change that one of them has. */
   readonly otherSources: () => readonly string[];
-  /** Gives the mirror what a host has and it lacks; calls back when that is over, well or not. */
+  /**
+   * Fetches the missing changes from a host into the mirror; `done` is called at the end, also
+   * after a failure.
+   */
   readonly fetch: (host: string, done: () => void) => void;
 }
 
-/** Pause after a peer had nothing new although it had said so, in milliseconds. */
+/** Pause after a fetch that brought nothing, in milliseconds. */
 const EMPTY_FETCH_PAUSE_MILLISECONDS = 300;
-/** Time after which a fetch no longer keeps others back: the peer asked may be gone or stand still. */
+/**
+ * Time after which a fetch no longer holds back the next one, in milliseconds: the peer may be dead
+ * or stalled.
+ */
 const HEDGE_DELAY_MILLISECONDS = 150;
-/** Longest pause before a fetch: all of a zone hear of a change in the same moment, in milliseconds. */
+/**
+ * Maximum delay before a fetch, in milliseconds. It spreads the load, since all gateways of a zone
+ * learn of a change at about the same time.
+ */
 const FETCH_JITTER_MILLISECONDS = 120;
 
-/** See the head of this file. */
+/** Tracks how far this gateway lags behind its peers, and fetches the changes that it lacks. */
 export class StoreCatchUp {
   private fetching = false;
-  /** Whether the last fetch brought nothing: the next asks just who told of the change. */
+  /**
+   * Whether the last fetch brought nothing; the next one asks only the peer that announced the
+   * change.
+   */
   private wasEmpty = false;
-  /** Newest revision that a peer told. */
+  /** Newest revision announced by a peer. */
   private newestPeerRevision = 0;
-  /** Local time since which a peer has known more, in milliseconds; undefined while none does. */
+  /** Local time since which a peer has been ahead, in milliseconds; undefined while none is. */
   private behindSinceTime: number | undefined;
 
   constructor(private readonly options: StoreCatchUpOptions) {}
 
-  /** Time for which peers have known more than came here, in milliseconds. */
+  /** Time for which peers have been ahead of this gateway, in milliseconds; 0 while none is. */
   get lagMilliseconds(): number {
     const { mirror, runtime } = this.options;
     if (mirror.isFollowingReachableStore) {
-      // The store's own word goes before that of peers.
+      // The store's own answers take precedence over the claims of peers.
       this.newestPeerRevision = mirror.completeRevision;
     }
     if (mirror.completeRevision >= this.newestPeerRevision) {
@@ -57,7 +68,7 @@
     return this.behindSinceTime === undefined ? 0 : runtime.now() - this.behindSinceTime;
   }
 
-  /** Takes word that the store is at a revision, whoever has what it holds. */
+  /** Records that the store has reached a revision. */
   noteStoreRevision(revision: number): void {
     if (revision > this.options.mirror.completeRevision) {
       this.newestPeerRevision = Math.max(this.newestPeerRevision, revision);
@@ -65,7 +76,7 @@
     }
   }
 
-  /** Heeds what a peer told. */
+  /** Handles what a peer knows of the store. */
   handlePeerState({ from, revision }: Pick<PeerStoreState, 'from' | 'revision'>): void {
     const { mirror } = this.options;
     this.noteStoreRevision(revision);
--- a/src/peers/store-followers.ts
+++ b/src/peers/store-followers.ts
@@ -1,67 +1,86 @@
 /**
- * Decides whether this gateway follows the store itself or leaves that to others and takes the changes
- * from peers. The few gateways of each zone that come first follow it; nobody elects them, and some that
- * wrongly believe themselves among them cost a few calls more. When none of them is heard of, whoever
- * notices follows the store itself.
+ * Decides whether this gateway follows the store itself or receives the changes from its peers. The
+ * first-ranked gateways of each zone follow the store. There is no election; a gateway that wrongly
+ * considers itself among the first only costs a few more calls. When the store seems silent,
+ * because none of the followers is heard from, any gateway that notices follows the store itself.
  */
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import { setRepeatingTimer } from '../runtime/runtime.js';
 
-/** What of the mirror is driven from here. */
+/** The part of the mirror that is controlled here. */
 export interface FollowableMirror {
   readonly isFollowing: boolean;
   startFollowing(): void;
   stopFollowing(): void;
 }
 
-/** What the followers are made with. */
 export interface StoreFollowersOptions {
   readonly runtime: Runtime;
-  /** Gateways of this zone that come before this one. */
+  /** Returns the number of gateways of this zone that rank before this one. */
   readonly rank: () => number;
   readonly mirror: FollowableMirror;
-  /** Time since the store was last proved to answer some gateway, in milliseconds. */
+  /** Time since the newest proof that the store answered some gateway, in milliseconds. */
   readonly proofAgeMilliseconds: () => number;
-  /** Time for which peers have known more of the store than came here, in milliseconds. */
+  /** Time for which peers have been ahead of this gateway, in milliseconds. */
   readonly lagMilliseconds: () => number;
-  /** Time after the start in which others may follow the store first, in milliseconds. */
+  /**
+   * Delay after the start during which other gateways may follow the store first, in milliseconds.
+   */
   readonly startDelayMilliseconds: number;
 }
 
-/** What is known when the decision is taken. */
+/** Inputs of the decision whether to follow the store. */
 export interface FollowDecisionInput {
-  /** Gateways of the zone that come before this one. */
+  /** Number of gateways of this zone that rank before this one. */
   readonly rank: number;
   readonly isFollowing: boolean;
-  /** Time since this gateway began to follow or to rest, in milliseconds. */
+  /** Time since this gateway last started or stopped following, in milliseconds. */
   readonly roleAgeMilliseconds: number;
   /** Time since the store was last known to answer a gateway, in milliseconds. */
   readonly silenceMilliseconds: number;
-  /** Silence that is borne, in milliseconds. */
+  /** Silence after which a gateway starts to follow the store, in milliseconds. */
   readonly silenceLimitMilliseconds: number;
-  /** Time for which peers have known more than came here, in milliseconds. */
+  /** Time for which peers have been ahead of this gateway, in milliseconds. */
   readonly lagMilliseconds: number;
 }
 
-/** Gateways of each zone that follow the store: a third may be refused by it, and some be dead. */
+/**
+ * Gateways of each zone that follow the store. Leaves a margin for followers that are dead or
+ * refused by the store.
+ */
 export const FOLLOWERS_PER_ZONE = 3;
-/** Ranks beyond these at which one that follows goes on: peers are not always heard all. */
+/**
+ * Ranks beyond `FOLLOWERS_PER_ZONE` at which a follower goes on following, since a gateway does not
+ * always hear from all its peers.
+ */
 const RANK_SLACK = 1;
-/** Least time for which this gateway goes on to follow, in milliseconds. */
+/** Minimum time for which a gateway follows the store once it has started, in milliseconds. */
 const MINIMUM_FOLLOWING_MILLISECONDS = 4_000;
-/** Time after the start in which peers are found and nobody is told to rest, in milliseconds. */
+/** Time after the start in which peers are discovered and no follower stops, in milliseconds. */
 const DISCOVERY_MILLISECONDS = 2_000;
-/** Silence of the store beyond which one that follows it goes on; a proof is usually 0.6 s old at most. */
+/**
+ * Silence of the store beyond which a surplus follower goes on following, in milliseconds. A proof
+ * is usually at most 0.6 s old.
+ */
 const FOLLOWER_SILENCE_LIMIT_MILLISECONDS = 900;
-/** Silence that one which rests bears at least: proofs may have to wait for the next of the rank. */
+/**
+ * Minimum silence after which a gateway that does not follow the store starts to, in milliseconds.
+ * Allows for proofs that come from the next gateway in rank.
+ */
 const NON_FOLLOWER_SILENCE_LIMIT_MILLISECONDS = 1_400;
-/** Drawn on top, so that not all take the place of followers at once. */
+/**
+ * Random addition to the silence limit, in milliseconds, so that not all gateways start following
+ * at once.
+ */
 const SILENCE_JITTER_MILLISECONDS = 600;
-/** Time for which a change that peers know may not come from them before the store is asked itself. */
+/**
+ * Time for which peers may be ahead without delivering the change, in milliseconds; after it, the
+ * gateway asks the store itself.
+ */
 const MAXIMUM_LAG_MILLISECONDS = 900;
 const DECISION_INTERVAL_MILLISECONDS = 200;
 
-/** Whether to follow the store; plain data in. */
+/** Decides whether to follow the store. */
 export function shouldFollow(input: FollowDecisionInput): boolean {
   const { rank, isFollowing, roleAgeMilliseconds, silenceMilliseconds } = input;
   if (isFollowing) {
@@ -73,7 +92,7 @@
   return rank < FOLLOWERS_PER_ZONE || silenceMilliseconds > input.silenceLimitMilliseconds || lags;
 }
 
-/** See the head of this file. */
+/** Periodically decides whether this gateway follows the store, and tells its mirror. */
 export class StoreFollowers {
   private readonly startedAt: number;
   private readonly jitterMilliseconds: number;
@@ -93,7 +112,10 @@
     }
   }
 
-  /** Whether changes of the store are bound to come, by itself or through peers. */
+  /**
+   * Whether some gateway had an answer of the store recently, so that changes can be expected to
+   * arrive.
+   */
   get hasRecentProof(): boolean {
     return this.options.proofAgeMilliseconds() <= NON_FOLLOWER_SILENCE_LIMIT_MILLISECONDS;
   }
@@ -133,10 +155,10 @@
     const behind = Math.round(this.options.lagMilliseconds());
     const inputs = { rank, behind, silence: Math.round(this.silenceMilliseconds) };
     if (follows) {
-      runtime.log('info', 'follows the store', { event: 'store.follow', ...inputs });
+      runtime.log('info', 'following the store', { event: 'store.follow', ...inputs });
       mirror.startFollowing();
     } else {
-      runtime.log('info', 'takes changes from peers', { event: 'store.rest', ...inputs });
+      runtime.log('info', 'receiving store changes from peers', { event: 'store.rest', ...inputs });
       mirror.stopFollowing();
     }
   }
--- a/src/peers/store-sync.ts
+++ b/src/peers/store-sync.ts
@@ -1,6 +1,7 @@
 /**
- * Puts together how gateways follow the store as one: a copy, proofs that it is fresh, few followers,
- * and gossip by which the others learn what changed.
+ * Assembles the components by which the gateways follow the store together: a mirror of the store,
+ * proofs of its freshness, the choice of a few followers, and gossip through which the other
+ * gateways learn of changes.
  */
 import { ConfigurationProof } from '../mirror/configuration-proof.js';
 import type { FreshnessTimings } from '../mirror/freshness-timings.js';
@@ -13,45 +14,54 @@
 import { StoreCatchUp } from './store-catch-up.js';
 import { FOLLOWERS_PER_ZONE, StoreFollowers } from './store-followers.js';
 
-/** A watch that hangs is shown by proofs and by cheap lists, so it may wait long. */
+/**
+ * Maximum wait of one watch call, in milliseconds. May be long, since proofs and stale lists reveal
+ * a stalled watch.
+ */
 const WATCH_TIMEOUT_MILLISECONDS = 5_000;
 const VERIFY_INTERVAL_MILLISECONDS = 2_500;
 
-/** What a gateway gives to follow the store beside others. */
 export interface StoreSyncOptions {
   readonly runtime: Runtime;
   readonly port: KeySpacePort;
   readonly timings: FreshnessTimings;
-  /** The key that is read as a proof. */
+  /** Key that is read to obtain proofs. */
   readonly proofKey: string;
-  /** An item is new or changed. */
+  /** Called with each new or changed item. */
   readonly onPut: (item: StoredItem) => void;
-  /** An item is gone; its owner may write it again within the milliseconds if these are not 0. */
+  /**
+   * Called when an item is removed. If the milliseconds are not 0, its owner may still write it
+   * again within that time.
+   */
   readonly onRemoved: (key: string, expiryGraceMilliseconds: number) => void;
-  /** What the gossip needs beside what is known of the store. */
+  /** Options of the gossip that do not concern the store. */
   readonly gossip: Omit<
     LoadGossipOptions,
     'runtime' | 'ownRevision' | 'proof' | 'onPeerStoreState'
   >;
-  /** Gives the copy what a host has and it lacks; undefined where nobody can be asked. */
+  /**
+   * Fetches the missing changes from a host into the mirror; undefined if peers cannot be asked.
+   */
   readonly fetch: ((host: string, done: () => void) => void) | undefined;
-  /** Time after the start in which others may follow the store first, in milliseconds. */
+  /**
+   * Delay after the start during which other gateways may follow the store first, in milliseconds.
+   */
   readonly startDelayMilliseconds: number;
 }
 
-/** The parts, running. */
+/** The running components. */
 export interface StoreSync {
   readonly mirror: KeySpaceMirror;
   readonly freshness: StoreFreshness;
-  /** As of when the item of the key that is read as a proof is surely the newest. */
+  /** Age of the newest proof that the item of `proofKey` is up to date. */
   readonly proof: ConfigurationProof;
   readonly gossip: LoadGossip;
   readonly followers: StoreFollowers;
-  /** Stops all of them. */
+  /** Stops all components. */
   close(): void;
 }
 
-/** Starts all parts. */
+/** Creates and starts all components. */
 export function startStoreSync(options: StoreSyncOptions): StoreSync {
   const { runtime, port, timings, fetch, startDelayMilliseconds } = options;
   const mirror = new KeySpaceMirror({
@@ -103,7 +113,7 @@
   });
   const followers = new StoreFollowers({
     runtime,
-    // Where nobody can be asked for changes, each follows the store itself.
+    // Without peers to fetch from, every gateway follows the store itself.
     rank: () => (fetch === undefined ? 0 : gossip.rank),
     proofAgeMilliseconds: () => freshness.proofAgeMilliseconds,
     lagMilliseconds: () => catchUp.lagMilliseconds,
