--- a/src/configuration/configuration-change-log.ts
+++ b/src/configuration/configuration-change-log.ts
@@ -1,12 +1,12 @@
 /**
- * The newest steps from one configuration to the next, so that a node that is a little behind is
- * sent what changed and not everything.
+ * Log of recent configuration changes, so that a node that is slightly behind is sent only the
+ * changes.
  */
 import type { ConfigurationChanges } from '../wire/messages.js';
 import { listDocuments } from './documents.js';
 import type { ClusterConfiguration, ConfigurationDocument, DocumentKind } from './documents.js';
 
-/** Steps kept; a node that is further behind is sent everything. */
+/** Maximum number of diffs kept; a node that is further behind is sent the whole configuration. */
 const MAXIMUM_DIFFS = 256;
 
 /** Kind and name of a document. */
@@ -32,7 +32,7 @@
   return new Map(documents.map((entry) => [documentId(entry), entry]));
 }
 
-/** What changed between two configurations. */
+/** Returns the changes from one configuration to the next. */
 function diffConfigurations(
   before: ClusterConfiguration,
   after: ClusterConfiguration,
@@ -51,7 +51,7 @@
       }
     }
   }
-  // A key that was replaced under its name is found by another hash, and is not gone.
+  // A replaced key has the same name but another hash, so it is not reported as removed.
   const kept = new Set(documents.map(documentId));
   const gone = removed.filter(({ kind, name }) => !kept.has(`${kind}/${name}`));
   return { fromRevision: before.revision, revision: after.revision, documents, removed: gone };
@@ -71,12 +71,15 @@
   ];
 }
 
-/** Documents that were taken over are the same objects; only others need to be looked into. */
+/**
+ * Whether two documents are equal. Unchanged documents are usually the same object; only others are
+ * compared by content.
+ */
 function isSame(known: object | undefined, document: object): boolean {
   return known === document || JSON.stringify(known) === JSON.stringify(document);
 }
 
-/** Documents of a configuration after changes. */
+/** Returns the documents of a configuration after applying changes to it. */
 export function applyChanges(
   configuration: ClusterConfiguration,
   changes: ConfigurationChanges,
@@ -91,11 +94,14 @@
   return [...documents.values()];
 }
 
-/** See the head of this file. */
+/** Keeps the newest diffs between configurations. */
 export class ConfigurationChangeLog {
   private readonly diffs: ConfigurationDiff[] = [];
 
-  /** Notes a step. The first one, from nothing, is everything and is not kept. */
+  /**
+   * Records a change of the configuration. The first configuration is not recorded, since it
+   * follows none.
+   */
   add(before: ClusterConfiguration, after: ClusterConfiguration): void {
     if (before.revision === 0) {
       return;
@@ -106,7 +112,7 @@
     }
   }
 
-  /** What changed since a revision; undefined when the steps kept do not reach back to it. */
+  /** Returns the changes since a revision; undefined if the log does not reach back to it. */
   since(revision: number): ConfigurationChanges | undefined {
     const newer = this.diffs.filter((diff) => diff.revision > revision);
     const first = newer[0];
--- a/src/configuration/configuration-follower.ts
+++ b/src/configuration/configuration-follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the accepted configuration: a few nodes read the key-value service, all spread what they
- * have to one another. A node never goes back to a lower revision.
+ * Follows the accepted configuration. A few nodes read it from the key-value service, and all nodes
+ * pass it on to one another. A node never returns to a lower revision.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type { NodeId } from '../model/identifiers.js';
@@ -21,22 +21,21 @@
 
 /** Time between announcements, in milliseconds. */
 const ANNOUNCE_MILLISECONDS = 1_000;
-/** Peers told at each announcement. */
+/** Number of peers that receive each announcement. */
 const ANNOUNCE_PEERS = 2;
 /** Time between reads of the key-value service when no watch fires, in milliseconds. */
 const POLL_MILLISECONDS = 5_000;
 
-/** Where the newest configuration is kept over a restart. */
+/** Stores the newest configuration across restarts. */
 export interface ConfigurationStore {
   save(revision: number, documents: string): void;
 }
 
-/** What a follower is made with. */
 export interface ConfigurationFollowerOptions {
   readonly self: NodeId;
   readonly runtime: Runtime;
   readonly keyValue: KeyValuePort;
-  /** True when this node reads the key-value service itself. */
+  /** Whether this node reads the key-value service itself. */
   readonly readsService: () => boolean;
   readonly peers: () => readonly NodeId[];
   readonly send: (to: NodeId, message: Message) => void;
@@ -44,7 +43,7 @@
   readonly onChange: (configuration: ClusterConfiguration) => void;
 }
 
-/** See the head of this file. */
+/** Keeps the newest configuration and exchanges it with peers. */
 export class ConfigurationFollower {
   private configuration: ClusterConfiguration = EMPTY_CONFIGURATION;
   private readonly acknowledged = new Map<NodeId, number>();
@@ -54,17 +53,17 @@
 
   constructor(private readonly options: ConfigurationFollowerOptions) {}
 
-  /** The configuration in force here. */
+  /** The configuration in force on this node. */
   get current(): ClusterConfiguration {
     return this.configuration;
   }
 
-  /** Newest revision each peer is known to have in force. */
+  /** Newest revision that each peer is known to have in force. */
   get acknowledgedRevisions(): ReadonlyMap<NodeId, number> {
     return this.acknowledged;
   }
 
-  /** Begins to follow, from what was kept over the restart if anything was. */
+  /** Starts to follow the configuration, from the saved state of an earlier run if there is one. */
   start(saved?: { readonly revision: number; readonly documents: string }): void {
     const { runtime, keyValue } = this.options;
     if (saved !== undefined) {
@@ -82,12 +81,12 @@
     this.announce();
   }
 
-  /** Ends all activity. */
+  /** Stops all timers and watches. */
   stop(): void {
     this.cancels.forEach((cancel) => cancel());
   }
 
-  /** Reads the key-value service now. */
+  /** Reads the key-value service now, unless a read is in progress. */
   read(): void {
     if (this.reading) {
       return;
@@ -101,7 +100,7 @@
     });
   }
 
-  /** Tells peers what is in force here and asks what is there. */
+  /** Announces this node's revision to peers and asks for theirs. */
   askPeers(peers: readonly NodeId[]): void {
     const { revision } = this.configuration;
     for (const peer of peers) {
@@ -109,7 +108,7 @@
     }
   }
 
-  /** Takes a peer's announcement. */
+  /** Handles a peer's announcement. */
   receiveAnnounce(from: NodeId, message: ConfigurationAnnounce): void {
     const known = this.acknowledged.get(from) ?? 0;
     this.acknowledged.set(from, Math.max(known, message.revision));
@@ -126,14 +125,14 @@
     }
   }
 
-  /** Answers a peer that is behind: with what changed, or with everything. */
+  /** Answers a peer that is behind with the changes, or with the whole configuration. */
   receiveFetch(from: NodeId, message: ConfigurationFetch): void {
     if (message.revision < this.configuration.revision) {
       this.options.send(from, this.changeLog.since(message.revision) ?? this.transfer());
     }
   }
 
-  /** Takes what changed from a peer. */
+  /** Applies changes sent by a peer. */
   receiveChanges(from: NodeId, message: ConfigurationChanges): void {
     const { configuration } = this;
     if (message.fromRevision <= configuration.revision) {
@@ -143,7 +142,7 @@
     }
   }
 
-  /** Takes a whole configuration from a peer. */
+  /** Adopts a whole configuration sent by a peer. */
   receiveTransfer(from: NodeId, message: ConfigurationTransfer): void {
     const documents = JSON.parse(message.documents) as ConfigurationDocument[];
     this.adopt(message.revision, documents);
--- a/src/configuration/configuration-writer.ts
+++ b/src/configuration/configuration-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes configuration: compare-and-swap under a change id, so that an answer lost after taking
- * effect is resolved by reading, and of two racing operators the later one is told.
+ * Writes the configuration by compare-and-swap under a change id. If an answer is lost, a read of
+ * the change id tells whether the change took effect; of two concurrent changes, the later one is
+ * reported as a conflict.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type { KeyValue, KeyValueError, KeyValuePort } from '../platform/key-value-port.js';
@@ -18,12 +19,12 @@
 } from './stored-documents.js';
 import type { ChangeMetadata, StoredDocument } from './stored-documents.js';
 
-/** Pause between tries to find out what became of a change, in milliseconds. */
+/** Pause between attempts to find out whether a change took effect, in milliseconds. */
 const RESOLVE_PAUSE_MILLISECONDS = 500;
-/** Tries to find out what became of a change. */
+/** Maximum number of attempts to find out whether a change took effect. */
 const RESOLVE_TRIES = 20;
 
-/** A change of documents; all of it happens or none. */
+/** A change of documents, applied as a whole or not at all. */
 export interface DocumentChange {
   readonly id: string;
   readonly by: string;
@@ -32,12 +33,14 @@
   readonly deletes: readonly { readonly kind: DocumentKind; readonly name: string }[];
 }
 
-/** Computes a change from the stored document (undefined when there is none), or refuses. */
+/**
+ * Computes a change from the stored document, which is undefined if there is none, or rejects it.
+ */
 export type DocumentEdit = (
   current: ConfigurationDocument | undefined,
 ) => E.Either<CallError, { put?: ConfigurationDocument; remove?: boolean }>;
 
-/** One edit of one document by an operator. */
+/** An operator's edit of one document. */
 export interface EditRequest {
   readonly id: string;
   readonly by: string;
@@ -47,10 +50,9 @@
   readonly edit: DocumentEdit;
 }
 
-/** Result of a change: the revision at which it was accepted, or why not. */
+/** Receives the result of a change: the revision at which it was accepted, or the error. */
 export type ChangeListener = (result: E.Either<CallError, number>) => void;
 
-/** What the writer is made with. */
 export interface ConfigurationWriterOptions {
   readonly runtime: Runtime;
   readonly keyValue: KeyValuePort;
@@ -63,11 +65,11 @@
   readonly guards: readonly { readonly key: string; readonly modRevision: number }[];
 }
 
-/** See the head of this file. */
+/** Writes documents with the metadata of the change that wrote them. */
 export class ConfigurationWriter {
   constructor(private readonly options: ConfigurationWriterOptions) {}
 
-  /** Reads a document, edits it and writes it back, guarded by what was read. */
+  /** Reads a document, edits it and writes it back, on condition that it has not changed since. */
   edit(request: EditRequest, listener: ChangeListener): void {
     const key = documentKey(request.kind, request.name);
     this.options.keyValue.range(key, (result) => {
@@ -80,7 +82,7 @@
     });
   }
 
-  /** Writes documents without looking at what is there; for first set-ups. */
+  /** Writes documents whatever is stored; used for first set-ups. */
   replace(change: DocumentChange, listener: ChangeListener): void {
     const metadata = this.metadataOf(change);
     const puts = change.puts.map((entry) => ({
@@ -183,8 +185,8 @@
   }
 
   /**
-   * The change is not there, yet its request may still be on its way. Taking its id with a guarded
-   * write makes sure that it can never take effect later.
+   * Handles a change that is not stored, though its request may still be in flight. Claiming its id
+   * in a guarded write ensures that the change cannot take effect later.
    */
   private writeTombstone(change: PreparedChange, tries: number, listener: ChangeListener): void {
     const changeKey = CHANGE_PREFIX + change.id;
--- a/src/configuration/documents.ts
+++ b/src/configuration/documents.ts
@@ -1,4 +1,7 @@
-/** The cluster's configuration documents: groups, services, back ends and keys, checked by io-ts. */
+/**
+ * Configuration documents of the cluster: groups, services, engines and keys, with their io-ts
+ * codecs.
+ */
 import * as t from 'io-ts';
 import type { EngineId, GroupName, ServiceName } from '../model/identifiers.js';
 
@@ -13,61 +16,57 @@
   'name of lower-case letters, digits, dots, dashes',
 );
 
-/** A group: who pays and who shares. */
+/** A group of callers, with its share of the engines and its token budget. */
 export const groupCodec = t.strict({
   name,
-  /** Weight of the group when back ends are short. */
+  /** Weight of the group when engines are scarce. */
   share: nonNegativeNumber,
-  /** Tokens the group may use, all told. */
+  /** Total number of tokens that the group may use. */
   budget: nonNegativeNumber,
 });
 
-/** A service: interchangeable back ends. */
+/** A service, provided by interchangeable engines. */
 export const serviceCodec = t.strict({
   name,
   kind: t.keyof({ model: null, tool: null }),
-  /** Groups that may call it; empty means all. */
+  /** Groups that may call the service; an empty list allows all. */
   groups: t.array(name),
 });
 
-/** One back end of a service. */
+/** An engine: one back end of a service. */
 export const engineCodec = t.strict({
   name,
   service: name,
   zone: t.string,
-  /** Base URL of the back end, `http://address:port`. */
+  /** Base URL of the engine, `http://address:port`. */
   url: t.string,
-  /** Most calls it may be given at a time. */
+  /** Maximum number of concurrent calls. */
   concurrency: nonNegativeNumber,
-  /** Tokens of prompt memory it has; 0 for a tool. */
+  /** Capacity of the prompt cache in tokens; 0 for a tool. */
   cacheTokens: nonNegativeNumber,
-  /** True when it is leaving: no new work. */
+  /** Whether the engine is draining and accepts no new calls. */
   draining: t.boolean,
 });
 
 /** A caller's or operator's key, stored as a hash. */
 export const keyCodec = t.strict({
   name,
-  /** Group the key speaks for; empty for an operator's key. */
+  /** Group that the key belongs to; empty for an operator's key. */
   group: t.string,
   role: t.keyof({ caller: null, operator: null, viewer: null }),
   /** SHA-256 of the key, in hexadecimal. */
   sha256: t.string,
 });
 
-/** A group's document. */
 export type GroupDocument = t.TypeOf<typeof groupCodec>;
-/** A service's document. */
 export type ServiceDocument = t.TypeOf<typeof serviceCodec>;
-/** A back end's document. */
 export type EngineDocument = t.TypeOf<typeof engineCodec>;
-/** A key's document. */
 export type KeyDocument = t.TypeOf<typeof keyCodec>;
 
-/** Kinds of documents, which are also the folders of their keys in the key-value service. */
+/** Kinds of documents; also the segment before the name in their keys in the key-value service. */
 export type DocumentKind = 'group' | 'service' | 'engine' | 'key';
 
-/** Codec of each kind. */
+/** Codec of each kind of document. */
 export const DOCUMENT_CODECS = {
   group: groupCodec,
   service: serviceCodec,
@@ -75,7 +74,7 @@
   key: keyCodec,
 } as const;
 
-/** A document with its kind, as it is stored and spread. */
+/** A document with its kind, as it is stored and sent to peers. */
 export type ConfigurationDocument =
   | { readonly kind: 'group'; readonly document: GroupDocument }
   | { readonly kind: 'service'; readonly document: ServiceDocument }
@@ -84,7 +83,7 @@
 
 /** The whole configuration at one revision of the key-value service. */
 export interface ClusterConfiguration {
-  /** 0 before any was read; never falls. */
+  /** 0 before the first configuration was read; never decreases. */
   readonly revision: number;
   readonly groups: ReadonlyMap<GroupName, GroupDocument>;
   readonly services: ReadonlyMap<ServiceName, ServiceDocument>;
@@ -101,7 +100,7 @@
   keys: new Map(),
 };
 
-/** Builds a configuration from documents. */
+/** Builds a configuration from its documents. */
 export function buildConfiguration(
   revision: number,
   documents: readonly ConfigurationDocument[],
@@ -128,7 +127,7 @@
   return { revision, groups, services, engines, keys };
 }
 
-/** Lists a configuration's documents, in a fixed order. */
+/** Returns the documents of a configuration, in a fixed order. */
 export function listDocuments(configuration: ClusterConfiguration): ConfigurationDocument[] {
   return [
     ...[...configuration.groups.values()].map((document) => ({ kind: 'group', document }) as const),
@@ -142,7 +141,7 @@
   ];
 }
 
-/** Back ends of one service. */
+/** Returns the engines of one service. */
 export function enginesOf(
   configuration: ClusterConfiguration,
   service: ServiceName,
--- a/src/configuration/settings.ts
+++ b/src/configuration/settings.ts
@@ -1,4 +1,7 @@
-/** A daemon's settings: a YAML file and flags, checked; every mistake is named with its path. */
+/**
+ * Settings of a daemon, read from a YAML file and flags. Validation reports every mistake with its
+ * path.
+ */
 import { readFileSync } from 'node:fs';
 import { isIP } from 'node:net';
 import * as E from 'fp-ts/lib/Either.js';
@@ -7,7 +10,7 @@
 import { parse } from 'yaml';
 import { POLICY_NAMES } from '../scheduling/create-policy.js';
 
-/** A checked form with the words that describe it. */
+/** Creates a codec from a type guard; `name` describes the expected value in error messages. */
 function refinedType<Type>(name: string, is: (value: unknown) => value is Type): t.Type<Type> {
   return new t.Type<Type>(
     name,
@@ -25,18 +28,18 @@
 }
 
 const nodeName = refinedType(
-  'a name of letters, digits, dots and dashes',
+  'a name of letters, digits, dots and hyphens',
   (value): value is string =>
     typeof value === 'string' && /^[A-Za-z0-9][A-Za-z0-9.-]{0,62}$/.test(value),
 );
 const ipAddress = refinedType(
-  'an IP number',
+  'an IP address',
   (value): value is string => typeof value === 'string' && isIP(value) !== 0,
 );
 const port = refinedType('a port from 0 to 65535', (value): value is number =>
   isIntegerBetween(value, 0, MAXIMUM_PORT),
 );
-const shardCount = refinedType('a whole number from 1 to 65536', (value): value is number =>
+const shardCount = refinedType('an integer from 1 to 65536', (value): value is number =>
   isIntegerBetween(value, 1, MAXIMUM_SHARD_COUNT),
 );
 const httpUrl = refinedType('a URL http://IP:PORT', (value): value is string => {
@@ -62,25 +65,34 @@
       node: nodeName,
       /** Zone of this machine. */
       zone: nodeName,
-      /** Address this node listens on. */
+      /** Address on which this node listens. */
       host: ipAddress,
       /** Port for other nodes. */
       peerPort: port,
       /** Port for callers and operators. */
       httpPort: port,
-      /** Every node of the region, this one among them. */
+      /** All nodes of the region, including this one. */
       peers: t.array(peer),
       /** Base URL of the key-value service. */
       keyValueUrl: httpUrl,
     }),
     t.partial({
-      /** Number of shards of the region; never changed once set. @default 16 */
+      /**
+       * Number of shards of the region; must never be changed.
+       * @default 16
+       */
       shardCount,
-      /** Folder of the replicas; without one nothing outlives the process. */
+      /** Folder of the replicas; without one, no data survives the process. */
       dataFolder: t.string,
-      /** How calls are scheduled. @default ivyloom */
+      /**
+       * Scheduling policy for calls.
+       * @default ivyloom
+       */
       policy: oneOf(POLICY_NAMES),
-      /** Least severity of the log lines. @default info */
+      /**
+       * Minimum severity of log lines.
+       * @default info
+       */
       logLevel: oneOf(['debug', 'info', 'warn', 'error']),
     }),
   ]),
@@ -89,7 +101,7 @@
 /** Settings of one daemon. */
 export type Settings = t.TypeOf<typeof settingsCodec>;
 
-/** Names of all settings that are not lists; each is also a flag. */
+/** Names of all settings that are not lists; each is also a command-line flag. */
 export const FLAG_SETTINGS = [
   'cluster',
   'node',
@@ -111,9 +123,9 @@
     .slice(1)
     .map((step) => step.key)
     .join('.');
-  const expected = error.context[error.context.length - 1]?.type.name ?? 'another form';
+  const expected = error.context[error.context.length - 1]?.type.name ?? 'a different value';
   const found = error.value === undefined ? 'nothing' : JSON.stringify(error.value);
-  // The first step inside an intersection is the number of its part.
+  // Inside an intersection, the first step of the path is the index of the part.
   const place = indexed.replace(/^[01]\.?/, '') || 'settings';
   return `${place}: expected ${expected}, found ${found}`;
 }
@@ -125,19 +137,19 @@
   }
   return own.zone === settings.zone
     ? E.right(settings)
-    : E.left([`zone: expected ${own.zone}, as the entry of ${own.node} in peers says`]);
+    : E.left([`zone: expected ${own.zone} as in the entry of ${own.node} in peers`]);
 }
 
 function unknownSettings(raw: object): string[] {
   return Object.keys(raw)
     .filter((name) => !KNOWN_SETTINGS.includes(name))
-    .map((name) => `${name}: not a setting; there are ${KNOWN_SETTINGS.join(', ')}`);
+    .map((name) => `${name}: unknown setting; the settings are ${KNOWN_SETTINGS.join(', ')}`);
 }
 
-/** Checks settings; on the left every mistake, one a line. */
+/** Validates settings; returns either the settings or all mistakes, one per entry. */
 export function checkSettings(raw: unknown): E.Either<string[], Settings> {
   if (typeof raw !== 'object' || raw === null || Array.isArray(raw)) {
-    return E.left(['settings: expected names with values']);
+    return E.left(['settings: expected a mapping of names to values']);
   }
   const unknown = unknownSettings(raw);
   const decoded = settingsCodec.decode(raw);
@@ -162,7 +174,7 @@
   );
 }
 
-/** Reads a settings file and puts flags over it. */
+/** Reads a settings file, if any, and overrides its values by flags. */
 export function readSettings(
   path: string | undefined,
   flags: Readonly<Record<string, unknown>>,
--- a/src/configuration/stored-documents.ts
+++ b/src/configuration/stored-documents.ts
@@ -1,4 +1,4 @@
-/** How configuration documents are stored in the key-value service. */
+/** Storage format of configuration documents in the key-value service. */
 import * as E from 'fp-ts/lib/Either.js';
 import type * as t from 'io-ts';
 import { PathReporter } from 'io-ts/lib/PathReporter.js';
@@ -6,40 +6,40 @@
 import { DOCUMENT_CODECS } from './documents.js';
 import type { ConfigurationDocument, DocumentKind } from './documents.js';
 
-/** All keys of the configuration start with this. */
+/** Prefix of all configuration keys. */
 export const CONFIGURATION_PREFIX = '/ivyloom/configuration/';
-/** Written with every change, so that a deletion raises the revision too. */
+/** Key written with every change, so that deletions raise the revision too. */
 export const REVISION_KEY = `${CONFIGURATION_PREFIX}revision`;
-/** Records of changes, by change id; outside the followed prefix. */
+/** Prefix of the change records, by change id; outside the prefix that nodes follow. */
 export const CHANGE_PREFIX = '/ivyloom/change/';
 
-/** Who made a change, kept beside the document it made. */
+/** Author and time of a change, stored with the document that it wrote. */
 export interface ChangeMetadata {
   readonly id: string;
   readonly by: string;
-  /** Milliseconds since 1970. */
+  /** Time of the change, in milliseconds since 1970. */
   readonly at: number;
   readonly statement: string;
 }
 
-/** A document as it is stored. */
+/** A document as stored, with the change that wrote it. */
 export interface StoredDocument {
   readonly document: unknown;
   readonly change: ChangeMetadata;
 }
 
-/** Key of a document. */
+/** Returns the key of a document. */
 export function documentKey(kind: DocumentKind, name: string): string {
   return `${CONFIGURATION_PREFIX}${kind}/${name}`;
 }
 
-/** Text of a document with the mark of the change that wrote it. */
+/** Encodes a document with the metadata of the change that wrote it. */
 export function encodeDocument(entry: ConfigurationDocument, change: ChangeMetadata): string {
   const stored: StoredDocument = { document: entry.document, change };
   return JSON.stringify(stored);
 }
 
-/** Checks a document of a kind; every mistake names its path and the expected form. */
+/** Validates a document of a kind; every mistake names its path and the expected value. */
 export function checkDocument(
   kind: DocumentKind,
   document: unknown,
@@ -51,7 +51,7 @@
     : E.left(PathReporter.report(result));
 }
 
-/** Documents read from the service, with those that could not be understood. */
+/** Documents read from the service, and descriptions of those that were rejected. */
 export interface DecodedPairs {
   readonly revision: number;
   readonly documents: readonly ConfigurationDocument[];
@@ -75,7 +75,7 @@
   }
 }
 
-/** Reads all documents of a range; one that is not understood is named and left out. */
+/** Decodes all documents of a range; invalid ones are left out and described in `rejected`. */
 export function decodePairs(pairs: readonly KeyValue[]): DecodedPairs {
   const documents: ConfigurationDocument[] = [];
   const rejected: string[] = [];
