--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,7 +1,7 @@
-Feature: Spreading the configuration
-  Scenario: What changed since a revision leads to the same configuration as everything
+Feature: Propagation of the configuration
+  Scenario: Changes since a revision lead to the same configuration as a full transfer
     Then for any edits, the changes since any kept revision lead to the newest configuration
 
-  Scenario: Bytes of messages
+  Scenario: Encoding of messages
     Then any bytes decode to a message or to a clear error
-    And any message of a call survives its bytes
+    And any message of a call survives encoding
--- a/features/freshness.feature
+++ b/features/freshness.feature
@@ -1,4 +1,4 @@
-Feature: As of which time the copy of the store is known to miss nothing
+Feature: Freshness of the copy of the store
   Scenario Outline: The worst path of a change fits the bound of each known deployment
     Given a bound of <bound> milliseconds for changes of the configuration
     Then the worst path of a change takes at most that long
@@ -10,8 +10,8 @@
       | 4000  |
       | 12000 |
 
-  # Seen: on a day of bursts, a request reached an engine 191 ms after the bound on its leaving, once; the sum had no
-  #   reserve, and a process that waits for its turn on a part of a core adds to each step of it.
+  # Regression: under bursts of load, a request once reached an engine 191 ms after the bound on its leaving. The worst
+  #   case had no reserve, and a process that waits for CPU time is late in each step of it.
   Scenario Outline: The worst path of a change leaves a tenth of the bound to processes that are late
     Given a bound of <bound> milliseconds for changes of the configuration
     Then the worst path of a change leaves a tenth of that
@@ -23,26 +23,26 @@
       | 4000  |
       | 12000 |
 
-  Scenario: The worst path of a change fits any bound from two seconds on, and shorter ones are called unmet
+  Scenario: The worst path of a change fits any bound of two seconds or more, but not a bound of one second
     Then the worst path fits every drawn bound from 2000 to 60000 milliseconds
     And the worst path does not fit a bound of 1000 milliseconds
 
   Scenario: An open watch proves nothing
-    Given 3 gateways that tell one another what they know of the store
+    Given 3 gateways that gossip what they know of the store
     Then after 5000 milliseconds each has a proof at most 1000 milliseconds old
-    When the store says nothing for 4000 milliseconds
+    When the store does not answer for 4000 milliseconds
     Then each knows that its newest proof is at least 3500 milliseconds old
 
-  Scenario: A proof that comes back over other gateways is not taken as younger
-    Given 8 gateways that tell one another what they know of the store
+  Scenario: A proof that returns through other gateways does not count as newer
+    Given 8 gateways that gossip what they know of the store
     Then after 5000 milliseconds each has a proof at most 1000 milliseconds old
-    When messages between gateways take 90 milliseconds more and the store says nothing for 8000 milliseconds
+    When messages between gateways take 90 milliseconds longer and the store does not answer for 8000 milliseconds
     Then each knows that its newest proof is at least 7000 milliseconds old
 
   Scenario Outline: One gateway reads for all, and the next one when the first is refused
-    Given <gateways> gateways that tell one another what they know of the store
+    Given <gateways> gateways that gossip what they know of the store
     Then after 12000 milliseconds each has a proof at most 1200 milliseconds old
-    And in 10000 milliseconds all together ask for at most <calls> short reads
+    And in 10000 milliseconds all gateways together send at most <calls> short reads
     When the store refuses the first <refused> of them
     Then after 3000 milliseconds each has a proof at most <oldest> milliseconds old
 
@@ -53,13 +53,13 @@
       | 40       | 14      | 45    | 1800   |
       | 160      | 60      | 60    | 1800   |
 
-  Scenario: A store that says nothing is asked little, however many gateways there are
-    Given 160 gateways that tell one another what they know of the store
+  Scenario: A silent store receives few calls, however many gateways there are
+    Given 160 gateways that gossip what they know of the store
     Then after 12000 milliseconds each has a proof at most 1200 milliseconds old
-    When the store says nothing for 10000 milliseconds
+    When the store does not answer for 10000 milliseconds
     Then all together made at most 1500 calls meanwhile
 
-  Scenario: Runners whose entries lapsed while the store was away are used until they had time to write again
+  Scenario: Runners whose entries lapsed during an outage are used until they had time to write again
     Given the runners "a b c" are listed
     When the entries of "a b" lapse and may be written again for 2400 milliseconds
     Then the runners "a b c" may get requests
@@ -67,12 +67,13 @@
     And 2500 milliseconds pass
     Then the runners "a c" may get requests
 
-  # Seen: on days of high load, requests reached an engine up to 191 ms after the bound on its leaving, as second tries after
-  #   another engine had shed them, while every gateway had known for two seconds that it had left.
-  # How: an engine that left may be used for 1.2 s when no other is left, and is forgotten by a timer after that. The timer
-  #   came a fraction of a millisecond early, found that 1.2 s were not over, and was not set again: usable for ever.
-  # Cause: a timer's callback measured again what the timer had been set for.
-  # Proof: the gateways' logs of such a day: left at 16.04 s, tried up to 18.1 s; a clock whose timers come early.
+  # Regression: under high load, retries of requests that another engine had shed reached an engine up to 191 ms after
+  #   the bound on its leaving, although every gateway had known for two seconds that it had left.
+  # Mechanism: an engine that left may be used for 1.2 s while no other is left; after that, a timer removes it. The
+  #   timer fired a fraction of a millisecond early, found that the 1.2 s were not over, and was not set again, so the
+  #   engine stayed usable for ever.
+  # Cause: the timer's callback measured again the time that the timer had been set for.
+  # Evidence: gateway logs with the engine left at 16.04 s and tried up to 18.1 s; a clock whose timers fire early.
   Scenario: A runner that left is forgotten although the timer for that comes a little early
     Given the runners "a b" are listed at a process whose timers come half a millisecond early
     When the runner "a" leaves
@@ -80,10 +81,10 @@
     And the runner "b" leaves
     Then the runners "b" may get requests
 
-  Scenario Outline: Entries count as lapsed only for the time after the store was away
-    Given <gateways> gateways that tell one another what they know of the store
+  Scenario Outline: Missing entries count as lapsed only for a time after an outage
+    Given <gateways> gateways that gossip what they know of the store
     Then after 6000 milliseconds no missing entry counts as lapsed
-    When the store says nothing for 5000 milliseconds
+    When the store does not answer for 5000 milliseconds
     Then every missing entry counts as lapsed
     When the store answers again
     Then after 1500 milliseconds every missing entry counts as lapsed
--- a/features/peers.feature
+++ b/features/peers.feature
@@ -1,9 +1,9 @@
-Feature: What gateways tell one another
-  Scenario: A gateway learns the load of others and forgets those that fell silent
+Feature: Gossip between gateways
+  Scenario: A gateway learns the load of others and forgets silent ones
     Given two gateways that gossip, of which the first has 3 requests at runner "a"
     Then the second learns within 2000 milliseconds that others have 3 requests at runner "a"
-    And they tell one another the newest revision they know
-    And the second learns what the runner keeps
+    And the gateways exchange the newest revision they know
+    And the second learns what the runner caches
     And the second alone knows that a peer reaches the replicas
     When the first falls silent
     Then the second learns within 2000 milliseconds that others have 0 requests at runner "a"
@@ -14,13 +14,13 @@
     When a third gateway joins that knows only the second
     Then the third learns within 2000 milliseconds that others have 3 requests at runner "a"
 
-  Scenario: A gateway that starts while the store is out of reach asks its peers
+  Scenario: A gateway that starts while the store is unreachable asks its peers
     Given a gateway that knows item "configuration" at revision 7 and the members
-    When another starts with it as a seed and needs what it knows urgently
+    When another gateway starts with it as a seed and urgently needs a snapshot
     Then within 2000 milliseconds it knows item "configuration" at revision 7 and the members
 
-  Scenario: Bytes that are no message change nothing
-    Then any bytes are decoded to a load message or to nothing
+  Scenario: Malformed datagrams are ignored
+    Then any bytes decode to a load message or are rejected
 
-  Scenario: Peers that tell of many topics that are not known here leave a message that can be told on
-    Then whatever topics and rows peers tell, their sum fits in a section and has all topics that are known here
+  Scenario: Aggregates of many unknown topics still fit a message
+    Then for any topics and rows, the sum fits in a section and contains all known topics
--- a/features/steps/configuration.steps.ts
+++ b/features/steps/configuration.steps.ts
@@ -1,4 +1,4 @@
-/** Properties of configuration steps and of the message codec, by fast-check. */
+/** Properties of the configuration change log and of the message codec, checked with fast-check. */
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -89,7 +89,7 @@
   assert.ok(refused > 500, `only ${refused} were refused`);
 });
 
-Then('any message of a call survives its bytes', function () {
+Then('any message of a call survives encoding', function () {
   const name = fc.string({ minLength: 1, maxLength: 30, unit: 'grapheme' });
   const chatMessage = fc.record({
     role: fc.constantFrom(
--- a/features/steps/cost.steps.ts
+++ b/features/steps/cost.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about what processes cost: the build's compiled code, and the codec. */
+/** Steps about the cost of processes: compiled code of the build, message encoding, gossip rate. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
@@ -15,12 +15,12 @@
 
 interface World {
   folder?: string;
-  /** What the program said on its standard error. */
+  /** Standard error of the program. */
   stderr?: string;
   clock?: VirtualClock;
-  /** When a gateway told others of itself, in virtual milliseconds. */
+  /** Virtual times at which the gateway sent its reports, in milliseconds. */
   sentAt?: number[];
-  /** Whether it has a request to tell. */
+  /** Whether the gateway has a request to report. */
   hasRequest?: boolean;
 }
 
@@ -30,7 +30,7 @@
   return sentAt!.filter((at) => at > from && at <= until).length;
 }
 
-/** The program says how it is used, and ends so, when no role is named. */
+/** Without a role, the program prints its usage and exits with this status. */
 const EXIT_WITHOUT_ROLE = 2;
 const USAGE = /usage: ivyloom gateway/;
 const REFUSED = /the compiled code is of another build of node/;
@@ -53,29 +53,26 @@
   assert.doesNotMatch(this.stderr!, REFUSED);
 });
 
-Then('it runs from its text and says so', function (this: World) {
+Then('it runs from source and says so', function (this: World) {
   assert.match(this.stderr!, REFUSED);
 });
 
-Then(
-  'any reservation comes out of its bytes as it went in, the texts in UTF-8 behind their lengths',
-  function () {
-    const text = fc.string({ unit: 'grapheme', maxLength: 40 });
-    const number = fc.double({ noNaN: true, min: 0 });
-    const given = fc.record({ program: text, turn: text, mostTokens: number, epoch: fc.nat() });
-    fc.assert(
-      fc.property(given, ({ program, turn, mostTokens, epoch }) => {
-        const entry = { program, turn, mostTokens, usedTokens: undefined };
-        const message: ReplicaMessage = { type: 'reserve', call: 7, epoch, entry };
-        const bytes = Buffer.from(encodeReplicaMessage(message));
-        assert.deepEqual(decodeReplicaMessage(bytes), message);
-        const length = Buffer.byteLength(program);
-        assert.equal(bytes.readUInt16BE(9), length);
-        assert.equal(bytes.toString('utf8', 11, 11 + length), program);
-      }),
-    );
-  },
-);
+Then('any reservation survives encoding, with strings in UTF-8 after their lengths', function () {
+  const text = fc.string({ unit: 'grapheme', maxLength: 40 });
+  const number = fc.double({ noNaN: true, min: 0 });
+  const given = fc.record({ program: text, turn: text, mostTokens: number, epoch: fc.nat() });
+  fc.assert(
+    fc.property(given, ({ program, turn, mostTokens, epoch }) => {
+      const entry = { program, turn, mostTokens, usedTokens: undefined };
+      const message: ReplicaMessage = { type: 'reserve', call: 7, epoch, entry };
+      const bytes = Buffer.from(encodeReplicaMessage(message));
+      assert.deepEqual(decodeReplicaMessage(bytes), message);
+      const length = Buffer.byteLength(program);
+      assert.equal(bytes.readUInt16BE(9), length);
+      assert.equal(bytes.toString('utf8', 11, 11 + length), program);
+    }),
+  );
+});
 
 Given(
   /^a gateway in virtual time that (others add up|adds up for its zone)$/,
@@ -96,12 +93,12 @@
   },
 );
 
-When('it has nothing to tell for {int} seconds', function (this: World, seconds: number) {
+When('it has nothing to report for {int} seconds', function (this: World, seconds: number) {
   this.clock!.runUntil(seconds * MILLISECONDS_IN_SECOND);
 });
 
 Then(
-  'it told {int} times in the first second and {int} times in the last {int}',
+  'it sent {int} times in the first second and {int} times in the last {int}',
   function (this: World, first: number, last: number, seconds: number) {
     const until = (seconds + 1) * MILLISECONDS_IN_SECOND;
     assert.equal(sendsBetween(this, 0, MILLISECONDS_IN_SECOND), first);
@@ -109,17 +106,17 @@
   },
 );
 
-When('it has a request at once after that', function (this: World) {
+When('it gets a request right after that', function (this: World) {
   this.hasRequest = true;
 });
 
 Then(
-  'that is told within {int} milliseconds, and {int} times in the second after',
+  'the request is reported within {int} milliseconds, and reports are sent {int} times in the second after',
   function (this: World, milliseconds: number, count: number) {
     const begunAt = this.clock!.now;
     this.clock!.runUntil(begunAt + milliseconds + MILLISECONDS_IN_SECOND);
     const firstSent = this.sentAt!.find((at) => at > begunAt)!;
-    assert.ok(firstSent - begunAt <= milliseconds, `told after ${firstSent - begunAt} ms`);
+    assert.ok(firstSent - begunAt <= milliseconds, `reported after ${firstSent - begunAt} ms`);
     assert.equal(sendsBetween(this, firstSent, firstSent + MILLISECONDS_IN_SECOND), count);
   },
 );
--- a/features/steps/followers.steps.ts
+++ b/features/steps/followers.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about gateways of which few follow the store, in virtual time. */
+/** Steps about gateways that follow the store together, in virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { shouldFollow } from '../../src/peers/store-followers.js';
@@ -47,7 +47,7 @@
 });
 
 Given(
-  '{int} gateways that tell one another what they know of the store',
+  '{int} gateways that gossip what they know of the store',
   function (this: World, count: number) {
     startFleet(this, count);
   },
@@ -58,7 +58,7 @@
   function (this: World, milliseconds: number, least: number, most: number) {
     wait(this, milliseconds);
     const count = followersOf(this).length;
-    assert.ok(count >= least && count <= most, `${count} follow`);
+    assert.ok(count >= least && count <= most, `${count} gateways follow the store`);
     assert.ok(allKnow(this), 'some do not know the first value');
   },
 );
@@ -68,7 +68,7 @@
 });
 
 When(
-  'the store says nothing for {int} milliseconds, and a key is changed as it answers again',
+  'the store does not answer for {int} milliseconds, and a key is changed when it answers again',
   function (this: World, milliseconds: number) {
     this.gateways.forEach(({ store }) => store.stopAnswering());
     wait(this, milliseconds);
@@ -77,7 +77,7 @@
   },
 );
 
-When('all open connections to the store go silent', function (this: World) {
+When('all open connections to the store stop responding', function (this: World) {
   this.gateways.forEach(({ store }) => store.loseConnections());
 });
 
@@ -85,7 +85,7 @@
   this.fetchesFail = true;
 });
 
-When('all that follow the store die and a key of the store is changed', function (this: World) {
+When('all followers of the store die and a key of the store is changed', function (this: World) {
   for (const { process, gossip } of followersOf(this)) {
     gossip.close();
     process.kill();
@@ -94,7 +94,7 @@
 });
 
 When(
-  'the store refuses all that follow it and a key of the store is changed',
+  'the store refuses all its followers and a key of the store is changed',
   function (this: World) {
     followersOf(this).forEach(({ store }) => {
       store.mode = 'refusing';
@@ -105,7 +105,7 @@
 );
 
 Then(
-  'within {int} milliseconds all that run know the change',
+  'within {int} milliseconds all running gateways know the change',
   function (this: World, milliseconds: number) {
     const known = this.clock.runUntil(this.clock.now + milliseconds, () => allKnow(this));
     const count = running(this).filter(
@@ -116,10 +116,11 @@
 );
 
 When(
-  'one of them says for {int} milliseconds that it knows revision {int}',
+  'one of them claims for {int} milliseconds to know revision {int}',
   function (this: World, milliseconds: number, revision: number) {
     wait(this, 4_000);
-    // All but the liar leave the store to others, so that they ask the liar.
+    // The other gateways cannot follow the store and therefore fetch from the one with the false
+    // revision.
     this.gateways.slice(1).forEach(({ store }) => (store.mode = 'unreachable'));
     this.gateways.slice(1).forEach(({ mirror }) => mirror.stopFollowing());
     this.falseRevision = { host: this.gateways[0]!.host, revision };
@@ -134,7 +135,7 @@
   function (this: World, most: number, milliseconds: number) {
     const { fetchesServed } = this.gateways[0]!;
     const askers = this.gateways.length - 1;
-    assert.ok(fetchesServed > 0 && fetchesServed <= most * askers, `asked ${fetchesServed} times`);
+    assert.ok(fetchesServed > 0 && fetchesServed <= most * askers, `${fetchesServed} fetches`);
     changeKey(this);
     assert.ok(this.clock.runUntil(this.clock.now + milliseconds, () => allKnow(this)));
   },
@@ -144,7 +145,7 @@
 const RUNNER_HASH = hashToNumber(RUNNER);
 const PLACE: PromptPlace = { runnerHash: 5, part: promptKeyOf('a part'), tokens: 900 };
 
-/** Whether each gateway that runs knows the requests of all others that run. */
+/** Whether each running gateway knows the requests of all other running gateways. */
 function allKnowLoads(world: FleetWorld): boolean {
   const alive = running(world);
   const ownOf = ({ loads }: FleetGateway): number => loads.get(RUNNER) ?? 0;
@@ -162,12 +163,12 @@
 );
 
 Then(
-  'within {int} milliseconds each knows the requests of all others that run',
+  'within {int} milliseconds each knows the requests of all other running gateways',
   function (this: World, milliseconds: number) {
     const { clock } = this;
     const known = clock.runUntil(clock.now + milliseconds, () => allKnowLoads(this));
     const told = running(this).map(({ gossip }) => gossip.inFlightOfOthers(RUNNER_HASH));
-    assert.ok(known, `they know of ${told.join(' ')}`);
+    assert.ok(known, `known requests: ${told.join(' ')}`);
   },
 );
 
@@ -183,27 +184,30 @@
     const after = sums();
     const share = this.gateways.length * seconds;
     const [sentMessages, sentBytes] = [0, 1].map((at) => (after[at]! - before[at]!) / share);
-    assert.ok(sentMessages! <= messages && sentBytes! <= bytes, `${sentMessages} ${sentBytes}`);
+    assert.ok(
+      sentMessages! <= messages && sentBytes! <= bytes,
+      `${sentMessages} messages, ${sentBytes} bytes`,
+    );
   },
 );
 
-When('the first of each zone dies', function (this: World) {
+When('the first-ranked gateway of each zone dies', function (this: World) {
   const firstInZones = new Set(running(this).filter(({ gossip }) => gossip.rank === 0));
-  assert.ok(firstInZones.size >= ZONES, `${firstInZones.size} come first`);
+  assert.ok(firstInZones.size >= ZONES, `${firstInZones.size} gateways rank first`);
   for (const { gossip, process } of firstInZones) {
     gossip.close();
     process.kill();
   }
 });
 
-When('one gateway tells that a runner keeps a part of a prompt', function (this: World) {
+When('one gateway reports that a runner caches a part of a prompt', function (this: World) {
   this.gateways[9]!.places = [PLACE];
   wait(this, 300);
   this.gateways[9]!.places = [];
 });
 
 Then(
-  'within {int} milliseconds all others have heard of the part',
+  'within {int} milliseconds all others know of the part',
   function (this: World, milliseconds: number) {
     const others = this.gateways.filter((_, index) => index !== 9);
     const heard = (): boolean => others.every(({ placesHeard }) => placesHeard.has(PLACE.part));
@@ -215,21 +219,21 @@
 const UNKNOWN_TOPIC = 250;
 const AGGREGATE_KEY = 77;
 
-/** Sums of others that a gateway knows under both topics. */
+/** Returns the sums of other gateways that a gateway knows under both topics. */
 function aggregatesKnownBy({ gossip }: FleetGateway): number[] {
   const sumOf = (topic: number): number =>
     gossip.aggregatesOfOthers(topic).get(AGGREGATE_KEY)?.[0] ?? 0;
   return [sumOf(KNOWN_TOPIC), sumOf(UNKNOWN_TOPIC)];
 }
 
-Given('every fourth of them is of a build that reads no figures', function (this: FleetWorld) {
+Given('every fourth of them is of a build without extensions', function (this: FleetWorld) {
   this.gateways.forEach((gateway, index) => {
     gateway.isOlderBuild = index % 4 === Math.floor(index / 4) % 4;
   });
 });
 
 When(
-  'each tells {int} of a topic that all know and {int} of one that nobody knows',
+  'each reports {int} of a known topic and {int} of an unknown one',
   function (this: FleetWorld, known: number, unknown: number) {
     for (const gateway of this.gateways.filter(({ isOlderBuild }) => !isOlderBuild)) {
       gateway.aggregates = [
@@ -251,7 +255,7 @@
 );
 
 Then(
-  'after {int} milliseconds the older ones were never sent any figures',
+  'after {int} milliseconds the older ones were never sent an extension',
   function (this: FleetWorld, milliseconds: number) {
     wait(this, milliseconds);
     const older = this.gateways.filter(({ isOlderBuild }) => isOlderBuild);
@@ -264,7 +268,7 @@
 );
 
 Then(
-  'none of the newer ones counts more than {int}, and some count what newer ones told',
+  'none of the newer ones counts more than {int}, and some count what newer ones reported',
   function (this: FleetWorld, most: number) {
     const newer = this.gateways.filter(({ isOlderBuild }) => !isOlderBuild);
     const counted = newer.map((gateway) => aggregatesKnownBy(gateway)[0]!);
--- a/features/steps/freshness.steps.ts
+++ b/features/steps/freshness.steps.ts
@@ -1,4 +1,6 @@
-/** Steps about as of which time a gateway's copy of the store is known to miss nothing. */
+/**
+ * Steps about the freshness of a gateway's copy of the store, and about expired entries of runners.
+ */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -77,15 +79,18 @@
   },
 );
 
-When('the store says nothing for {int} milliseconds', function (this: World, milliseconds: number) {
-  const before = callsOf(this);
-  this.gateways.forEach(({ store }) => store.stopAnswering());
-  wait(this, milliseconds);
-  this.callsMeanwhile = callsOf(this) - before;
-});
+When(
+  'the store does not answer for {int} milliseconds',
+  function (this: World, milliseconds: number) {
+    const before = callsOf(this);
+    this.gateways.forEach(({ store }) => store.stopAnswering());
+    wait(this, milliseconds);
+    this.callsMeanwhile = callsOf(this) - before;
+  },
+);
 
 When(
-  'messages between gateways take {int} milliseconds more and the store says nothing for {int} milliseconds',
+  'messages between gateways take {int} milliseconds longer and the store does not answer for {int} milliseconds',
   function (this: World, delay: number, milliseconds: number) {
     this.delayMilliseconds = delay;
     this.gateways.forEach(({ store }) => store.stopAnswering());
@@ -102,7 +107,7 @@
 );
 
 Then(
-  'in {int} milliseconds all together ask for at most {int} short reads',
+  'in {int} milliseconds all gateways together send at most {int} short reads',
   function (this: World, milliseconds: number, most: number) {
     const readsOf = (): number =>
       this.gateways.reduce((sum, { store }) => sum + store.keyReadCount, 0);
--- a/features/steps/mirror.steps.ts
+++ b/features/steps/mirror.steps.ts
@@ -59,7 +59,7 @@
 );
 
 When(
-  'the store says nothing for {int} milliseconds and {string} is changed as it answers again',
+  'the store does not answer for {int} milliseconds and {string} is changed when it answers again',
   function (this: World, milliseconds: number, key: string) {
     this.store.stopAnswering();
     wait(this, milliseconds);
@@ -75,13 +75,10 @@
   this.mirror.putIfNewer({ key: 'a', value: 'first', revision: 1 });
 });
 
-When(
-  "the store's watches fall silent and {string} is changed",
-  function (this: World, key: string) {
-    this.store.hangWatches = true;
-    this.store.put(key, 'second');
-  },
-);
+When("the store's watches stall and {string} is changed", function (this: World, key: string) {
+  this.store.hangWatches = true;
+  this.store.put(key, 'second');
+});
 
 When('stale lists fall behind', function (this: World) {
   this.store.staleList = { items: [...this.store.items.values()], revision: this.store.revision };
@@ -101,7 +98,7 @@
 });
 
 When(
-  'the store is out of reach for {int} milliseconds while "a" is changed',
+  'the store is unreachable for {int} milliseconds while "a" is changed',
   function (this: World, milliseconds: number) {
     this.store.mode = 'unreachable';
     this.store.hangWatches = true;
@@ -112,12 +109,15 @@
   },
 );
 
-When('the store refuses for {int} milliseconds', function (this: World, milliseconds: number) {
-  this.store.mode = 'refusing';
-  const before = this.store.callCount;
-  wait(this, milliseconds);
-  this.calls = this.store.callCount - before;
-});
+When(
+  'the store refuses calls for {int} milliseconds',
+  function (this: World, milliseconds: number) {
+    this.store.mode = 'refusing';
+    const before = this.store.callCount;
+    wait(this, milliseconds);
+    this.calls = this.store.callCount - before;
+  },
+);
 
 When(
   'peers offer {string} at revision {int} and {string} at revision {int}',
@@ -127,15 +127,18 @@
   },
 );
 
-When('the mirror rests for {int} milliseconds', function (this: World, milliseconds: number) {
-  this.mirror.stopFollowing();
-  const before = this.store.callCount;
-  wait(this, milliseconds);
-  this.calls = this.store.callCount - before;
-});
+When(
+  'the mirror does not follow the store for {int} milliseconds',
+  function (this: World, milliseconds: number) {
+    this.mirror.stopFollowing();
+    const before = this.store.callCount;
+    wait(this, milliseconds);
+    this.calls = this.store.callCount - before;
+  },
+);
 
 When(
-  'the mirror rests and a peer says that nothing is missing up to revision {int}',
+  'the mirror stops following and a peer claims to have all changes up to revision {int}',
   function (this: World, revision: number) {
     this.mirror.stopFollowing();
     const since = this.mirror.completeRevision;
@@ -158,12 +161,12 @@
   this.store.put(key, 'second');
 });
 
-/** A step of the store or of one of three copies. */
+/** An action on the store or on one of three copies. */
 type CopyStep =
   | { readonly tag: 'put' | 'remove'; readonly key: string }
-  /** A copy reads a whole list. */
+  /** A copy reads a complete list. */
   | { readonly tag: 'list'; readonly copy: number }
-  /** A copy takes what another has, unless the answer is lost. */
+  /** A copy applies the changes of another, unless the answer is lost. */
   | { readonly tag: 'take'; readonly copy: number; readonly from: number; readonly lost: boolean };
 
 const copyStep: fc.Arbitrary<CopyStep> = fc.oneof(
@@ -188,7 +191,10 @@
     (seen) =>
       new KeySpaceCopy({
         onPut: (item) => {
-          assert.ok(item.revision > (seen.get(item.key) ?? 0), 'an item went back');
+          assert.ok(
+            item.revision > (seen.get(item.key) ?? 0),
+            'an item returned to an older revision',
+          );
           seen.set(item.key, item.revision);
         },
         onRemoved: () => undefined,
@@ -224,7 +230,7 @@
 }
 
 Then(
-  'copies that take changes from one another, in any order and with losses, agree with the store',
+  'copies that exchange changes, in any order and with losses, converge to the store',
   function () {
     fc.assert(fc.property(fc.array(copyStep, { maxLength: 40 }), checkCopiesConverge), {
       numRuns: 3_000,
@@ -255,13 +261,13 @@
 });
 
 Then(
-  'the mirror was told once that it is out of reach and once that it is back',
+  'the mirror reported the store unreachable once and reachable again once',
   function (this: World) {
     wait(this, 2_000);
     assert.deepEqual(this.reachability, [true, false, true]);
   },
 );
 
-Then('it was asked at most {int} times meanwhile', function (this: World, most: number) {
-  assert.ok(this.calls > 0 && this.calls <= most, `asked ${this.calls} times`);
+Then('it was called at most {int} times meanwhile', function (this: World, most: number) {
+  assert.ok(this.calls > 0 && this.calls <= most, `called ${this.calls} times`);
 });
--- a/features/steps/peers.steps.ts
+++ b/features/steps/peers.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about what gateways tell one another, over loopback sockets. */
+/** Steps about gossip and snapshots between gateways, over loopback sockets. */
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -31,9 +31,9 @@
 
 const HOSTS = ['127.0.8.1', '127.0.8.2', '127.0.8.3'] as const;
 const MEMBERS = 'the members';
-/** What each tells of the store. */
+/** Proof that each gateway reports. */
 const PROOF: StoreProof = { life: 9, number: 3, revision: 7, ageMilliseconds: 40 };
-/** What the first gateway tells that a runner keeps. */
+/** Place that the first gateway reports. */
 const PLACE: PromptPlace = { runnerHash: 5, part: promptKeyOf('a part'), tokens: 900 };
 
 interface World {
@@ -104,12 +104,12 @@
   assert.equal(this.gossips!.at(-1)!.somePeerReachesReplicas, false);
 });
 
-Then('the second learns what the runner keeps', async function (this: World) {
+Then('the second learns what the runner caches', async function (this: World) {
   assert.ok(await becomesTrueWithin(1_000, () => this.receivedPlaces !== undefined));
   assert.deepEqual(this.receivedPlaces![0], PLACE);
 });
 
-Then('they tell one another the newest revision they know', function (this: World) {
+Then('the gateways exchange the newest revision they know', function (this: World) {
   assert.deepEqual(new Set(this.peerStates!.map(({ revision }) => revision)), new Set([7]));
   this.peerStates!.forEach(({ proof }) => assert.deepEqual(proof, PROOF));
 });
@@ -158,21 +158,24 @@
   },
 );
 
-When('another starts with it as a seed and needs what it knows urgently', function (this: World) {
-  const exchange = new PeerExchange({
-    runtime: createRealRuntime({ logLevel: 'error' }),
-    ownAddress: `${HOSTS[1]}:${this.port!}`,
-    seeds: () => [this.seed!],
-    ownRevision: () => 3,
-    snapshotSince: (since) => ({ since, revision: 3, items: [], gone: [], members: '' }),
-    onSnapshot: (snapshot) => {
-      this.receivedSnapshot = snapshot;
-    },
-    isNeeded: () => (this.receivedSnapshot === undefined ? 'urgently' : 'no'),
-  });
-  exchange.start(HOSTS[1], this.port!);
-  this.exchanges!.push(exchange);
-});
+When(
+  'another gateway starts with it as a seed and urgently needs a snapshot',
+  function (this: World) {
+    const exchange = new PeerExchange({
+      runtime: createRealRuntime({ logLevel: 'error' }),
+      ownAddress: `${HOSTS[1]}:${this.port!}`,
+      seeds: () => [this.seed!],
+      ownRevision: () => 3,
+      snapshotSince: (since) => ({ since, revision: 3, items: [], gone: [], members: '' }),
+      onSnapshot: (snapshot) => {
+        this.receivedSnapshot = snapshot;
+      },
+      isNeeded: () => (this.receivedSnapshot === undefined ? 'urgently' : 'no'),
+    });
+    exchange.start(HOSTS[1], this.port!);
+    this.exchanges!.push(exchange);
+  },
+);
 
 Then(
   'within {int} milliseconds it knows item {string} at revision {int} and the members',
@@ -180,13 +183,13 @@
     assert.ok(await becomesTrueWithin(within, () => this.receivedSnapshot !== undefined));
     assert.deepEqual(this.receivedSnapshot!.items, [{ key, value: 'value', revision }]);
     assert.equal(this.receivedSnapshot!.members, MEMBERS);
-    // What it has already is not sent again.
+    // Only items newer than the asker's revision are sent.
     assert.equal(this.receivedSnapshot!.since, 3);
     assert.ok(this.receivedSnapshot!.peers.includes(this.seed!));
   },
 );
 
-Then('any bytes are decoded to a load message or to nothing', function () {
+Then('any bytes decode to a load message or are rejected', function () {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 64 }), (bytes) => {
       const message = decodeLoadMessage(bytes);
@@ -238,7 +241,7 @@
 });
 
 Then(
-  'whatever topics and rows peers tell, their sum fits in a section and has all topics that are known here',
+  'for any topics and rows, the sum fits in a section and contains all known topics',
   function () {
     const known = Object.values(AGGREGATE_TOPICS);
     const counts = {
--- a/features/support/gateway-fleet.ts
+++ b/features/support/gateway-fleet.ts
@@ -1,4 +1,4 @@
-/** Gateways in virtual time that gossip and of which few follow the store. */
+/** A fleet of gateways in virtual time that gossip and follow the store together. */
 import { freshnessTimingsFor } from '../../src/mirror/freshness-timings.js';
 import type { KeySpaceMirror } from '../../src/mirror/key-space-mirror.js';
 import type { StoreFreshness } from '../../src/mirror/store-freshness.js';
@@ -19,17 +19,17 @@
 import { VirtualClock } from '../../src/simulation/virtual-clock.js';
 import { SimulatedKeySpace } from './simulated-key-space.js';
 
-/** What gateways that gossip need of the network, in milliseconds one way. */
+/** One-way latency of messages between gateways, in milliseconds. */
 export const LINK_MILLISECONDS = 1;
 const LOSS = 0.01;
 const FIRST_START_DELAY_MILLISECONDS = 2_500;
 const APPLY_MILLISECONDS = 2_000;
-/** The key that is changed, and read as a proof. */
+/** Key that tests change and that gateways read for proofs. */
 export const CHANGED_KEY = 'a';
-/** Zones that gateways are spread over in turn. */
+/** Number of zones; gateways are assigned to them in turn. */
 export const ZONES = 4;
 
-/** One gateway as far as the store is concerned. */
+/** A gateway with its own link to the store. */
 export interface FleetGateway {
   readonly host: string;
   readonly process: SimulatedProcess;
@@ -38,11 +38,14 @@
   readonly gossip: LoadGossip;
   readonly freshness: StoreFreshness;
   readonly loads: Map<string, number>;
-  /** Places of prompts told to it. */
+  /** Prompt parts whose places other gateways have reported to it. */
   readonly placesHeard: Set<number>;
   places: readonly PromptPlace[];
   aggregates: readonly Aggregate[];
-  /** Whether it is of a build that reads no tail: its life tells, and it refuses a message with one. */
+  /**
+   * Whether the gateway runs a build without extensions: its life is below
+   * `FIRST_LIFE_WITH_EXTENSIONS`, and it rejects messages with extensions.
+   */
   isOlderBuild: boolean;
   extensionsRefused: number;
   fetchesServed: number;
@@ -50,45 +53,47 @@
   bytesSent: number;
 }
 
-/** Gateways in virtual time. */
+/** State of the fleet, shared by the steps. */
 export interface FleetWorld {
   random: RandomSource;
   clock: VirtualClock;
   gateways: FleetGateway[];
   listeners: Map<string, DatagramListener>;
-  /** What the store holds; each gateway has a path of its own to it. */
+  /**
+   * Current value of the key in the store; each gateway has its own simulated store, kept alike.
+   */
   value: string;
-  /** Added to the way of each message between gateways, in milliseconds. */
+  /** Additional one-way latency of messages between gateways, in milliseconds. */
   delayMilliseconds: number;
-  /** While true, no gateway answers another's fetch. */
+  /** While true, no gateway answers fetches. */
   fetchesFail: boolean;
-  /** Revision that a lying gateway tells. */
+  /** Revision that one gateway falsely claims to have. */
   falseRevision: { readonly host: string; readonly revision: number } | undefined;
 }
 
-/** Those that were not killed. */
+/** Returns the gateways that have not been killed. */
 export function running(world: FleetWorld): FleetGateway[] {
   return world.gateways.filter(({ process }) => process.isAlive);
 }
 
-/** Those that follow the store. */
+/** Returns the running gateways that follow the store. */
 export function followersOf(world: FleetWorld): FleetGateway[] {
   return running(world).filter(({ mirror }) => mirror.isFollowing);
 }
 
-/** The message with another revision, told as the own one and as proved. */
+/** Returns the message with another revision, both as the sender's and in the proof. */
 function withRevision(bytes: Uint8Array, revision: number): Uint8Array {
   const message = decodeLoadMessage(bytes)!;
   return encodeLoadMessage({ ...message, revision, proof: { ...message.proof, revision } });
 }
 
-/** The message as a build without tails sends it. */
+/** Returns the message as a build without extensions sends it. */
 function asOlderBuild(bytes: Uint8Array): Uint8Array {
   const message = decodeLoadMessage(bytes)!;
   return encodeLoadMessage({ ...message, life: message.life - FIRST_LIFE_WITH_EXTENSIONS });
 }
 
-/** Hands a message over, unless its receiver is of a build that can't read it. */
+/** Delivers a message, unless the build of its receiver rejects it. */
 function deliver(world: FleetWorld, bytes: Uint8Array, from: string, target: string): void {
   const receiver = world.gateways.find((gateway) => gateway.host === target);
   if (receiver?.isOlderBuild === true && decodeLoadMessage(bytes)?.aggregates.length !== 0) {
@@ -177,23 +182,22 @@
   world.gateways.push({ host, process, store, ...parts, ...counts, ...build });
 }
 
-/** Lets virtual time pass. */
+/** Advances virtual time. */
 export function wait(world: FleetWorld, milliseconds: number): void {
   world.clock.runUntil(world.clock.now + milliseconds);
 }
 
-/** Changes the key in the store. */
 export function changeKey(world: FleetWorld): void {
   world.value = `changed at ${world.clock.now}`;
   world.gateways.forEach(({ store }) => store.put(CHANGED_KEY, world.value));
 }
 
-/** Whether all that run know the newest value of the key. */
+/** Whether all running gateways know the newest value of the key. */
 export function allKnow(world: FleetWorld): boolean {
   return running(world).every(({ mirror }) => mirror.get(CHANGED_KEY)?.value === world.value);
 }
 
-/** Starts gateways that know three seeds. */
+/** Starts a fleet in which every gateway knows the same three seeds. */
 export function startFleet(world: FleetWorld, count: number): void {
   world.random = createRandom(count, 'gateways');
   world.clock = new VirtualClock();
--- a/features/support/simulated-key-space.ts
+++ b/features/support/simulated-key-space.ts
@@ -1,4 +1,7 @@
-/** A store of keys in virtual time: out of reach, refusing, silent, forgetful or behind as asked. */
+/**
+ * A store of keys in virtual time with faults on demand: unreachable, refusing, silent, compacted
+ * or stale.
+ */
 import * as E from 'fp-ts/lib/Either.js';
 import { HistoryStore } from '../../src/histories/history-store.js';
 import type {
@@ -12,23 +15,23 @@
 
 const ANSWER_MILLISECONDS = 4;
 const TIMEOUT_MILLISECONDS = 1_000;
-/** Time after which a caller gives up a short call that is owed an answer, as the real client does. */
+/** Time after which a caller gives up a short call, as the real client does, in milliseconds. */
 const SHORT_CALL_TIMEOUT_MILLISECONDS = 1_500;
 
-/** A store in virtual time. */
+/** Simulated store with switchable faults. */
 export class SimulatedKeySpace implements KeySpacePort {
   mode: 'well' | 'unreachable' | 'refusing' = 'well';
   hangWatches = false;
-  /** While true, watches that wait end with a refusal. */
+  /** While true, waiting watches end with a refusal. */
   refuseWatches = false;
-  /** What stale lists answer while they are behind; undefined when they are not. */
+  /** Answer to stale lists while they are behind; undefined while they are current. */
   staleList: { items: StoredItem[]; revision: number } | undefined;
   callCount = 0;
-  /** Lists of less than all keys. */
+  /** Number of lists of a single key or prefix. */
   keyReadCount = 0;
   /** While true, calls are neither answered nor refused. */
   private isSilent = false;
-  /** Rises when open connections go silent for good: calls sent before are never answered. */
+  /** Number of times that all open connections were lost; calls sent before are never answered. */
   private connections = 0;
   private readonly store: HistoryStore;
 
@@ -56,18 +59,20 @@
     this.store.forget();
   }
 
-  /** Says nothing from now on; what it owes is never answered, not even after its return. */
+  /**
+   * Stops answering; calls that are waiting are never answered, not even after `resumeAnswering`.
+   */
   stopAnswering(): void {
     this.isSilent = true;
     this.loseConnections();
   }
 
-  /** Answers again what is sent from now on. */
+  /** Answers calls sent from now on. */
   resumeAnswering(): void {
     this.isSilent = false;
   }
 
-  /** All open connections go silent for good, while new ones work. */
+  /** Makes all open connections stop responding for good; new ones work. */
   loseConnections(): void {
     this.connections += 1;
   }
