--- a/src/peers/aggregates.ts
+++ b/src/peers/aggregates.ts
@@ -10,7 +10,7 @@
  */
 export const AGGREGATE_TOPICS = {
   // 1 is reserved: what requests showed of runners; no build sends it.
-  /** Requests in progress at a service; the key is the hash of the service's name. */
+  /** Requests in progress at a service, by rank; the key is the hash of the service's name. */
   serviceDemand: 2,
   // 3 is reserved: a tenant's demand; no build sent it.
   /**
