--- a/src/turns/account.ts
+++ b/src/turns/account.ts
@@ -1,22 +1,22 @@
 /**
- * The token account of one program: a set of reservations, one for each turn, each settled later to
- * what the turn handed out. Copies merge in any order and any number of times to the same account.
+ * The token account of one program: a set of reservations, one per turn, each later settled to the number of tokens
+ * that the turn returned. Merging is commutative, associative and idempotent, so replicas converge on one account.
  */
 
-/** What one turn takes from the account. */
+/** The tokens that one turn reserves from the account. */
 export interface Reservation {
   /** Request id of the turn. */
   readonly turn: string;
-  /** Most tokens the turn may hand out. */
+  /** Maximum number of tokens that the turn may return. */
   readonly mostTokens: number;
-  /** Tokens handed out; undefined while the turn is under way. */
+  /** Tokens returned; undefined while the turn is running. */
   readonly usedTokens: number | undefined;
 }
 
-/** See the head of this file; reservations by turn. */
+/** Reservations of one program, keyed by the request id of the turn. */
 export type Account = Map<string, Reservation>;
 
-/** Takes a reservation into an account; true when that changed it. A settled one stays settled. */
+/** Merges a reservation into an account; returns whether the account changed. A settled reservation stays settled. */
 export function mergeReservation(account: Account, reservation: Reservation): boolean {
   const known = account.get(reservation.turn);
   if (known === undefined) {
@@ -30,7 +30,7 @@
   return true;
 }
 
-/** Tokens that the other turns of the account have taken or may still take. */
+/** Tokens used by the other turns of the account, counting open reservations in full. */
 export function tokensOfOthers(account: Account, turn: string): number {
   let sum = 0;
   for (const reservation of account.values()) {
@@ -41,7 +41,7 @@
   return sum;
 }
 
-/** Whether a turn fits into a budget beside the others. */
+/** Whether a turn's reservation and those of the other turns stay within the budget. */
 export function fitsBudget(account: Account, turn: string, most: number, budget: number): boolean {
   return tokensOfOthers(account, turn) + most <= budget;
 }
--- a/src/turns/chain-cache.ts
+++ b/src/turns/chain-cache.ts
@@ -1,15 +1,15 @@
-/** Chains that this process has lately seen whole; they never change, so a hit is always right. */
+/** An LRU cache of complete turn chains. Chains are immutable, so entries never become stale. */
 import type { ConversationTurn } from './conversation-turn.js';
 
-/** Bytes of chains that are kept; the least lately used go first. */
+/** Maximum total size of the cached chains, in bytes; the least recently used are evicted first. */
 export const MAXIMUM_CHAIN_CACHE_BYTES = 24 * 1024 * 1024;
 
-/** See the head of this file. */
+/** Caches chain bodies by the id of their last turn. */
 export class ChainCache {
   private readonly chains = new Map<string, Buffer>();
   private bytes = 0;
 
-  /** The chain that ends with a turn. */
+  /** Returns the body of the chain that ends with a turn, and marks it as recently used. */
   get(turn: string): Buffer | undefined {
     const chain = this.chains.get(turn);
     if (chain !== undefined) {
@@ -19,7 +19,7 @@
     return chain;
   }
 
-  /** Adds a turn whose earlier turns are here, or that begins a line. */
+  /** Appends a turn to the cached chain of its predecessor; ignored when that chain is not cached. */
   add(turn: ConversationTurn): void {
     const prefix = turn.previous === '' ? Buffer.alloc(0) : this.chains.get(turn.previous);
     if (prefix !== undefined) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Adds a whole chain. */
+  /** Stores a complete chain and evicts the least recently used ones beyond the size limit. */
   put(turn: string, chain: Buffer): void {
     this.bytes += chain.length - (this.chains.get(turn)?.length ?? 0);
     this.chains.delete(turn);
--- a/src/turns/compaction.ts
+++ b/src/turns/compaction.ts
@@ -1,26 +1,26 @@
 /**
- * Writes the state of a replica anew so that the disk gets rid of what is superseded or past its time.
- * The work is done in slices with pauses between them, since callers' writes wait for the same disk and
- * the same processor; and it is due only when enough has been written since the last time, measured
- * against what was left then: a state that is itself large must not be written anew with each change.
+ * Compaction rewrites the live state of a replica so that superseded and expired records can be deleted.
+ * The rewrite runs in slices with pauses in between, because callers' writes compete for the same disk and CPU.
+ * It is triggered by the amount written since the previous compaction, relative to the live size at that time;
+ * otherwise a large live state would be rewritten after every few changes.
  */
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import type { StorageChange } from './turn-storage.js';
 
-/** What a disk holds. */
+/** Disk usage of a replica. */
 export interface DiskUse {
   readonly bytes: number;
   readonly segments: number;
 }
 
-/** Bytes written since the last compaction below which none is worth its work. */
+/** Minimum number of bytes written since the last compaction before the next one is triggered. */
 const MINIMUM_GARBAGE_BYTES = 48 * 1024 * 1024;
-/** The same as a share of what the last compaction left: bounds the work to two bytes a byte written. */
+/** Minimum written amount as a fraction of the live size; limits compaction to two bytes per byte written. */
 const GARBAGE_SHARE = 0.5;
-/** Segments since the last compaction; each start of a process makes one, however short. */
+/** Number of new segments that triggers a compaction; each process start creates one, however short. */
 const MAXIMUM_SEGMENTS = 12;
 
-/** Whether to compact, from what the disk holds and what the last compaction left there. */
+/** Whether a compaction is due, given the current disk usage and the usage right after the last compaction. */
 export function isCompactionDue(current: DiskUse, afterLastCompaction: DiskUse): boolean {
   const garbageBytes = current.bytes - afterLastCompaction.bytes;
   const isLarge =
@@ -28,9 +28,9 @@
   return isLarge || current.segments - afterLastCompaction.segments >= MAXIMUM_SEGMENTS;
 }
 
-/** Records in one slice: some milliseconds of a fraction of a core. */
+/** Maximum number of records in one slice. */
 const SLICE_RECORDS = 200;
-/** Bytes of turns in one slice. */
+/** Number of bytes of turn content that ends a slice. */
 const SLICE_BYTES = 128 * 1024;
 /** Pause between two slices, in milliseconds. */
 const SLICE_PAUSE_MILLISECONDS = 20;
@@ -39,7 +39,7 @@
   return change.tag === 'turn' ? change.turn.turn.input.length + change.turn.turn.output.length : 0;
 }
 
-/** The next changes of a slice; empty at the end. */
+/** Takes the changes of the next slice from the iterator; empty when it is exhausted. */
 function takeSlice(changes: Iterator<StorageChange>): StorageChange[] {
   const slice: StorageChange[] = [];
   let bytes = 0;
@@ -54,10 +54,10 @@
   return slice;
 }
 
-/** Makes changes durable; calls back when they are. */
+/** Persists changes and calls back once they are durable. */
 export type SliceWriter = (changes: readonly StorageChange[], done: () => void) => void;
 
-/** Writes changes in slices with pauses; calls back once after the last is durable. */
+/** Writes changes in slices with pauses in between; calls back once after the last slice is durable. */
 export function writeInSlices(
   runtime: Runtime,
   changes: Iterable<StorageChange>,
--- a/src/turns/completeness-check.ts
+++ b/src/turns/completeness-check.ts
@@ -1,7 +1,7 @@
 /**
- * Decides when a replica's state is complete: once it has read all that enough complete others have,
- * under the epoch in force. Members that have never acknowledged anything don't count: they have nothing
- * that could be missed, and waiting for them to be complete would be waiting for one another.
+ * Decides when a replica's state is complete: once it has read the logs of enough complete members to their ends
+ * under the current epoch. Members that have never acknowledged a write are excluded: they hold nothing that could
+ * be missed, and two of them waiting for each other would never finish.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { MemberDirectory } from './member-directory.js';
@@ -10,29 +10,31 @@
 import type { PeerView } from './peer-progress.js';
 import type { Replica } from './replica.js';
 
-/** Pause between two lines that tell why the state is not complete yet, in milliseconds. */
+/** Minimum interval between two log entries on why the state is still incomplete, in milliseconds. */
 const LOG_INTERVAL_MILLISECONDS = 1_000;
-/** Pause between two declarations, since the first may still be on its way to the disk, in milliseconds. */
+/** Time for which no second ready mark is written, since the first may still be in flight to disk, in milliseconds. */
 export const DECLARATION_MILLISECONDS = 300;
 
-/** What an incomplete replica has of another member. */
+/** How far an incomplete replica has read the log of another member; written to the log. */
 type ReadProgress =
+  /** The member has not replied yet. */
   | 'unheard'
-  /** Its own state is not complete. */
+  /** The member's own state is incomplete. */
   | 'inactive'
-  /** Neither is it, but it has acknowledged nothing yet. */
+  /** The member's state is incomplete, and the member has never acknowledged a write. */
   | 'fresh'
+  /** The member is complete, but its log has not been read to its end under the current epoch. */
   | 'reading'
-  /** All that it had was read under the epoch in force. */
+  /** The member's log was read to its end under the current epoch. */
   | 'read';
 
-/** What the check is made with. */
+/** Dependencies of a {@link CompletenessCheck}. */
 export interface CompletenessCheckOptions {
   readonly id: string;
   readonly runtime: Runtime;
   readonly replica: Replica;
   readonly directory: MemberDirectory;
-  /** What is known of another member; undefined before its first reply. */
+  /** Read progress in another member's log; undefined before its first reply. */
   readonly viewOf: (member: string) => PeerView | undefined;
 }
 
@@ -46,14 +48,14 @@
   return peer.caughtUpEpoch >= epoch ? 'read' : 'reading';
 }
 
-/** See the head of this file. */
+/** Marks a replica as ready once it has read the logs of enough complete members. */
 export class CompletenessCheck {
   private nextDeclarationAt = -Infinity;
   private nextLogAt = -Infinity;
 
   constructor(private readonly options: CompletenessCheckOptions) {}
 
-  /** Declares the replica ready if its state is complete; to be called whenever something was read. */
+  /** Marks the replica as ready if its state is complete. Must be called whenever a log was read to its end. */
   check(): void {
     const { directory, replica, id, runtime } = this.options;
     const { current: record } = directory;
@@ -88,7 +90,7 @@
     return recoveryReadQuorum(otherAcknowledgers + own);
   }
 
-  /** Tells what is known of each other member while too few complete ones have been read. */
+  /** Logs the read progress of each other member, at most once per interval. */
   private logIncomplete(
     { epoch }: MemberRecord,
     needed: number,
@@ -101,6 +103,6 @@
     this.nextLogAt = runtime.now() + LOG_INTERVAL_MILLISECONDS;
     const others = [...progress].map(([id, each]) => `${id}=${each}`).join(' ');
     const fields = { event: 'replica.incomplete', epoch, needed, others };
-    runtime.log('info', 'too few complete replicas have been read', fields);
+    runtime.log('info', 'replica incomplete: too few complete members have been read', fields);
   }
 }
--- a/src/turns/connection-protocol.ts
+++ b/src/turns/connection-protocol.ts
@@ -1,19 +1,19 @@
-/** What is known of the kinds that are read at the other end of one connection; asked when first needed. */
+/** The message kinds that the peer of one connection can decode, queried when first needed. */
 import type { ReplicaRequest } from './messages.js';
 import { messageKindOf } from './messages.js';
 import { BASELINE_KIND_COUNT } from './protocol-negotiation.js';
 
-/** Asks for the number of kinds; undefined when it can't be told now. */
+/** Queries the number of message kinds that the peer knows; calls back with undefined when the query failed. */
 export type KindCountQuery = (done: (kinds: number | undefined) => void) => void;
 
-/** See the head of this file. */
+/** Decides, for one connection, whether the peer can decode a request. */
 export class ConnectionProtocol {
   private kindCount: number | undefined;
   private waiting: ((kinds: number) => void)[] = [];
 
   constructor(private readonly queryKindCount: KindCountQuery) {}
 
-  /** Calls back with whether a request is read there: at once when that is known. */
+  /** Calls back with whether the peer can decode a request; synchronously when that is already known. */
   checkSupport(request: ReplicaRequest, done: (isSupported: boolean) => void): void {
     const kind = messageKindOf(request);
     if (kind < BASELINE_KIND_COUNT) {
@@ -34,7 +34,7 @@
       this.kindCount = kinds;
       const { waiting } = this;
       this.waiting = [];
-      // Until it is known, what every build reads is sent; the next request asks again.
+      // After a failed query only the baseline kinds are sent; the next request queries again.
       waiting.forEach((each) => each(kinds ?? BASELINE_KIND_COUNT));
     });
   }
--- a/src/turns/conversation-turn.ts
+++ b/src/turns/conversation-turn.ts
@@ -1,15 +1,15 @@
-/** A turn that is kept so that later ones can go on from it. */
+/** One turn of a conversation, stored so that later turns can continue from it. */
 
-/** Written once under the id of its request, never changed. */
+/** An immutable turn, identified by the id of its request. */
 export interface ConversationTurn {
   /** Request id of the turn. */
   readonly id: string;
-  /** Turn that it went on from; empty at the start of a line. */
+  /** Id of the turn that this one continues; empty for the first turn of a conversation. */
   readonly previous: string;
-  /** What the client sent: the new input only. */
+  /** The input that the client sent with this turn, without that of earlier turns. */
   readonly input: Buffer;
-  /** The data of each event of the answer with a line feed behind. */
+  /** The data of each event of the answer, each followed by a line feed. */
   readonly output: Buffer;
-  /** How long it and the turns before it are kept from its end on, in milliseconds. */
+  /** How long this turn and its predecessors are retained after the turn ends, in milliseconds. */
   readonly retentionMilliseconds: number;
 }
--- a/src/turns/decide-membership.ts
+++ b/src/turns/decide-membership.ts
@@ -1,75 +1,76 @@
-/** Decides what a replica should do about the record of members; plain data in, an action out. */
+/** Decides, as a pure function, how a replica should change the membership record. */
 import { hasMember, majorityOf, readQuorumOf, withoutMember } from './membership.js';
 import type { Member, MemberRecord } from './membership.js';
 import type { MembershipTimings } from './membership-timings.js';
 
-/** What is known when a decision is taken. */
+/** The input of a decision. */
 export interface MembershipView {
   readonly self: Member;
   /** The stored record; undefined when the store holds none yet. */
   readonly record: MemberRecord | undefined;
   /** Whether this replica's state is complete. */
   readonly ready: boolean;
-  /** Whether this replica has lately read all that another member has. */
+  /** Whether this replica has recently read another member's log to its end. */
   readonly isCaughtUpWith: (memberId: string) => boolean;
-  /** Whether another member has lately read all that this replica has. */
+  /** Whether another member has recently read this replica's log to its end. */
   readonly hasRead: (memberId: string) => boolean;
-  /** Whether another member's state was complete when it was last heard. */
+  /** Whether another member's state was complete at its last reply. */
   readonly isComplete: (memberId: string) => boolean;
-  /** Time for which a member has not been heard, in milliseconds. */
+  /** Time since the last reply of a member, in milliseconds. */
   readonly silentMilliseconds: (memberId: string) => number;
-  /** Names of machines that operators want emptied. */
+  /** Names of the machines that operators are retiring. */
   readonly retiringNodes: ReadonlySet<string>;
-  /** Members that are to be present; others stand by. */
+  /** Target number of present members; further replicas remain standbys. */
   readonly wantedMembers: number;
   /**
-   * Members of the record that are not silent. One that is gone for good is taken out only when enough
-   * others remain, so who takes its place joins first.
+   * Number of members in the record that are not silent. A member that is lost for good is removed only when enough
+   * others remain, so its successor joins first.
    */
   readonly presentMembers: number;
-  /** Time for which a place has been vacant, in milliseconds. */
+  /** Time for which fewer members than wanted have been present, in milliseconds. */
   readonly vacantMilliseconds: number;
   readonly timings: MembershipTimings;
 }
 
-/** Why nothing is done, as it stands in the log. */
+/** Why the record is left unchanged; written to the log. */
 export type WaitReason =
-  /** As many members as wanted are present. */
+  /** The target number of members is present. */
   | 'enough present'
-  /** The machine of this replica is to be emptied. */
+  /** The machine of this replica is being retired. */
   | 'retiring'
-  /** The place is left to one of a zone with fewer members for a while. */
+  /** Replicas in zones with fewer members get a head start. */
   | 'courtesy'
-  /** Too few complete members have been read to their end. */
+  /** The logs of too few complete members have been read to their ends. */
   | 'not level'
-  /** A member whose state is not complete decides nothing. */
+  /** This member's state is incomplete. */
   | 'incomplete'
-  /** Too few others have read all that is here. */
+  /** Too few other members have read this replica's log to its end. */
   | 'not handed over'
-  /** All members are heard. */
+  /** All members reply. */
   | 'nobody silent'
-  /** Too few members would be left. */
+  /** Too few members would remain, or too few of the remaining ones are present. */
   | 'too few left'
-  /** Another member comes first. */
+  /** A present member with a lower id is responsible for the removal. */
   | 'not first'
-  /** Those that would be left have not read all of one another. */
+  /** This replica and the other remaining members have not read each other's logs to their ends. */
   | 'others not level';
 
-/** What to do. */
+/** The outcome of a decision. */
 export type MembershipAction =
   | { readonly tag: 'Wait'; readonly reason: WaitReason }
-  /** Write the first record, with this replica alone. */
+  /** Write the first record, with this replica as its only member. */
   | { readonly tag: 'Create' }
-  /** Add this replica. */
+  /** Add this replica to the record. */
   | { readonly tag: 'Join' }
   | { readonly tag: 'Remove'; readonly member: Member; readonly reason: 'retiring' | 'silent' };
 
-/** Complete members that have read all that was here before this replica leaves. */
+/** Minimum number of complete members that must have read this replica's log before it leaves. */
 const MINIMUM_HANDOVER_TARGETS = 2;
 
 /**
- * Members that are left when a silent one is taken out: what they acknowledge is on two disks. Where no machine is
- * there for a third, two that may refill one another bear the loss of a disk; a gone one beside them would not.
+ * Minimum number of members after a removal, so that acknowledged writes are on two disks. Without a third machine, two
+ * members that can recover from each other tolerate the loss of a disk; with an unreachable third member they would
+ * not, since recovery would need two complete members.
  */
 const MINIMUM_REMAINING_MEMBERS = 2;
 
@@ -77,7 +78,7 @@
   return { tag: 'Wait', reason };
 }
 
-/** See the head of this file. */
+/** Returns how this replica should change the membership record, or why it should wait. */
 export function decideMembership(view: MembershipView): MembershipAction {
   const { record, self } = view;
   if (record === undefined) {
@@ -108,7 +109,7 @@
   if (view.vacantMilliseconds < sameZoneMembers.length * view.timings.sameZoneDelayMilliseconds) {
     return waitFor('courtesy');
   }
-  // With fewer complete ones the larger record would need an incomplete or gone one for each write.
+  // With fewer complete members, the majority of the larger record would include an incomplete or absent member.
   const caughtUpMembers = record.members.filter(
     ({ id }) => view.isComplete(id) && view.isCaughtUpWith(id),
   );
@@ -122,7 +123,7 @@
 function decideLeave(view: MembershipView, record: MemberRecord): MembershipAction {
   const remaining = withoutMember(record, view.self.id);
   const present = remaining.members.filter((member) => isPresent(view, member));
-  // What only this replica and one other have must be with a majority of those that may acknowledge.
+  // Writes held only by this replica and one other must reach a majority of the members that can acknowledge.
   const handoverTargets = present.filter((member) => view.isComplete(member.id));
   const isEnough =
     handoverTargets.length >= Math.max(MINIMUM_HANDOVER_TARGETS, majorityOf(remaining));
@@ -132,7 +133,7 @@
     : waitFor('not handed over');
 }
 
-/** Whether this replica and another complete one have lately read all of one another. */
+/** Whether this replica and a complete member have recently read each other's logs to their ends. */
 function isMutuallyCaughtUp(view: MembershipView, member: string): boolean {
   return view.isComplete(member) && view.isCaughtUpWith(member) && view.hasRead(member);
 }
@@ -145,7 +146,7 @@
     return waitFor('nobody silent');
   }
   const remaining = withoutMember(record, silent.id);
-  // Others that are gone as well have nothing to say here: those present must be a majority without them.
+  // Other silent members are not required to be caught up, but the present ones must form a majority without them.
   const present = remaining.members.filter(
     (member) => member.id !== view.self.id && isPresent(view, member),
   );
--- a/src/turns/durable-folder.ts
+++ b/src/turns/durable-folder.ts
@@ -1,30 +1,30 @@
 /**
- * A folder whose files keep their names through a loss of power: no file made here is handed out before
- * its name lasts, and nothing read here is believed before its content does.
+ * A folder whose directory entries survive a power loss: a created file is returned only after its directory entry is
+ * synced, and a file is synced before it is read.
  */
 import { open, readdir, unlink } from 'node:fs/promises';
 import type { FileHandle } from 'node:fs/promises';
 import { join } from 'node:path';
 import { makeDurableFolder, syncNames } from '../runtime/sync-names.js';
 
-/** See the head of this file. All rejections are those of the disk. */
+/** Creates, reads and removes files durably. All rejections are I/O errors. */
 export class DurableFolder {
   private constructor(private readonly path: string) {}
 
-  /** Opens a folder, made when it is missing. */
+  /** Opens a folder, creating it if it is missing. */
   static async open(path: string): Promise<DurableFolder> {
     await makeDurableFolder(path);
-    // An earlier life may have ended before it had synced what it made.
+    // A previous process may have ended before it synced the entries that it created.
     await syncNames(path);
     return new DurableFolder(path);
   }
 
-  /** Names of all files. */
+  /** Lists the names of all files. */
   names(): Promise<string[]> {
     return readdir(this.path);
   }
 
-  /** Makes a file that isn't there yet, to be written. */
+  /** Creates a file for writing; rejects if it already exists. */
   async create(name: string): Promise<FileHandle> {
     const file = await open(join(this.path, name), 'wx');
     try {
@@ -36,7 +36,7 @@
     return file;
   }
 
-  /** Reads a file whole. It is synced first: a killed process may have left what would not last. */
+  /** Reads a whole file. It is synced first, since a killed process may have left content that is not yet durable. */
   async read(name: string): Promise<Buffer> {
     const file = await open(join(this.path, name), 'r');
     try {
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Removes a file. It may come back after a loss of power. */
+  /** Removes a file. The directory is not synced, so the file may reappear after a power loss. */
   remove(name: string): Promise<void> {
     return unlink(join(this.path, name));
   }
--- a/src/turns/member-directory.ts
+++ b/src/turns/member-directory.ts
@@ -1,9 +1,9 @@
-/** The newest record of the members that this process knows, from whatever source. */
+/** The newest membership record known to this process: from the store, the disk, or other processes. */
 import type { Runtime } from '../runtime/runtime.js';
 import { decodeMemberRecord, encodeMemberRecord } from './membership.js';
 import type { MemberRecord } from './membership.js';
 
-/** See the head of this file. An older record never replaces a newer one. */
+/** Holds the membership record with the highest epoch seen so far. */
 export class MemberDirectory {
   private record: MemberRecord | undefined;
   private text = '';
@@ -15,30 +15,30 @@
     return this.record;
   }
 
-  /** The record as text, empty when none is known. */
+  /** The record as JSON; empty when none is known. */
   get currentText(): string {
     return this.text;
   }
 
-  /** Calls back after each change. */
+  /** Registers a listener that is called after each change. */
   onChange(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Takes a record as text; true when it was newer. */
+  /** Adopts a JSON record if it is newer than the current one; returns whether it was. */
   offerText(text: string, source: string): boolean {
     const record = text === '' ? undefined : decodeMemberRecord(text);
     return record !== undefined && this.offer(record, source);
   }
 
-  /** Takes a record; true when it was newer. */
+  /** Adopts a record if it is newer than the current one; returns whether it was. */
   offer(record: MemberRecord, source: string): boolean {
     if (this.record !== undefined && record.epoch <= this.record.epoch) {
       return false;
     }
     this.record = record;
     this.text = encodeMemberRecord(record);
-    this.runtime.log('info', 'members changed', {
+    this.runtime.log('info', 'membership record changed', {
       event: 'members.changed',
       epoch: record.epoch,
       members: record.members.map((member) => member.id).join(' '),
--- a/src/turns/membership-controller.ts
+++ b/src/turns/membership-controller.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the record of members right: this replica joins it, leaves it when operators empty its
- * machine, and takes out members that are gone. Only compare-and-swap on the stored record decides.
+ * Maintains the membership record: a replica joins it, leaves it when operators retire its machine, and removes members
+ * that have gone silent. Changes take effect only through compare-and-swap on the stored record.
  */
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import { setRepeatingTimer } from '../runtime/runtime.js';
@@ -23,7 +23,7 @@
 import type { ReplicaSync } from './replica-sync.js';
 import { RetirementReporter } from './retirement-reporter.js';
 
-/** What the keeper is made with. */
+/** Dependencies of a {@link MembershipController}. */
 export interface MembershipControllerOptions {
   readonly self: Member;
   readonly runtime: Runtime;
@@ -31,27 +31,28 @@
   readonly sync: ReplicaSync;
   readonly directory: MemberDirectory;
   readonly store: MembershipStore;
-  /** Members that the record is to name; others stand by. */
+  /** Target number of members; further replicas remain standbys. */
   readonly wantedMembers: number;
   readonly timings: MembershipTimings;
 }
 
+/** Time for which having reached the end of a log counts as caught up, in milliseconds. */
 const CAUGHT_UP_WINDOW_MILLISECONDS = 1_500;
-/** Samples of the log's end that are kept. */
+/** Number of retained samples of the log's end; they must span the caught-up window. */
 const MAXIMUM_LOG_END_SAMPLES = 12;
 
-/** See the head of this file. */
+/** Decides on the membership record at a fixed interval and carries the decisions out. */
 export class MembershipController {
   private readonly cancelTimer: CancelTimer;
   private isChanging = false;
   private readonly logEnds: { readonly at: number; readonly end: number }[] = [];
   private readonly retirementReporter: RetirementReporter;
-  /** Epoch of the older record that the store shows; undefined while it shows the newest known. */
+  /** Epoch of the outdated record that the store returns; undefined while the store returns the newest known one. */
   private olderEpoch: number | undefined;
-  /** Local time since which fewer members are present than wanted; undefined while enough are. */
+  /** Local time since which fewer members than wanted are present, in milliseconds; undefined while enough are. */
   private vacantSince: number | undefined;
   private readonly waitLog: MembershipWaitLog;
-  /** End of the log when the record in force became known. */
+  /** End of the log when the current record became known. */
   private epochLogEnd = 0;
 
   constructor(private readonly options: MembershipControllerOptions) {
@@ -65,7 +66,7 @@
     );
   }
 
-  /** Takes one decision and carries it out. */
+  /** Makes one decision and carries it out. */
   step(): void {
     const { store, directory } = this.options;
     this.sampleLogEnd();
@@ -78,7 +79,7 @@
       directory.offer(record, 'store');
     }
     if ((record?.epoch ?? 0) < (directory.current?.epoch ?? 0)) {
-      // The store shows what was true earlier: nothing may be concluded from that.
+      // The store returned a stale record: no decision may be based on it.
       this.logOlderRecord(record);
       return;
     }
@@ -92,7 +93,7 @@
     }
   }
 
-  /** Stops taking decisions. */
+  /** Stops making decisions. */
   close(): void {
     this.cancelTimer();
   }
@@ -115,7 +116,7 @@
     };
   }
 
-  /** Since this replica noticed it, or since the silence of a member that is gone made it vacant. */
+  /** Duration of a vacancy: since this replica noticed it, or since a silent member passed the removal threshold. */
   private vacantMilliseconds(record: MemberRecord | undefined): number {
     const { runtime, sync, timings, self: own } = this.options;
     const silences = (record?.members ?? [])
@@ -125,14 +126,14 @@
   }
 
   /**
-   * End of the log up to which others must have read it: all that was taken under earlier members, since
-   * nothing is acknowledged under those any more, and what was taken up to a little while ago.
+   * Position up to which other members must have read this replica's log: everything written under earlier records,
+   * under which no more writes are acknowledged, and everything written before the caught-up window.
    */
   private logEndToRead(): number {
     return Math.max(this.earlierLogEnd(), this.epochLogEnd);
   }
 
-  /** End of the log a little while ago: those that read it always stand behind its end now. */
+  /** End of the log at the start of the caught-up window; readers always lag behind the current end. */
   private earlierLogEnd(): number {
     const since = this.options.runtime.now() - CAUGHT_UP_WINDOW_MILLISECONDS;
     return this.logEnds.findLast((sample) => sample.at <= since)?.end ?? Infinity;
@@ -162,11 +163,11 @@
       this.olderEpoch = epoch;
       const known = this.options.directory.current?.epoch ?? 0;
       const fields = { event: 'members.older', epoch, known };
-      this.options.runtime.log('warn', 'the store shows an older record of members', fields);
+      this.options.runtime.log('warn', 'the store returned an older membership record', fields);
     }
   }
 
-  /** Out of the record, others no longer write here: the state must be made complete again. */
+  /** Once removed from the record, this replica receives no more writes, so its state is incomplete from then on. */
   private markIncompleteIfRemoved(record: MemberRecord | undefined): void {
     const { self: own, replica } = this.options;
     if (record !== undefined && !hasMember(record, own.id) && replica.ready) {
@@ -182,7 +183,10 @@
     } else if (this.vacantSince === undefined) {
       this.vacantSince = runtime.now();
       const fields = { epoch: record.epoch, present, wantedMembers };
-      runtime.log('info', 'a member is wanted', { event: 'members.vacant', ...fields });
+      runtime.log('info', 'fewer members present than wanted', {
+        event: 'members.vacant',
+        ...fields,
+      });
     }
   }
 
@@ -207,7 +211,7 @@
     }
   }
 
-  /** Adds this replica, once its disk says under which token. */
+  /** Adds this replica to the record once its join token is durable. */
   private join(tag: 'Create' | 'Join', record: MemberRecord | undefined, revision: number): void {
     const { self: own, replica } = this.options;
     this.isChanging = true;
@@ -232,7 +236,7 @@
     store.swapRecord(revision, encodeMemberRecord(record), (swapped) => {
       this.isChanging = false;
       const fields = { event: 'members.swap', epoch: record.epoch, reason, swapped };
-      runtime.log('info', 'change of members tried', fields);
+      runtime.log('info', 'membership record swap attempted', fields);
       if (swapped) {
         directory.offer(record, 'own change');
         done();
--- a/src/turns/membership-store.ts
+++ b/src/turns/membership-store.ts
@@ -1,19 +1,19 @@
-/** The port to where the record of members is stored and operators say which machines to empty. */
+/** The port to the store of the membership record and of the operators' retirement requests. */
 
-/** The record where all processes find it. */
+/** The membership record as last read from the store. */
 export type StoredRecord =
-  /** Nothing was read yet. */
+  /** The store has not been read yet. */
   | { readonly tag: 'Unknown' }
   | { readonly tag: 'Absent' }
   | { readonly tag: 'Present'; readonly text: string; readonly revision: number };
 
-/** See the head of this file. */
+/** Reads and swaps the membership record and reports on retirements. */
 export interface MembershipStore {
   readRecord(): StoredRecord;
-  /** Replaces the record if its revision is still the expected one; 0 when there must be none. */
+  /** Compare-and-swap: replaces the record if its revision is the expected one; 0 expects that there is none. */
   swapRecord(expectedRevision: number, text: string, done: (swapped: boolean) => void): void;
-  /** Names of machines that are to be emptied. */
+  /** Names of the machines that operators are retiring. */
   retiringNodes(): ReadonlySet<string>;
-  /** Tells operators how far the emptying of this machine is. */
+  /** Publishes whether the retirement of a machine is running or finished. */
   reportRetirement(node: string, finished: boolean, done: (written: boolean) => void): void;
 }
--- a/src/turns/membership-wait-log.ts
+++ b/src/turns/membership-wait-log.ts
@@ -1,6 +1,6 @@
 /**
- * Tells why a replica does nothing about the record of members while that may be wrong: it isn't one of them,
- * or one of them is not heard. Without this nobody sees why a place stays empty.
+ * Logs why a replica leaves the membership record unchanged while the membership is degraded: this replica is not a
+ * member, or a member is silent. Operators see from it why a vacancy isn't filled.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { WaitReason } from './decide-membership.js';
@@ -8,26 +8,26 @@
 import type { Member, MemberRecord } from './membership.js';
 import type { ReplicaSync } from './replica-sync.js';
 
-/** What the log is made with. */
+/** Dependencies of a {@link MembershipWaitLog}. */
 export interface MembershipWaitLogOptions {
   readonly self: Member;
   readonly runtime: Runtime;
   readonly sync: ReplicaSync;
 }
 
-/** Shortest time between two lines, in milliseconds; a reason that lasts is told once. */
+/** Minimum interval between two log entries, in milliseconds; an unchanged reason is logged once. */
 const LOG_INTERVAL_MILLISECONDS = 500;
-/** Silence from which on a member is named, in milliseconds: longer than any call to it may take. */
+/** Silence after which a member is listed, in milliseconds; not shorter than the timeout of a call to it. */
 const REPORTED_SILENCE_MILLISECONDS = 1_000;
 
-/** See the head of this file. */
+/** Rate-limited log of the reasons for which the membership record is left unchanged. */
 export class MembershipWaitLog {
   private lastLogged = '';
   private nextLogAt = -Infinity;
 
   constructor(private readonly options: MembershipWaitLogOptions) {}
 
-  /** Notes what was decided; a line follows when that, or who is silent, has changed. */
+  /** Logs the reason when it, or the set of silent members, has changed. */
   update(reason: WaitReason, record: MemberRecord | undefined): void {
     const { self, runtime } = this.options;
     const now = runtime.now();
@@ -39,7 +39,7 @@
     }
     this.lastLogged = state;
     this.nextLogAt = now + LOG_INTERVAL_MILLISECONDS;
-    runtime.log('info', 'no change of members', {
+    runtime.log('info', 'membership record left unchanged', {
       event: 'members.waits',
       epoch: record?.epoch ?? 0,
       reason,
--- a/src/turns/membership.ts
+++ b/src/turns/membership.ts
@@ -1,43 +1,43 @@
 /**
- * The replicas that keep turns and accounts. The record is changed by compare-and-swap only, one
- * member at a time, so that majorities of neighbouring epochs always share a replica.
+ * The membership record: the replicas that store turns and accounts. It is changed only by compare-and-swap and by one
+ * member at a time, so that majorities of consecutive epochs always overlap.
  */
 import { isLeft } from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
 
-/** One replica. */
+/** One replica in the membership record. */
 export interface Member {
-  /** Unique to a machine at an address; an empty machine at another address is another member. */
+  /** Identifies a machine at an address; the same machine at another address is another member. */
   readonly id: string;
-  /** Name of the machine, as operators call it. */
+  /** The operators' name of the machine. */
   readonly node: string;
   readonly host: string;
   readonly port: number;
   readonly zone: string;
   /**
-   * Stands on this replica's disk as well for as long as it has acknowledged nothing as a member: a disk
-   * that is empty because it is new is told from one that is empty because it was lost.
+   * Also stored on the replica's disk while the replica has acknowledged nothing as a member. This distinguishes a new
+   * disk from one that was lost: only the new one holds the token.
    */
   readonly joinToken?: JoinToken | undefined;
 }
 
-/** Names one joining of one replica. */
+/** Identifies one join of one replica. */
 export type JoinToken = string & { readonly brand: 'JoinToken' };
 
-/** The members of one epoch. Fields that a newer build has added stay in it, whoever changes the record. */
+/** The members of one epoch. Unknown fields, added by newer builds, are preserved when the record is changed. */
 export interface MemberRecord {
-  /** Rises by one with each change. */
+  /** Incremented by each change. */
   readonly epoch: number;
   readonly members: readonly Member[];
 }
 
-/** Fewest members that a record is to name. */
+/** Minimum target number of members. */
 export const MINIMUM_MEMBERS = 3;
 
 /**
- * Members that are needed so that a majority is left, and with it every acknowledged write, when
- * `lossCount` of them are lost at once. More would make each write and each levelling dearer and bear
- * no more losses: further replicas stand by.
+ * Number of members required so that a majority, and with it every acknowledged write, survives the simultaneous loss
+ * of `lossCount` of them. More members would make writes and replication more expensive without tolerating more losses;
+ * further replicas remain standbys.
  */
 export function membersToTolerate(lossCount: number): number {
   return Math.max(MINIMUM_MEMBERS, 2 * lossCount + 1);
@@ -61,7 +61,7 @@
   ),
 });
 
-/** Replicas that must acknowledge a write. */
+/** Number of members that must acknowledge a write. */
 export function majorityOf(record: MemberRecord): number {
   return majorityOfCount(record.members.length);
 }
@@ -70,49 +70,50 @@
   return Math.floor(count / 2) + 1;
 }
 
-/** Replicas to read from so that one of them has seen every acknowledged write. */
+/** Number of members to read from so that at least one of them holds any given acknowledged write. */
 export function readQuorumOf(record: MemberRecord): number {
   return record.members.length - majorityOf(record) + 1;
 }
 
-/** The same when the record before had a member more, as far as a record of this size can have as many. */
+/** The read quorum of a preceding record with one more member, capped at the size of this record. */
 export function readQuorumOfPreviousRecord({ members }: MemberRecord): number {
   const previousCount = members.length + 1;
   return Math.min(members.length, previousCount - majorityOfCount(previousCount) + 1);
 }
 
 /**
- * Complete replicas to read from so that one of them has every acknowledged write, when so many members
- * may ever have acknowledged one. Of these a majority at least has each write: acknowledgements by a
- * majority of all members come from them alone, and who becomes complete has read from enough of them.
+ * Number of complete members that a recovering replica must read from so that at least one of them holds any given
+ * acknowledged write, when `acknowledgers` members may ever have acknowledged one. Each write is held by a majority of
+ * the acknowledgers: a majority of all members consists of acknowledgers only, and members that become complete have
+ * read from enough of them.
  */
 export function recoveryReadQuorum(acknowledgers: number): number {
   return acknowledgers === 0 ? 0 : acknowledgers - majorityOfCount(acknowledgers) + 1;
 }
 
-/** The record with one member more. */
+/** Returns the next record, with a member added. */
 export function withMember(record: MemberRecord | undefined, member: Member): MemberRecord {
   const members = [...(record?.members ?? []), member];
   return { ...record, epoch: (record?.epoch ?? 0) + 1, members };
 }
 
-/** The record with one member fewer. */
+/** Returns the next record, with a member removed. */
 export function withoutMember(record: MemberRecord, id: string): MemberRecord {
   const members = record.members.filter((member) => member.id !== id);
   return { ...record, epoch: record.epoch + 1, members };
 }
 
-/** Whether a member is in the record. */
+/** Whether the record names a member; false when there is no record. */
 export function hasMember(record: MemberRecord | undefined, id: string): boolean {
   return record?.members.some((member) => member.id === id) ?? false;
 }
 
-/** The record as text. */
+/** Encodes a record as JSON. */
 export function encodeMemberRecord(record: MemberRecord): string {
   return JSON.stringify(record);
 }
 
-/** The record of a text; undefined when the text is none. */
+/** Decodes a JSON record; undefined when the text is malformed. */
 export function decodeMemberRecord(text: string): MemberRecord | undefined {
   try {
     const decoded = MemberRecordType.decode(JSON.parse(text));
--- a/src/turns/memory-turn-storage.ts
+++ b/src/turns/memory-turn-storage.ts
@@ -1,8 +1,8 @@
-/** Storage of a replica that lasts as long as the process: for stand-ins and tests. */
+/** Volatile replica storage for stand-ins and tests. */
 import type { Runtime } from '../runtime/runtime.js';
 import type { StorageChange, TurnStorage } from './turn-storage.js';
 
-/** See the head of this file. */
+/** Acknowledges writes without persisting them. */
 export class MemoryTurnStorage implements TurnStorage {
   constructor(private readonly runtime: Runtime) {}
 
--- a/src/turns/messages.ts
+++ b/src/turns/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between gateways and replicas, and among replicas, on framed TCP connections. */
+/** Messages between gateways and replicas, and among replicas, sent over framed TCP connections. */
 import * as r from 'restructure';
 import {
   count,
@@ -20,22 +20,22 @@
 import type { SilenceReport } from './silence-tracker.js';
 import type { QuotaDecision, TenantQuota } from './quota-buckets.js';
 
-/** How a replica took a request. */
+/** The outcome of a request at one replica. */
 export type ReplicaOutcome =
-  /** Done, and on disk. */
+  /** Done, and durable. */
   | 'done'
-  /** The sender's epoch is older: a `members` message with the newest record went ahead. */
+  /** The sender's epoch is older; a `members` message with the newest record was sent before the reply. */
   | 'staleEpoch'
   /** This replica is not a member. */
   | 'inactive'
-  /** Its disk refused. */
+  /** The replica's disk rejected the write. */
   | 'diskFailed'
-  /** It is a member, and its state is not complete yet. */
+  /** The replica is a member, but its state is incomplete. */
   | 'incomplete'
-  /** It knows only an older epoch than the sender does. */
+  /** The replica only knows an epoch older than the sender's. */
   | 'olderEpoch';
 
-/** All outcomes, in the order of the wire format; append only. */
+/** All outcomes; the index is the wire format, so the list is append-only. */
 export const REPLICA_OUTCOMES: readonly ReplicaOutcome[] = [
   'done',
   'staleEpoch',
@@ -45,38 +45,38 @@
   'olderEpoch',
 ];
 
-/** What a replica knows of a chain of turns. */
+/** The result of looking up a chain of turns at one replica. */
 export type ChainState =
-  /** The whole chain is here. */
+  /** The replica holds the whole chain. */
   | 'found'
-  /** The turn itself is not here, and every write this replica acknowledged is. */
+  /** The replica lacks the turn and holds every write that it ever acknowledged. */
   | 'missing'
-  /** It can't be told from here. */
+  /** The replica cannot tell whether the chain exists. */
   | 'unsure';
 
-/** All chain states, in the order of the wire format; append only. */
+/** All chain states; the index is the wire format, so the list is append-only. */
 export const CHAIN_STATES: readonly ChainState[] = ['found', 'missing', 'unsure'];
 
-/** A reservation with its program. */
+/** A reservation together with the program whose account it belongs to. */
 export interface AccountEntry extends Reservation {
   readonly program: string;
 }
 
-/** Requests; each is answered by the reply with the same `call`. */
+/** Requests; the reply to each has the same `call`. */
 export type ReplicaRequest =
   | { type: 'reserve'; call: number; epoch: number; entry: AccountEntry }
   | { type: 'keep'; call: number; epoch: number; turn: ConversationTurn }
-  /** Asks whether the replica is there: the turn never exists. */
+  /** Reads a chain of turns; with an empty `turn`, a probe whose reply announces the replica's message kinds. */
   | { type: 'chain'; call: number; turn: string }
   | { type: 'pull'; call: number; from: string; members: string; log: string; after: number }
   | { type: 'fetch'; call: number; turns: string[] }
-  /** Asks for the reservations with these digests. */
+  /** Reads the reservations with the given digests. */
   | { type: 'readEntries'; call: number; digests: Buffer }
-  /** Asks for a chain of turns; a turn is denied only by who knows the same members as the sender. */
+  /** Reads a chain of turns; the reply is `missing` only if the replica knows the same epoch as the sender. */
   | { type: 'chainUnder'; call: number; epoch: number; turn: string }
-  /** Asks a member how long it has not heard the others. */
+  /** Asks a member for how long each other member has been silent. */
   | { type: 'askSilences'; call: number }
-  /** Asks whether one request of a tenant may run. */
+  /** Asks whether one request of a tenant may run within its quota. */
   | {
       type: 'spend';
       call: number;
@@ -92,33 +92,33 @@
   | { type: 'account'; call: number; outcome: ReplicaOutcome; entries: AccountEntry[] }
   | { type: 'chained'; call: number; state: ChainState; body: Buffer }
   | {
-      /** `pulledFresh` says besides that this replica has acknowledged nothing as the member it is. */
+      /** `pulledFresh` additionally states that the replica has acknowledged nothing as the current member. */
       type: 'pulled' | 'pulledFresh';
       call: number;
       active: boolean;
       epoch: number;
       log: string;
-      /** Where to go on, and where the log ends now. */
+      /** Position to continue from, and the current end of the log. */
       next: number;
       end: number;
-      /** Digests of reservations one behind the other, see `ReservationDigests`. */
+      /** Concatenated digests of reservations, see `ReservationDigests`. */
       digests: Buffer;
       turns: string[];
     }
   | { type: 'fetched'; call: number; turns: ConversationTurn[] }
   | { type: 'entriesRead'; call: number; entries: AccountEntry[] }
-  /** The request is of a kind that this build doesn't know: it was not taken. */
+  /** The request is of a kind that this build does not know, and was ignored. */
   | { type: 'notKnown'; call: number }
   | { type: 'silencesTold'; call: number; from: string; words: SilenceReport[] }
   | ({ type: 'spent'; call: number; outcome: ReplicaOutcome } & QuotaDecision);
 
-/** A newer record of the members; either side sends it whenever the other may not know it. */
+/** A membership record; either side sends it when the other may not know it yet. */
 export interface MembersMessage {
   type: 'members';
   record: string;
 }
 
-/** What a turn handed out; nobody waits for it. */
+/** The settlement of a reservation, sent without waiting for a reply. */
 export interface SettleMessage {
   type: 'settle';
   entry: AccountEntry;
@@ -127,13 +127,13 @@
 /** Messages without a reply. */
 export type OneWayMessage = MembersMessage | SettleMessage;
 
-/** All messages. */
+/** Any message between gateways and replicas. */
 export type ReplicaMessage = ReplicaRequest | ReplicaReply | OneWayMessage;
 
 const bytes: r.Field = new r.Buffer(r.uint32);
 const OPEN = -1;
 
-/** `usedTokens` travels as -1 while it is open. */
+/** Codec of an account entry; `usedTokens` is encoded as -1 while the reservation is open. */
 class ReservationField implements r.Field {
   private readonly inner = record({ program: shortText, turn: shortText, most: real, used: real });
 
@@ -162,9 +162,9 @@
   return { program, turn, most: mostTokens, used: usedTokens ?? OPEN };
 }
 
-/** An entry of an account, on the wire and on disk. */
+/** Codec of an account entry, on the wire and on disk. */
 export const accountEntryField: r.Field = new ReservationField();
-/** A kept turn, on the wire and on disk. */
+/** Codec of a conversation turn, on the wire and on disk. */
 export const conversationTurnField: r.Field = record({
   id: shortText,
   previous: shortText,
@@ -194,9 +194,9 @@
 };
 
 /**
- * Append only: a branch's place is its number on the wire. Each one that is added begins with `call`, 0 where
- * nothing is answered, so that a build that doesn't know it can say so. What a message carries besides goes into
- * sections behind it.
+ * Append-only: the index of a branch is its kind number on the wire. Each new branch starts with `call`, 0 where no
+ * reply is expected, so that a build that does not know the kind can reply `notKnown`. Additional data of an existing
+ * message goes into sections appended to it.
  */
 const BRANCHES: readonly UnionBranch[] = [
   { type: 'reserve', fields: { call: count, epoch: count, entry: accountEntryField } },
@@ -238,31 +238,31 @@
 ];
 const message = new TaggedUnion(BRANCHES);
 
-/** Names of all kinds, in the order of their numbers. */
+/** Names of all message kinds, indexed by kind number. */
 export const REPLICA_MESSAGE_KINDS: readonly string[] = BRANCHES.map(({ type }) => type);
 
-/** Number of a message's kind. */
+/** Returns the kind number of a message. */
 export function messageKindOf(value: { readonly type: string }): number {
   return message.numberOf(value);
 }
 
-/** Encodes a message without its frame. */
+/** Encodes a message without framing. */
 export function encodeReplicaMessage(value: ReplicaMessage): Uint8Array {
   return encodeField(message, value);
 }
 
-/** A message of a kind that only newer builds know. */
+/** A message of a kind that this build does not know. */
 export interface UnknownMessage {
   readonly type: 'unknown';
   readonly kind: number;
-  /** Its call; 0 where nobody waits for a reply. */
+  /** The message's call number; 0 where no reply is expected. */
   readonly call: number;
 }
 
 const KIND_BYTES = 1;
 const CALL_BYTES = 4;
 
-/** Decodes the content of a frame. Throws on bytes that are no message of any build. */
+/** Decodes the content of a frame. Throws if the bytes are not a valid message. */
 export function decodeReplicaMessage(content: Buffer): ReplicaMessage | UnknownMessage {
   try {
     return decodeGrown(message, content).value as ReplicaMessage;
--- a/src/turns/protocol-negotiation.ts
+++ b/src/turns/protocol-negotiation.ts
@@ -1,27 +1,27 @@
 /**
- * Which kinds of messages the process at the other end of a connection reads. Kinds are append only, so their
- * number says all. A replica tells it in the reply to the question whether it is there, which every build
- * understands; it holds for one connection, since a process that begins again with another build needs a new one.
+ * Negotiation of the message kinds that the peer of a connection can decode. Kinds are append-only, so their count
+ * suffices. A replica announces its count in the reply to the presence probe, which every build understands. The count
+ * is valid for one connection, since a process restarted with another build needs a new connection.
  */
 import { decodeSections, encodeSections } from '../wire/sections.js';
 import { REPLICA_MESSAGE_KINDS } from './messages.js';
 import type { ReplicaReply, ReplicaRequest } from './messages.js';
 
-/** Kinds that every build reads which this one may meet. */
+/** Number of message kinds that every supported build can decode. */
 export const BASELINE_KIND_COUNT = REPLICA_MESSAGE_KINDS.indexOf('askSilences');
-/** Kinds of builds that read the newest question of that time, and tell nothing of it. */
+/** Number of message kinds of builds that decode `chainUnder` but do not announce their count. */
 export const UNANNOUNCED_KIND_COUNT = REPLICA_MESSAGE_KINDS.indexOf('notKnown');
 
-/** Section that holds the number of kinds; append only. */
+/** Kind of the section that holds the message kind count; section kinds are append-only. */
 const KIND_COUNT_SECTION = 1;
 
-/** What a replica tells of itself. */
+/** Encodes this build's message kind count as the body of a probe's reply. */
 export function encodeKindCount(): Buffer {
   const content = Uint8Array.of(REPLICA_MESSAGE_KINDS.length);
   return Buffer.from(encodeSections([{ kind: KIND_COUNT_SECTION, content }]));
 }
 
-/** Number of kinds that a reply tells; undefined when it tells none. */
+/** Returns the message kind count announced in a probe's reply; undefined when it announces none. */
 export function decodeKindCount(reply: ReplicaReply | undefined): number | undefined {
   if (reply?.type !== 'chained') {
     return undefined;
@@ -30,19 +30,19 @@
     const sections = decodeSections(reply.body);
     return sections.find(({ kind }) => kind === KIND_COUNT_SECTION)?.content[0];
   } catch {
-    // No build tells this: the sender's kinds stay unknown.
+    // The body is malformed, so the peer's kinds remain unknown.
     return undefined;
   }
 }
 
-/** The form of a request for builds that don't know its kind; undefined when there is none. */
+/** Returns an equivalent request for builds that do not know this kind; undefined when there is none. */
 export function fallbackRequestOf(request: ReplicaRequest): ReplicaRequest | undefined {
   return request.type === 'chainUnder'
     ? { type: 'chain', call: request.call, turn: request.turn }
     : undefined;
 }
 
-/** The reply to an older form, as far as it answers the request: who wasn't told the members denies nothing. */
+/** Adapts the reply to a fallback request: `missing` becomes `unsure`, as the request did not carry the epoch. */
 export function adaptFallbackReply(reply: ReplicaReply): ReplicaReply {
   const isDenial = reply.type === 'chained' && reply.state === 'missing';
   return isDenial ? { ...reply, state: 'unsure' } : reply;
--- a/src/turns/protocol-probe.ts
+++ b/src/turns/protocol-probe.ts
@@ -1,6 +1,6 @@
 /**
- * Asks a replica of a build that tells nothing of itself for the newest kind of that time, on a connection of its
- * own: builds that don't know a kind end the connection it came on, and this one carries nothing else.
+ * Probes a replica that does not announce its message kind count by sending a `chainUnder` request. The probe uses its
+ * own connection, because builds that do not know a kind close the connection on which it arrives.
  */
 import { connect } from 'node:net';
 import type { Runtime } from '../runtime/runtime.js';
@@ -9,12 +9,12 @@
 import { encodeReplicaMessage } from './messages.js';
 import { BASELINE_KIND_COUNT, UNANNOUNCED_KIND_COUNT } from './protocol-negotiation.js';
 
-/** Longest wait for either end, in milliseconds: below the silence after which a replica counts as out of reach. */
+/** Timeout of the probe, in milliseconds; shorter than the silence after which a replica counts as unreachable. */
 const PROBE_TIMEOUT_MILLISECONDS = 200;
-/** The turn never exists: the question changes nothing. */
+/** The turn never exists, so the request has no side effects. */
 const PROBE_REQUEST = { type: 'chainUnder', call: 1, epoch: 0, turn: '' } as const;
 
-/** Calls back with the number of kinds that are read; undefined when it can't be told now. */
+/** Calls back with the number of message kinds that the replica can decode; undefined when the probe failed. */
 export function probeKindCount(
   member: Member,
   runtime: Runtime,
@@ -36,8 +36,8 @@
   socket.on('close', () => {
     cancelTimer();
     const fields = { event: 'replica.forms', member: member.id, kinds: kinds ?? 0 };
-    const found = kinds === undefined ? 'could not be tried' : 'was tried';
-    runtime.log('info', `a replica tells nothing of its build, which ${found}`, fields);
+    const found = kinds === undefined ? 'failed' : 'completed';
+    runtime.log('info', `replica does not announce its message kinds, probe ${found}`, fields);
     done(kinds);
   });
 }
--- a/src/turns/quorum-write.ts
+++ b/src/turns/quorum-write.ts
@@ -1,7 +1,7 @@
 /**
- * Writes to the replicas of one epoch until a majority has acknowledged. One replica more than a
- * majority is asked first, by rendezvous hashing of the key, so that the others of a large group learn
- * it by levelling, in batches; they are asked too when one refuses or is slow.
+ * Writes to the replicas of one epoch until a majority has acknowledged. The write is first sent to one replica more
+ * than a majority, chosen by rendezvous hashing of the key; the other replicas of a large group receive it by batched
+ * replication. They are written to directly when a replica rejects the write or is slow.
  */
 import { hashToNumber } from '../runtime/hashing.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -10,29 +10,29 @@
 import type { ReplicaOutcome, ReplicaReply } from './messages.js';
 import type { ReplicaCaller, UnnumberedRequest } from './replica-caller.js';
 
-/** Time after which the replicas left out are asked as well, in milliseconds. */
+/** Time after which the write is also sent to the remaining replicas, in milliseconds. */
 const HEDGE_MILLISECONDS = 60;
-/** Replicas asked first beyond the majority. */
+/** Number of replicas beyond the majority in the first round. */
 const SPARE_REPLICAS = 1;
 
-/** One write. */
+/** The parameters of one quorum write. */
 export interface QuorumWriteRequest {
   readonly record: MemberRecord;
   readonly request: UnnumberedRequest;
-  /** Writes with the same key go to the same replicas first. */
+  /** Determines the order of the replicas: writes with the same key go to the same replicas first. */
   readonly key: string;
   readonly timeoutMilliseconds: number;
-  /** Told what the members said when no majority acknowledged. */
+  /** Called with the outcome at each member when no majority acknowledged. */
   readonly onFailed?: (outcomes: MemberOutcomes) => void;
 }
 
-/** How a member took a write; `none` while it has not answered, or when it did not. */
+/** The outcome of a write at one member; `none` while there is no reply, or when the call failed. */
 export type MemberOutcome = ReplicaOutcome | 'none';
 
-/** What each member that was asked said last. */
+/** The latest outcome at each member that the write was sent to. */
 export type MemberOutcomes = ReadonlyMap<Member, MemberOutcome>;
 
-/** Members in the order in which they are asked for a key. */
+/** Returns the members in the order in which writes with a key are sent to them. */
 export function membersForKey(record: MemberRecord, key: string): Member[] {
   const weight = (member: Member): number => hashToNumber(`${key} ${member.id}`);
   return [...record.members].sort((left, right) => weight(right) - weight(left));
@@ -114,7 +114,7 @@
   }
 }
 
-/** Starts a write; calls back once with a majority's replies, or undefined when there is none. */
+/** Starts a write; calls back once, with the replies of a majority or with undefined when none was reached. */
 export function writeToQuorum(
   runtime: Runtime,
   caller: ReplicaCaller,
--- a/src/turns/quota-buckets.ts
+++ b/src/turns/quota-buckets.ts
@@ -1,83 +1,83 @@
 /**
- * A replica's part of the tenants' quotas. Each member of the record gives out an equal share of each
- * tenant's rate, so what all give out together is the rate, whoever asks and whatever is cut off from
- * whom. A program is let in as a whole: it is charged with the requests that such a program is expected
- * to need, and its further requests need only what is left of the rate itself.
+ * A replica's share of the tenants' quotas, as token buckets. Each member grants an equal share of each tenant's rate,
+ * so the grants of all members add up to the rate regardless of network partitions. A program is admitted as a whole:
+ * its first request reserves the number of requests that such a program is expected to need, and its further
+ * requests only need tokens from the bucket.
  */
 
-/** Limit of a tenant as a gateway knows it. */
+/** A tenant's rate limit as known to the requesting gateway. */
 export interface TenantQuota {
   readonly tenant: string;
-  /** Version of the configuration it stands in: the newest one counts. */
+  /** Version of the configuration that contains the limit; the newest one applies. */
   readonly version: number;
   readonly ratePerSecond: number;
   readonly burst: number;
 }
 
 /**
- * What the platform lets all members together give out beyond a tenant's limit in one window. Most of it
- * is used up by what can't be helped: a member that is out of the record goes on for a moment.
+ * The amount by which all members together may exceed a tenant's limit in one window. Part of it is held back for
+ * members that keep granting for a moment after their removal from the record.
  */
 export interface QuotaAllowance {
-  /** Part of the rate, such as 0.1. */
+  /** Fraction of the rate, such as 0.1. */
   readonly overshoot: number;
-  /** Requests. */
+  /** Absolute number of requests. */
   readonly slack: number;
 }
 
 /** Whether a request may run. */
 export interface QuotaDecision {
   readonly granted: boolean;
-  /** Granted: time after which it may run; else time until there is room here again; in milliseconds. */
+  /** When granted, the time until the request may run; otherwise the time until tokens are available. Milliseconds. */
   readonly waitMilliseconds: number;
 }
 
 const MILLISECONDS_IN_SECOND = 1_000;
-/** Part of the overshoot that is given out; 0.06 of a rate is kept for a member that was taken out. */
+/** Fraction of the overshoot that is granted; the rest is held back for members that were removed from the record. */
 const OVERSHOOT_SHARE_GRANTED = 0.4;
-/** Part of the slack that is given out, so that few programs at once don't exceed a small limit. */
+/** Fraction of the slack that is granted, so that a few concurrent programs do not exceed a small limit. */
 const SLACK_SHARE_GRANTED = 0.8;
 /**
- * Programs that a limit must hold in one window for them to be counted as wholes: where it holds fewer,
- * more are refused by that than are broken off without it.
+ * Number of programs that a limit must fit in one window for programs to be admitted as a whole. Below that, whole
+ * admission rejects more programs than it saves from being cut off midway.
  */
 const MINIMUM_PROGRAMS = 4;
-/** Window over which that is told, in seconds. */
+/** Window in which programs are counted, in seconds. */
 const WINDOW_SECONDS = 5;
-/** Time over which a program's requests come, in seconds: what is promised may exceed what is there by so much. */
+/** Time over which a program spreads its requests, in seconds; reservations may exceed the bucket by this much rate. */
 const RESERVATION_SECONDS = 2;
-/** Time without a request after which a tenant is forgotten, in milliseconds: any bucket is full by then. */
+/** Idle time after which a tenant's bucket may be evicted, in milliseconds; buckets are full by then. */
 const IDLE_TENANT_MILLISECONDS = 60_000;
-/** Tenants beyond which idle ones are looked for. */
+/** Number of tenants from which on idle ones are evicted. */
 const IDLE_SWEEP_THRESHOLD = 256;
 
 interface Bucket {
   version: number;
   ratePerSecond: number;
   capacity: number;
-  /** Requests that may run now. */
+  /** Number of requests that may run now. */
   tokens: number;
-  /** The same, less what the programs that were let in are expected to need. */
+  /** Tokens not reserved for the expected requests of admitted programs. */
   unreserved: number;
   filledAt: number;
 }
 
-/** See the head of this file. */
+/** Grants requests from one token bucket per tenant. */
 export class QuotaBuckets {
   private readonly buckets = new Map<string, Bucket>();
 
   constructor(
-    /** Local time since which this replica gives out tokens, in milliseconds: it remembers none before. */
+    /** Local time at which new buckets start filling from empty, in milliseconds; earlier grants are unknown. */
     private readonly startedAt: number,
     private readonly allowance: QuotaAllowance = NO_ALLOWANCE,
   ) {}
 
   /**
    * Decides on one request.
-   * @param share part of the rate that is given out here, 0 to 1
-   * @param beginsRequests requests that the program is expected to need which begins with it; 0 for a
-   *   request of a program under way
-   * @param patienceMilliseconds time for which it may be held: it is then granted ahead of what comes in
+   * @param share fraction of the rate that this replica grants, 0 to 1
+   * @param beginsRequests number of requests that the program is expected to need, if this is its first one; 0 for a
+   *   request of a running program
+   * @param patienceMilliseconds time for which the request may wait; tokens are then taken in advance
    */
   take(
     quota: TenantQuota,
@@ -144,7 +144,7 @@
   return { ...unlimited, tokens: 0, unreserved: 0, filledAt };
 }
 
-/** Whether a limit has room for several programs, each taking so many requests of this member's share. */
+/** Whether a bucket fits several programs per window, each with the given number of requests at this member. */
 function fitsSeveralPrograms({ ratePerSecond, capacity }: Bucket, requestsHere: number): boolean {
   return requestsHere * MINIMUM_PROGRAMS <= ratePerSecond * WINDOW_SECONDS + capacity;
 }
--- a/src/turns/quota-client.ts
+++ b/src/turns/quota-client.ts
@@ -1,8 +1,8 @@
 /**
- * A gateway's side of the tenants' quotas: asks one replica whether a request may run, and the next
- * ones when that one has nothing left to give or doesn't answer. Each member gives out its own share,
- * so one grant is enough; what a member has refused is remembered until it has room again. A request
- * that may be held takes the next place of the member that has room soonest.
+ * The gateway's side of the tenants' quotas: asks one member whether a request may run, and further members when that
+ * one has exhausted its share or does not reply. Each member grants its own share, so a single grant suffices. A
+ * refusal is remembered until the member has tokens again. A request that may wait is queued at the member with the
+ * shortest wait.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { MemberDirectory } from './member-directory.js';
@@ -11,58 +11,59 @@
 import type { TenantQuota } from './quota-buckets.js';
 import type { ReplicaCaller } from './replica-caller.js';
 
-/** How asking ended. */
+/** The outcome of a quota request. */
 export type QuotaOutcome =
   | { readonly tag: 'Granted' }
-  /** Every member that answered has given out its share. */
+  /** Every member that replied has exhausted its share. */
   | { readonly tag: 'Exhausted'; readonly waitMilliseconds: number }
-  /** No member answered. */
+  /** No member replied. */
   | { readonly tag: 'OutOfReach' };
 
-/** What the client is made with. */
+/** Dependencies of a {@link QuotaClient}. */
 export interface QuotaClientOptions {
   readonly runtime: Runtime;
   readonly directory: MemberDirectory;
   readonly caller: ReplicaCaller;
 }
 
-/** Time after which the next member is asked beside one that is slow, in milliseconds. */
+/** Time after which the next member is asked while the previous one has not replied, in milliseconds. */
 const HEDGE_MILLISECONDS = 40;
-/** What is asked. */
+
+/** A request for permission to run one request of a tenant. */
 export interface QuotaRequest {
   readonly quota: TenantQuota;
-  /** Requests that the program is expected to need which begins with this one; 0 for one under way. */
+  /** Number of requests that the program is expected to need, if this is its first one; 0 for a running program. */
   readonly beginsRequests: number;
-  /** Time for which the request may be held, in milliseconds. */
+  /** Time for which the request may wait for its turn, in milliseconds. */
   readonly patienceMilliseconds: number;
 }
 
-/** Refusals that are remembered; beyond, those that are over are dropped. */
+/** Number of remembered refusals from which on expired ones are dropped. */
 const REFUSAL_SWEEP_THRESHOLD = 2_000;
 
-/** A question on its way from member to member. */
+/** The state of one quota request while members are asked. */
 interface SpendAttempt {
   readonly quotaRequest: QuotaRequest;
   readonly record: MemberRecord;
   readonly deadline: number;
   readonly done: (outcome: QuotaOutcome) => void;
   readonly unaskedMembers: Member[];
-  /** Members that refused, with the time until they have room, in milliseconds. */
+  /** Members that refused, with the time until they have tokens again, in milliseconds. */
   readonly refusals: { readonly member: Member; readonly waitMilliseconds: number }[];
   pendingCalls: number;
   finished: boolean;
-  /** Whether the member that has room soonest was asked for its next place. */
+  /** Whether the request was sent to the member with the shortest wait, to be queued there. */
   hasQueued: boolean;
 }
 
-/** See the head of this file. */
+/** Asks the members whether requests may run. */
 export class QuotaClient {
-  /** Local time at which a member has room again, by member, tenant and kind of request. */
+  /** Local time at which a member has tokens again, in milliseconds, keyed by {@link refusalKey}. */
   private readonly refusedUntil = new Map<string, number>();
 
   constructor(private readonly options: QuotaClientOptions) {}
 
-  /** Asks whether one request may run; calls back when it may, or that it may not. */
+  /** Asks whether one request may run; a grant is called back at the time from which the request may run. */
   spend(
     quotaRequest: QuotaRequest,
     timeoutMilliseconds: number,
@@ -83,9 +84,9 @@
       hasQueued: false,
     };
     const attempt: SpendAttempt = {
-      quotaRequest: quotaRequest,
+      quotaRequest,
       record,
-      deadline: deadline,
+      deadline,
       done,
       ...state,
     };
@@ -130,7 +131,7 @@
 
   private ask(attempt: SpendAttempt, member: Member, patienceMilliseconds: number): void {
     const { runtime, caller } = this.options;
-    const { quotaRequest: quotaRequest, record, deadline: deadline } = attempt;
+    const { quotaRequest, record, deadline } = attempt;
     const request = { ...quotaRequest, type: 'spend' as const, epoch: record.epoch };
     attempt.pendingCalls += 1;
     caller.call(member, { ...request, patienceMilliseconds }, deadline - runtime.now(), (reply) => {
@@ -169,7 +170,7 @@
     }
   }
 
-  /** Nobody is left to ask: takes the next place of the member that has room soonest, or gives up. */
+  /** When no member is left to ask, queues at the member with the shortest wait, or reports the outcome. */
   private queueOrFinish(attempt: SpendAttempt, hasTime: boolean): void {
     if (attempt.pendingCalls > 0 && hasTime) {
       return;
@@ -216,7 +217,7 @@
   }
 }
 
-function refusalKey({ quotaRequest: quotaRequest }: SpendAttempt, member: Member): string {
+function refusalKey({ quotaRequest }: SpendAttempt, member: Member): string {
   const { quota, beginsRequests } = quotaRequest;
   const kind = beginsRequests > 0 ? 'program' : 'request';
   return `${member.id} ${kind} ${quota.version} ${quota.tenant}`;
--- a/src/turns/replica-bounds.ts
+++ b/src/turns/replica-bounds.ts
@@ -1,7 +1,8 @@
 /**
- * The bounds of a deployment that replicas answer to, and for each the timers on its worst path added up, with a store
- * and links that are well. docs/design/bounds.md tells the terms; each sum has a scenario in which the last fault comes
- * at that very moment. What is copied and read grows with the state and stands in docs/CAPACITY.md, not here.
+ * The recovery time bounds of a deployment that depend on replicas, and for each the sum of the timers on its worst
+ * path, given a healthy store and network. docs/design/bounds.md explains the terms; each sum has a scenario in which
+ * the last fault strikes at that moment. Copying and reading state takes time proportional to the state; see
+ * docs/CAPACITY.md.
  */
 import { DECLARATION_MILLISECONDS } from './completeness-check.js';
 import {
@@ -24,37 +25,37 @@
   RECONNECT_DELAY_MILLISECONDS,
 } from './tcp-replica-caller.js';
 
-/** Pause before a disk that can't be read is tried again, in milliseconds. */
+/** Delay before reading an unreadable disk is retried, in milliseconds. */
 export const REOPEN_DELAY_MILLISECONDS = 500;
-/** Part of a bound that is left to processes that are late. */
+/** Fraction of a bound that is reserved for delayed processes. */
 const LATENESS_MARGIN = 0.1;
 
-/** What a deployment promises, in milliseconds; infinite where it names no bound. */
+/** The recovery time bounds of a deployment, in milliseconds; infinite where it sets none. */
 export interface ReplicaBounds {
-  /** From its start or its return on, so long after it a machine counts. */
+  /** From the start or return of a machine until it is a complete member. */
   readonly catchUpMilliseconds: number;
-  /** From the return of all machines to service. */
+  /** From the return of all machines until requests are served. */
   readonly recoveryMilliseconds: number;
-  /** From the end of a trouble until machines that are calm are in touch. */
+  /** From the end of a disturbance until unaffected machines are connected. */
   readonly contactMilliseconds: number;
 }
 
-/** A bound that the sum of its timers doesn't fit. */
+/** A bound that is shorter than the sum of its timers plus the margin. */
 export interface UnmetBound {
   readonly promise: 'a machine replaced' | 'a disk replaced' | 'service after a return' | 'contact';
-  /** Milliseconds. */
+  /** The bound, in milliseconds. */
   readonly bound: number;
   /** Sum of the timers on the worst path, in milliseconds. */
   readonly worst: number;
 }
 
 /**
- * From the start of a successor until it stands in the place of the gone one. It is that long when the members
- * begin anew as the successor starts, so that they must notice the silence themselves.
+ * Worst time from the start of a successor until it has replaced the lost member, in milliseconds. It occurs when the
+ * members restart at the same time as the successor, and so have to detect the silence from the beginning.
  */
 export function worstReplacementMilliseconds(
-  { removalMilliseconds, sameZoneDelayMilliseconds: sameZoneDelayMilliseconds }: MembershipTimings,
-  /** Members present in the successor's own zone. */
+  { removalMilliseconds, sameZoneDelayMilliseconds }: MembershipTimings,
+  /** Number of members present in the successor's zone. */
   sameZoneMembers: number,
 ): number {
   const untilVacant =
@@ -67,8 +68,8 @@
 }
 
 /**
- * From the start of a member whose disk was lost until it is complete: it learns the record from who reads its log,
- * one call goes into a dead connection, and its word that it is complete reaches its disk.
+ * Worst time from the start of a member with a lost disk until it is complete, in milliseconds: the member learns the
+ * record from a replica that pulls from it, one call times out on a dead connection, and the ready mark is written.
  */
 export function worstRefillMilliseconds(): number {
   const untilPulled =
@@ -76,19 +77,19 @@
   return untilPulled + CALL_TIMEOUT_MILLISECONDS + DECLARATION_MILLISECONDS + CHANGE_MILLISECONDS;
 }
 
-/** From the end of a trouble until a gateway has its replicas again: a dead connection is given up and made anew. */
+/** Worst time until a gateway reaches its replicas again over a new connection after a disturbance, in milliseconds. */
 export function worstContactMilliseconds(): number {
   const untilConnected =
     SOCKET_SILENCE_MILLISECONDS + RECONNECT_DELAY_MILLISECONDS + CONNECT_TIMEOUT_MILLISECONDS;
   return untilConnected + MEMBER_SILENCE_MILLISECONDS + REACHABILITY_CHECK_MILLISECONDS;
 }
 
-/** From the return of all machines until writes are acknowledged: a disk that opens late, a refill, contact. */
+/** Worst time from the return of all machines until writes are acknowledged, in milliseconds. */
 export function worstRecoveryMilliseconds(): number {
   return REOPEN_DELAY_MILLISECONDS + worstRefillMilliseconds() + worstContactMilliseconds();
 }
 
-/** The bounds that can't be kept in the worst case. */
+/** Returns the bounds that cannot be met in the worst case. */
 export function unmetBounds(bounds: ReplicaBounds, sameZoneMembers: number): readonly UnmetBound[] {
   const { catchUpMilliseconds, recoveryMilliseconds, contactMilliseconds } = bounds;
   const timings = membershipTimingsFor(catchUpMilliseconds);
@@ -106,7 +107,7 @@
   return sums.filter(({ bound, worst }) => worst > bound * (1 - LATENESS_MARGIN));
 }
 
-/** Members present in the zone of a successor at most, besides the gone one whose place it takes. */
+/** Maximum number of members in a successor's zone, not counting the lost one that it replaces. */
 export function maximumSameZoneMembers(wantedMembers: number, zoneCount: number): number {
   return Math.ceil(wantedMembers / Math.max(1, zoneCount)) - 1;
 }
--- a/src/turns/replica-caller.ts
+++ b/src/turns/replica-caller.ts
@@ -1,28 +1,29 @@
-/** Calls from a gateway or a replica to replicas, as the logic sees them. */
+/** The port through which gateways and replicas call replicas. */
 import type { Member } from './membership.js';
 import type { OneWayMessage, ReplicaReply, ReplicaRequest } from './messages.js';
 
-/** A request without its number, which the caller gives. */
+/** A request without its `call` number, which the caller assigns. */
 export type UnnumberedRequest = ReplicaRequest extends infer Request
   ? Request extends ReplicaRequest
     ? Omit<Request, 'call'>
     : never
   : never;
 
-/** Asks whether a replica is there: the turn never exists, so the question changes nothing. */
+/** Checks whether a replica replies. The turn never exists, so the request has no side effects. */
 export const PRESENCE_PROBE: UnnumberedRequest = { type: 'chain', turn: '' };
 
-/** Receives the reply, or undefined when none came: the request may or may not have been taken. */
+/** Receives the reply, or undefined when there was none; the request may or may not have been executed then. */
 export type ReplyListener = (reply: ReplicaReply | undefined) => void;
 
-/** See the head of this file. */
+/** Sends requests and notifications to replicas. */
 export interface ReplicaCaller {
+  /** Sends a request and calls the listener once, with the reply or after the timeout. */
   call(
     member: Member,
     request: UnnumberedRequest,
     timeoutMilliseconds: number,
     listener: ReplyListener,
   ): void;
-  /** Sends something to which nothing comes back. */
+  /** Sends a message that has no reply; delivery is not guaranteed. */
   notify(member: Member, message: OneWayMessage): void;
 }
--- a/src/turns/replica-reachability.ts
+++ b/src/turns/replica-reachability.ts
@@ -1,8 +1,8 @@
 /**
- * Whether this process reaches enough replicas for what needs them. A cut connection says nothing, so
- * a replica counts as silent once a call has waited too long without any reply from it; silent ones
- * are probed until they answer. Requests that need replicas can then be refused at once, and clients
- * be sent to gateways that reach them, instead of each waiting for its own timeout.
+ * Tracks whether this process reaches a majority of the replicas. A network partition raises no error, so a replica
+ * counts as silent when a call has been pending too long without any reply from it; silent replicas are probed until
+ * they reply. Requests that need replicas can then be rejected at once, and clients be redirected to other gateways,
+ * instead of each request waiting for its own timeout.
  */
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import { majorityOf } from './membership.js';
@@ -11,20 +11,20 @@
 import { PRESENCE_PROBE } from './replica-caller.js';
 import type { ReplicaCaller, ReplyListener, UnnumberedRequest } from './replica-caller.js';
 
-/** Time without any reply, while calls wait for one, after which a replica counts as silent. */
+/** Time without any reply, while calls are pending, after which a replica counts as silent, in milliseconds. */
 export const MEMBER_SILENCE_MILLISECONDS = 250;
-/** Pause between looks at the calls that wait, and between probes. */
+/** Interval between checks of the pending calls, and between probes, in milliseconds. */
 export const REACHABILITY_CHECK_MILLISECONDS = 100;
 
-/** What is known of one replica. */
+/** The calls to one replica. */
 interface ReplicaContact {
-  /** Calls that have no reply yet. */
+  /** Number of calls without a reply. */
   pendingCalls: number;
-  /** Local time since which a reply is owed, in milliseconds; undefined when none is. */
+  /** Local time since which a reply has been due, in milliseconds; undefined when no call is pending. */
   dueSince: number | undefined;
 }
 
-/** See the head of this file. Passes all calls on to another caller. */
+/** Forwards all calls to another caller and derives from their replies whether a majority is reachable. */
 export class ReplicaReachability implements ReplicaCaller {
   private readonly contacts = new Map<string, ReplicaContact>();
   private reachable = true;
@@ -34,11 +34,11 @@
     private readonly runtime: Runtime,
     private readonly caller: ReplicaCaller,
     private readonly currentRecord: () => MemberRecord | undefined,
-    /** Told each time that a majority is lost or reached again. */
+    /** Called each time a majority becomes unreachable or reachable again. */
     private readonly onChange: (reachable: boolean) => void = () => undefined,
   ) {}
 
-  /** Whether a majority of the replicas is not silent; true as long as nothing is known of them. */
+  /** Whether a majority of the replicas is not silent; true until shown otherwise. */
   get isReachable(): boolean {
     return this.reachable;
   }
@@ -82,7 +82,7 @@
     });
   }
 
-  /** Compares what is owed with the clock; goes on as long as something is. */
+  /** Updates the reachability and probes silent replicas; repeats while any reply is due. */
   private check(): void {
     const record = this.currentRecord();
     if (record === undefined) {
@@ -98,7 +98,7 @@
   }
 
   private isSilent(member: Member): boolean {
-    const { dueSince: dueSince } = this.contactOf(member);
+    const { dueSince } = this.contactOf(member);
     return dueSince !== undefined && this.runtime.now() - dueSince >= MEMBER_SILENCE_MILLISECONDS;
   }
 
@@ -116,10 +116,10 @@
     const names = silent.map((member) => member.id).join(' ');
     if (reachable) {
       const fields = { event: 'replicas.reached', silent: names };
-      this.runtime.log('info', 'replicas reached', fields);
+      this.runtime.log('info', 'majority of the replicas reachable again', fields);
     } else {
       const fields = { event: 'replicas.lost', silent: names };
-      this.runtime.log('warn', 'replicas out of reach', fields);
+      this.runtime.log('warn', 'majority of the replicas unreachable', fields);
     }
     this.onChange(reachable);
   }
--- a/src/turns/replica-server.ts
+++ b/src/turns/replica-server.ts
@@ -1,4 +1,4 @@
-/** Takes requests to a replica over TCP. */
+/** The TCP server of a replica. */
 import { createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 import type { Runtime } from '../runtime/runtime.js';
@@ -14,15 +14,15 @@
 } from './messages.js';
 import type { Replica } from './replica.js';
 
-/** Bytes of replies that may wait for one caller; a slower one is cut off. */
+/** Maximum number of reply bytes queued for one connection; a connection whose reader is slower is closed. */
 const MAXIMUM_QUEUED_BYTES = 32 * 1024 * 1024;
 const KEEP_ALIVE_MILLISECONDS = 2_000;
 
-/** See the head of this file. */
+/** Accepts connections and passes their requests to a replica. */
 export class ReplicaServer {
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
-  /** Kinds that were told in the log: each once. */
+  /** Unknown message kinds that were already logged. */
   private readonly unknownKinds = new Set<number>();
 
   constructor(
@@ -33,12 +33,12 @@
     this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
 
-  /** Listens; calls back when it does. */
+  /** Starts listening; calls back once the server does. */
   listen(host: string, port: number, done: () => void): void {
     this.server.listen({ host, port }, done);
   }
 
-  /** Closes every connection and stops listening. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     this.sockets.forEach((socket) => socket.destroy());
@@ -57,7 +57,10 @@
           .forEach((content) => this.dispatch(socket, decodeReplicaMessage(content)));
       } catch (cause) {
         const reason = cause instanceof Error ? cause.message : String(cause);
-        this.runtime.log('error', 'unreadable request', { event: 'replica.unreadable', reason });
+        this.runtime.log('error', 'malformed request, connection closed', {
+          event: 'replica.unreadable',
+          reason,
+        });
         socket.destroy();
       }
     });
@@ -79,12 +82,12 @@
     this.replica.handle(message as ReplicaRequest, (reply) => this.send(socket, reply));
   }
 
-  /** Who sends a kind that is not known here is of a newer build, and reads that it is not. */
+  /** Replies that a message's kind is unknown; its sender is of a newer build and understands that reply. */
   private refuseUnknown(socket: Socket, { kind, call }: UnknownMessage): void {
     if (!this.unknownKinds.has(kind)) {
       this.unknownKinds.add(kind);
       const fields = { event: 'replica.unknown', kind };
-      this.runtime.log('warn', 'a request of a kind that this build does not know', fields);
+      this.runtime.log('warn', 'request of an unknown message kind', fields);
     }
     if (call > 0) {
       this.send(socket, { type: 'notKnown', call });
--- a/src/turns/replica-state.ts
+++ b/src/turns/replica-state.ts
@@ -1,4 +1,4 @@
-/** What one replica holds in memory: accounts, turns, and the log of its changes for the others. */
+/** The in-memory state of a replica: accounts, turns, and the change log that other replicas pull. */
 import { mergeReservation } from './account.js';
 import type { Account } from './account.js';
 import type { ConversationTurn } from './conversation-turn.js';
@@ -6,13 +6,13 @@
 import { packDigests, ReservationDigests } from './reservation-digests.js';
 import type { StorageChange, StoredEntry, StoredTurn } from './turn-storage.js';
 
-/** Time after its last change for which an account is kept, in milliseconds. */
+/** Time for which an account is retained after its last change, in milliseconds. */
 const ACCOUNT_RETENTION_MILLISECONDS = 300_000;
-/** Added to each expiry, since clocks of machines differ, in milliseconds. */
+/** Allowance for clock skew between machines, added to the retention of turns, in milliseconds. */
 const CLOCK_SKEW_MILLISECONDS = 10_000;
-/** Largest part of a reply to a pull, in entries. */
+/** Maximum number of log entries in one pull reply. */
 const MAXIMUM_PULL_ENTRIES = 2_000;
-/** Longest chain that is followed. */
+/** Maximum number of turns that are followed in a chain. */
 const MAXIMUM_CHAIN_TURNS = 10_000;
 
 interface AccountRecord {
@@ -22,7 +22,7 @@
 
 interface TurnRecord {
   readonly turn: ConversationTurn;
-  /** Wall time after which it is dropped, in milliseconds. */
+  /** Wall time after which the turn is dropped, in milliseconds. */
   expiresAt: number;
 }
 
@@ -30,16 +30,19 @@
   | { readonly tag: 'entry'; readonly digest: string }
   | { readonly tag: 'turn'; readonly id: string };
 
-/** A part of the change log. */
+/** One batch of the change log. */
 export interface LogPart {
+  /** Position after the last entry of this batch. */
   readonly next: number;
+  /** Current end of the log. */
   readonly end: number;
-  /** Digests of reservations one behind the other. */
+  /** Concatenated digests of reservations. */
   readonly digests: Buffer;
+  /** Ids of turns. */
   readonly turns: string[];
 }
 
-/** As many entries as a map has now: those that are added while it is read come after them. */
+/** Iterates over the entries that a map holds at the start, leaving out entries added during the iteration. */
 function* initialEntries<Key, Value>(map: ReadonlyMap<Key, Value>): Generator<[Key, Value]> {
   let remaining = map.size;
   for (const entry of map) {
@@ -51,16 +54,16 @@
   }
 }
 
-/** See the head of this file. */
+/** Holds the accounts and turns of a replica and logs their changes. */
 export class ReplicaState {
   private readonly accounts = new Map<string, AccountRecord>();
   private readonly turns = new Map<string, TurnRecord>();
   private readonly log: LoggedChange[] = [];
-  /** Position of the first change in `log`: what came before is past its time. */
+  /** Log position of the first entry of `log`; all earlier entries have expired. */
   private logStart = 0;
   private readonly digests = new ReservationDigests();
 
-  /** Takes a reservation. */
+  /** Merges a reservation and logs the change, if there is one. */
   mergeEntry(stored: StoredEntry): void {
     const { entry, storedAt } = stored;
     let record = this.accounts.get(entry.program);
@@ -76,18 +79,18 @@
     }
   }
 
-  /** The reservation as it stands after merging, to be stored. */
+  /** Returns the merged reservation of a turn. */
   entryOf(program: string, turn: string): AccountEntry | undefined {
     const reservation = this.accounts.get(program)?.account.get(turn);
     return reservation === undefined ? undefined : { program, ...reservation };
   }
 
-  /** Those digests whose reservations are not known here in that state. */
+  /** Returns the digests of those reservation states that this replica lacks. */
   missingDigests(digests: readonly string[]): string[] {
     return digests.filter((digest) => this.digests.find(digest) === undefined);
   }
 
-  /** The reservations of digests, in their present states; what was dropped is left out. */
+  /** Returns the current states of the reservations with the given digests, leaving out dropped ones. */
   entriesByDigest(digests: readonly string[]): AccountEntry[] {
     return digests.flatMap((digest) => {
       const key = this.digests.find(digest);
@@ -95,7 +98,7 @@
     });
   }
 
-  /** All reservations of a program. */
+  /** Returns all reservations of a program. */
   entriesOf(program: string): AccountEntry[] {
     const account = this.accounts.get(program)?.account;
     return account === undefined
@@ -103,10 +106,10 @@
       : [...account.values()].map((reservation) => ({ program, ...reservation }));
   }
 
-  /** Takes a turn and keeps the turns before it for as long. */
+  /** Adds a turn and extends the retention of its predecessors to at least its own. */
   addTurn(stored: StoredTurn): void {
     const { storedAt } = stored;
-    // Copies, so that the frames they came in can be freed.
+    // Copied, so that the received frames can be freed.
     const input = Buffer.from(stored.turn.input);
     const output = Buffer.from(stored.turn.output);
     const turn = { ...stored.turn, input, output };
@@ -130,7 +133,7 @@
     return this.turns.get(id)?.turn;
   }
 
-  /** The chain that ends with a turn: inputs and outputs from the oldest on. */
+  /** Looks up the chain that ends with a turn; the body holds the inputs and outputs, oldest first. */
   chainOf(id: string): { readonly state: ChainState; readonly body: Buffer } {
     const parts: Buffer[] = [];
     let currentId = id;
@@ -145,7 +148,7 @@
     return { state: 'found', body: Buffer.concat(parts.reverse()) };
   }
 
-  /** Changes after a position of the log; what has been dropped since is left out. */
+  /** Reads a batch of the log after a position, leaving out turns that were dropped since. */
   readLog(after: number): LogPart {
     const end = this.logEnd;
     const from = Math.max(after, this.logStart);
@@ -162,12 +165,12 @@
     return { next, end, digests: packDigests(digests), turns };
   }
 
-  /** Position of the log's end. */
+  /** Position of the end of the log. */
   get logEnd(): number {
     return this.logStart + this.log.length;
   }
 
-  /** Drops what is past its time; returns what is to be dropped from the disk. */
+  /** Drops expired turns and accounts; returns the changes that drop them from storage. */
   expire(wallTime: number): StorageChange[] {
     const changes: StorageChange[] = [];
     for (const [id, record] of this.turns) {
@@ -189,7 +192,7 @@
     return changes;
   }
 
-  /** Forgets the oldest changes that are past their time: nobody needs to be told them any more. */
+  /** Removes log entries from the start of the log whose turns and reservations were dropped. */
   private trimLog(): void {
     const isLive = (change: LoggedChange): boolean =>
       change.tag === 'turn'
@@ -202,8 +205,8 @@
   }
 
   /**
-   * Everything held, as changes that make it again, read as it stands at that moment. What is added
-   * meanwhile may be left out: it has a record of its own already.
+   * Iterates over the state as changes that recreate it. The state may change during the iteration; entries added
+   * meanwhile may be left out, because each of them has been written on its own.
    */
   *liveChanges(wallTime: () => number): Generator<StorageChange> {
     for (const [program, { account, changedAt: storedAt }] of initialEntries(this.accounts)) {
@@ -213,14 +216,14 @@
     }
     for (const [, { turn, expiresAt }] of initialEntries(this.turns)) {
       const storedAt = wallTime();
-      // Its time may have been extended by later turns.
+      // Later turns may have extended the retention.
       const remainingMilliseconds = expiresAt - CLOCK_SKEW_MILLISECONDS - storedAt;
       const remainingTurn = { ...turn, retentionMilliseconds: Math.max(0, remainingMilliseconds) };
       yield { tag: 'turn', turn: { turn: remainingTurn, storedAt } };
     }
   }
 
-  /** Counts for metrics. */
+  /** Numbers of programs and turns held, for metrics. */
   get counts(): { readonly programs: number; readonly turns: number } {
     return { programs: this.accounts.size, turns: this.turns.size };
   }
--- a/src/turns/replica-sync.ts
+++ b/src/turns/replica-sync.ts
@@ -1,7 +1,4 @@
-/**
- * Keeps a replica level with the others: pulls the log of each, position by position, and fetches
- * the turns it lacks.
- */
+/** Anti-entropy between replicas: pulls the logs of the other members and fetches missing reservations and turns. */
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import { CompletenessCheck } from './completeness-check.js';
 import type { MemberDirectory } from './member-directory.js';
@@ -17,56 +14,56 @@
 import type { Replica } from './replica.js';
 import { packDigests, unpackDigests } from './reservation-digests.js';
 
-/** Pause while this replica is not ready or behind, in milliseconds. */
+/** Pause between pulls while this replica is incomplete or behind, in milliseconds. */
 const BEHIND_PULL_MILLISECONDS = 40;
-/** The same while turns are being copied from some replica: asking others again brings nothing sooner. */
+/** Pause between pulls while turns are being copied, which more frequent pulls would not speed up, in milliseconds. */
 const COPYING_PULL_MILLISECONDS = 120;
-/** Longest wait for a reply of another replica, in milliseconds. */
+/** Timeout of a call to another replica, in milliseconds. */
 export const CALL_TIMEOUT_MILLISECONDS = 1_000;
-/** Lateness of a look that shows that this process stood still: others were not silent, it was deaf. */
+/** Delay of a poll from which on this process counts as stalled and observed silences are void, in milliseconds. */
 const STALL_THRESHOLD_MILLISECONDS = 500;
-/** Time for which a member that left is still read, so that it can hand over, in milliseconds. */
+/** Time for which the log of a former member is still pulled, so that it can hand over its state, in milliseconds. */
 const FORMER_MEMBER_MILLISECONDS = 10_000;
 
 type PullReply = Extract<ReplicaReply, { type: 'pulled' | 'pulledFresh' }>;
 
-/** The reply of a member to a pull; what another process at its address says isn't. */
+/** Returns the reply if it is a member's own reply to a pull, and not that of another process at its address. */
 function pullReplyFrom({ id }: Member, reply: ReplicaReply | undefined): PullReply | undefined {
   const isPulled = reply?.type === 'pulled' || reply?.type === 'pulledFresh';
   return isPulled && reply.log.startsWith(`${id} `) ? reply : undefined;
 }
 
 /**
- * Time for which the word of a member that it knows no newer record counts. A member that is cut off
- * goes on giving out its share of quotas for as long, while others may have taken its place.
+ * Time for which a member's confirmation that it knows no newer record is valid, in milliseconds. A partitioned member
+ * continues to grant its share of quotas for this long, even if it has been replaced.
  */
 const QUORUM_LEASE_MILLISECONDS = 1_500;
 
-/** What the synchronisation is made with. */
+/** Dependencies of a {@link ReplicaSync}. */
 export interface ReplicaSyncOptions {
   readonly id: string;
   readonly runtime: Runtime;
   readonly replica: Replica;
   readonly directory: MemberDirectory;
   readonly caller: ReplicaCaller;
-  /** Members that the record is to name: while it names as many, others stand by and read nothing. */
+  /** Target number of members; while as many are present, other replicas are idle standbys. */
   readonly wantedMembers: number;
   readonly timings: MembershipTimings;
 }
 
-/** See the head of this file. */
+/** Pulls the logs of the other members, tracking the progress in each log and the silence of each member. */
 export class ReplicaSync {
   private readonly peers = new Map<string, PeerProgress>();
   private readonly pulling = new Set<string>();
-  /** Turns that are being copied: one that several others have is asked of one of them only. */
+  /** Ids of turns that are being copied, so that a turn is not fetched from several replicas at once. */
   private readonly copying = new Set<string>();
-  /** Local time at which a member was last seen in the record, in milliseconds. */
+  /** Local time at which a member was last in the record, in milliseconds, by member. */
   private readonly listedAt = new Map<string, number>();
   private readonly silenceTracker: SilenceTracker;
   private readonly startedAt: number;
-  /** Local time at which the next look is due, in milliseconds. */
+  /** Local time at which the next poll is due, in milliseconds. */
   private pollDueAt: number;
-  /** Local time at which a pull was sent that a member answered without a newer record, by member. */
+  /** Local send time of the last pull whose reply showed no newer record, in milliseconds, by member. */
   private readonly confirmedAt = new Map<string, number>();
   private cancelPoll: CancelTimer = () => undefined;
   private readonly completenessCheck: CompletenessCheck;
@@ -82,12 +79,12 @@
     this.poll();
   }
 
-  /** What is known of a member; undefined before its first reply. */
+  /** Read progress in a member's log; undefined before its first reply. */
   view(member: string): PeerView | undefined {
     return this.peers.get(member);
   }
 
-  /** Whether this replica has lately read all that another has. */
+  /** Whether this replica has recently reached the end of a member's log under the current epoch. */
   isCaughtUpWith(member: string, withinMilliseconds: number): boolean {
     const peer = this.peers.get(member);
     const epoch = this.options.directory.current?.epoch ?? 0;
@@ -95,7 +92,7 @@
     return peer !== undefined && peer.caughtUpAt >= since && peer.caughtUpEpoch >= epoch;
   }
 
-  /** Whether a majority of the members has lately known no newer record. */
+  /** Whether a majority of the members has recently confirmed that it knows no newer record. */
   get holdsQuorum(): boolean {
     const record = this.options.directory.current;
     if (record === undefined) {
@@ -109,9 +106,9 @@
   }
 
   /**
-   * Whether this replica has all that members acknowledged under earlier records: since the one in force came it
-   * has read to their ends the logs of all that are heard, and of as many as a majority of one member more leaves.
-   * Until then, what a member that left acknowledged with one other may be on that one alone.
+   * Whether this replica holds every write acknowledged under earlier records. For that it must have read, under the
+   * current epoch, the logs of all members that are not silent, and of at least a read quorum of a record with one more
+   * member. Until then, a write acknowledged by a removed member and one other may exist on that other member only.
    */
   get hasReadEarlierEpochs(): boolean {
     const record = this.options.directory.current;
@@ -127,17 +124,17 @@
     return readCount >= readQuorumOfPreviousRecord(record) && unread.every(isSilentTooLong);
   }
 
-  /** Time since a member was last heard, as far as is known here, in milliseconds. */
+  /** Time since a member's last known reply, in milliseconds. */
   silenceOf(member: string): number {
     return this.silenceTracker.silenceOf(member);
   }
 
-  /** What this replica itself can say of the silence of each other member. */
+  /** This replica's own observations of the silence of each other member. */
   silenceReports(): SilenceReport[] {
     return this.otherMembers().map(({ id }) => this.silenceTracker.ownReport(id));
   }
 
-  /** Members of the record that are not silent for so long that they are to be taken out. */
+  /** Number of members whose silence is below the removal threshold, including this replica. */
   get presentMembers(): number {
     return this.membersHeardWithin(this.options.timings.removalMilliseconds);
   }
@@ -150,7 +147,7 @@
     ).length;
   }
 
-  /** Stops pulling. */
+  /** Stops polling and pulling. */
   close(): void {
     this.closed = true;
     this.cancelPoll();
@@ -173,14 +170,14 @@
     return directory.current !== undefined && !hasMember(directory.current, id);
   }
 
-  /** Whether this replica is no member and has no reason to read from those that are. */
+  /** Whether this replica is a non-member that has no reason to pull from the members. */
   private get isIdleStandby(): boolean {
     return this.isNonMember && !this.isNewReplica && !this.isMemberSuspected;
   }
 
   /**
-   * Whether this replica may be the successor of a machine that is gone. It reads from its first second on, so
-   * that taking the place is a change of the record and nothing else.
+   * Whether this replica was started recently with an empty disk and so may be the successor of a lost machine. Such a
+   * replica pulls from the start, so that replacing the member only takes a change of the record.
    */
   private get isNewReplica(): boolean {
     const age = this.options.runtime.now() - this.startedAt;
@@ -192,7 +189,7 @@
     return this.membersHeardWithin(timings.suspicionMilliseconds) < wantedMembers;
   }
 
-  /** Outside the record, asks the members about one another; unless it stands by, reads from them. */
+  /** Pulls from the members, unless idle; as a non-member, also asks the members for each other's silences. */
   private poll(): void {
     if (this.closed) {
       return;
@@ -221,7 +218,7 @@
           this.silenceTracker.recordReply(member.id);
           this.silenceTracker.recordReports(member.id, reply.words);
         }
-        // An older build says nothing of the others; that it is there itself shows by what can be read from it.
+        // An older build does not report silences; a pull shows at least whether the member itself replies.
         if (reply?.type === 'notKnown') {
           this.pull(member);
         }
@@ -265,7 +262,7 @@
     );
     if (peer === undefined) {
       const fields = { event: 'replica.pull', member: member.id };
-      runtime.log('info', 'pulling from a replica', fields);
+      runtime.log('info', 'first pull from a replica', fields);
     }
   }
 
@@ -303,12 +300,12 @@
       this.peers.set(member.id, { log, active, freshEpoch, ...unread });
       return;
     }
-    // What it took in while it became complete is still to be read.
+    // Entries that the peer took in while it became complete have yet to be read.
     const caughtUpEpoch = active && !peer.active ? 0 : peer.caughtUpEpoch;
-    Object.assign(peer, { active, freshEpoch, caughtUpEpoch: caughtUpEpoch });
+    Object.assign(peer, { active, freshEpoch, caughtUpEpoch });
   }
 
-  /** Fetches and stores what a pull named and this replica lacks. */
+  /** Fetches and stores the reservations and turns of a pull reply that this replica lacks. */
   private storeMissing(member: Member, reply: PullReply, done: (complete: boolean) => void): void {
     const { state } = this.options.replica;
     const missing = state.missingDigests(unpackDigests(reply.digests));
@@ -322,7 +319,7 @@
     });
   }
 
-  /** Fetches and stores turns; not complete while some of them come from other replicas. */
+  /** Copies turns from a member; not complete if some of them are being copied from other replicas. */
   private copyTurns(
     member: Member,
     turns: readonly string[],
@@ -371,7 +368,7 @@
         return;
       }
       if (reply.turns.length === 0) {
-        // They are past their time there by now.
+        // The turns have expired at that member in the meantime.
         done(true);
         return;
       }
--- a/src/turns/replica.ts
+++ b/src/turns/replica.ts
@@ -1,7 +1,7 @@
 /**
- * One replica of turns and accounts: takes writes, answers reads, and tells others what it has.
- * What it acknowledges is on its disk. State is commutative, so it takes writes in any order; only
- * its acknowledgements count towards a majority, and only while it is active.
+ * A replica of conversation turns and token accounts: accepts writes, answers reads, and serves its log to other
+ * replicas. Writes are durable before they are acknowledged. Changes commute, so writes may arrive in any order. Only
+ * acknowledgements count towards a majority, and only while the replica is active.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import { setRepeatingTimer } from '../runtime/runtime.js';
@@ -32,56 +32,57 @@
 } from './turn-storage.js';
 
 const EXPIRY_INTERVAL_MILLISECONDS = 5_000;
-/** Largest reply to a fetch, in bytes; at least one turn is sent. */
+/** Size of a fetch reply beyond which no further turn is added, in bytes; at least one turn is sent. */
 const MAXIMUM_FETCH_BYTES = 1024 * 1024;
 
-/** What a replica is made with. */
+/** Dependencies of a {@link Replica}. */
 export interface ReplicaOptions {
   readonly id: string;
   readonly runtime: Runtime;
   readonly storage: TurnStorage;
   readonly directory: MemberDirectory;
-  /** What may be given out beyond the limits of tenants. @default nothing */
+  /** The amount by which tenants' limits may be exceeded. @default nothing */
   readonly quotaAllowance?: QuotaAllowance;
 }
 
-/** Sends one message back on the connection a request came from. */
+/** Sends a message on the connection that the request came from. */
 export type ReplySender = (message: ReplicaReply | MembersMessage) => void;
 
-/** Where another member has come in this replica's log. */
+/** How far another replica has read this replica's log. */
 export interface PullerProgress {
   readonly position: number;
-  /** Local time of the pull, in milliseconds. */
+  /** Local time of its last pull, in milliseconds. */
   readonly at: number;
 }
 
 type ChainLookup = ReturnType<ReplicaState['chainOf']>;
 
-/** A chain that is missing here is denied only where the replica may say so. */
+/** Turns `missing` into `unsure` where this replica cannot rule out that the chain exists. */
 function downgradeMissing(chain: ChainLookup, mayReportMissing: boolean): ChainLookup {
   return chain.state === 'missing' && !mayReportMissing ? { ...chain, state: 'unsure' } : chain;
 }
 
-/** See the head of this file. */
+/** Handles the requests to one replica and persists its state. */
 export class Replica {
   readonly state = new ReplicaState();
-  /** Names this life of the log: positions of another life mean nothing. */
+  /** Identifies the log of this process; positions are only valid within the log of one process. */
   readonly logName: string;
+  /** Progress of other replicas in this replica's log, by replica. */
   readonly pullers = new Map<string, PullerProgress>();
-  /** Whether a majority of the members is known to know no newer record. */
+  /** Whether a majority of the members has recently confirmed that it knows no newer record. */
   holdsQuorum: () => boolean = () => true;
-  /** Whether what was acknowledged under earlier members is known to be here, or with those of now. */
+  /** Whether this replica holds every write that was acknowledged under earlier epochs. */
   hasReadEarlierEpochs: () => boolean = () => true;
-  /** What this replica can say of how long other members have been silent. */
+  /** This replica's observations of the silence of the other members. */
   silenceReports: () => readonly SilenceReport[] = () => [];
   private readonly quotas: QuotaBuckets;
   private isReady = false;
   /**
-   * What the disk says, or will once it has written what it was given: whatever is written of this replica
-   * is made from this, so that no write takes back the one before it.
+   * Whether the last submitted metadata marks the state as ready. All metadata writes use this value, so that a later
+   * write does not revert an earlier one that is still in flight.
    */
   private readyOnDisk = false;
-  /** Set from before this replica joins until it is complete. */
+  /** Set before this replica joins and cleared once its state is complete. */
   private joinToken: JoinToken | undefined;
   private storedMeta: ReplicaMeta | undefined;
   private readonly cancelExpiry: CancelTimer;
@@ -96,7 +97,7 @@
     directory.onChange(() => this.saveMeta());
   }
 
-  /** Takes one change that was on the disk; the last word of itself counts. */
+  /** Applies one change read from disk; the last metadata record wins. */
   restore(change: WrittenChange): void {
     switch (change.tag) {
       case 'entry':
@@ -115,8 +116,8 @@
   }
 
   /**
-   * Begins to serve with what was restored. Where a newer build wrote what can't be read here, the state is not
-   * complete, whatever that build declared: it is read from the others first.
+   * Ends the restore. If the disk holds records of a newer build that this one cannot decode, the state is incomplete
+   * regardless of its ready mark, and has to be read from other members first.
    */
   endRestore(unknownRecords = 0): void {
     const { storedMeta, options } = this;
@@ -127,7 +128,7 @@
       options.directory.offerText(storedMeta.members, 'disk');
     }
     const { programs, turns } = this.state.counts;
-    options.runtime.log('info', 'state read from disk', {
+    options.runtime.log('info', 'replica state restored from disk', {
       event: 'replica.restored',
       ready: this.isReady,
       unknownRecords,
@@ -138,22 +139,22 @@
     });
   }
 
-  /** Whether it began without anything on its disk: the disk is new, or was lost. */
+  /** Whether no metadata was on the disk at the start, because the disk is new or was lost. */
   get startedEmpty(): boolean {
     return this.storedMeta === undefined;
   }
 
-  /** Whether its state is complete: it holds all that it ever acknowledged. */
+  /** Whether the state is complete: the replica holds every write that it ever acknowledged. */
   get ready(): boolean {
     return this.isReady;
   }
 
-  /** Whether its acknowledgements count. */
+  /** Whether the replica's acknowledgements count: it is ready and a member. */
   get active(): boolean {
     return this.isReady && hasMember(this.options.directory.current, this.options.id);
   }
 
-  /** Declares the state complete, durably; calls back when it is so. */
+  /** Marks the state as complete; calls back once the mark is durable, unless it was revoked meanwhile. */
   markReady(reason: string, done: () => void = () => undefined): void {
     this.readyOnDisk = true;
     this.saveMeta((durable) => {
@@ -162,12 +163,15 @@
       }
       this.isReady = true;
       this.joinToken = undefined;
-      this.options.runtime.log('info', 'replica ready', { event: 'replica.ready', reason });
+      this.options.runtime.log('info', 'replica state complete', {
+        event: 'replica.ready',
+        reason,
+      });
       done();
     });
   }
 
-  /** Declares the state incomplete: it left the members and others no longer write to it. */
+  /** Marks the state as incomplete, for a replica that left the record and receives no more writes. */
   markIncomplete(): void {
     this.isReady = false;
     this.readyOnDisk = false;
@@ -175,7 +179,7 @@
     this.saveMeta();
   }
 
-  /** Calls back with the token to join with, once the disk says that nothing was acknowledged under it. */
+  /** Persists a join token and calls back with it once it is durable. */
   prepareJoin(done: (token: JoinToken) => void): void {
     const { id, runtime, storage } = this.options;
     const newToken = `${id} ${runtime.wallTime()} ${runtime.random.uniform()}` as JoinToken;
@@ -184,19 +188,19 @@
     storage.write([{ tag: 'joining', token }], (durable) => durable && done(token));
   }
 
-  /** Whether this replica has acknowledged nothing as the member that it is. */
+  /** Whether this replica has acknowledged nothing since it joined as the current member. */
   get isFresh(): boolean {
     const { id, directory } = this.options;
     const own = directory.current?.members.find((member) => member.id === id);
     return !this.isReady && this.joinToken !== undefined && own?.joinToken === this.joinToken;
   }
 
-  /** Takes a settlement: until it is on disk the reservation stands, which spends no more. */
+  /** Applies a settlement. Until it is durable the reservation counts in full, which never exceeds the budget. */
   settle(entry: AccountEntry): void {
     this.storeEntries([entry], () => undefined, 'lazy');
   }
 
-  /** Answers one request. */
+  /** Handles one request and sends its reply. */
   handle(request: ReplicaRequest, send: ReplySender): void {
     const { call } = request;
     switch (request.type) {
@@ -242,7 +246,7 @@
     }
   }
 
-  /** Takes reservations; calls back when they are on disk. */
+  /** Merges reservations; calls back once they are durable. */
   storeEntries(
     entries: readonly AccountEntry[],
     done: (durable: boolean) => void,
@@ -257,7 +261,7 @@
     this.options.storage.write(changes, done, urgency);
   }
 
-  /** Takes turns; calls back when they are on disk. */
+  /** Stores turns; calls back once they are durable. */
   storeTurns(turns: readonly ConversationTurn[], done: (durable: boolean) => void): void {
     const storedAt = this.options.runtime.wallTime();
     const changes = turns.map((turn): StorageChange => {
@@ -267,7 +271,7 @@
     this.options.storage.write(changes, done);
   }
 
-  /** Everything it holds, as changes that make it again; it may go on changing meanwhile. */
+  /** Iterates over the live state as changes that recreate it; the state may change during the iteration. */
   *liveChanges(): Generator<StorageChange> {
     const { directory, runtime } = this.options;
     yield { tag: 'meta', meta: { ready: this.readyOnDisk, members: directory.currentText } };
@@ -277,7 +281,7 @@
     yield* this.state.liveChanges(() => runtime.wallTime());
   }
 
-  /** Stops its timers. */
+  /** Stops the replica's timers. */
   close(): void {
     this.cancelExpiry();
   }
@@ -300,7 +304,7 @@
     return epoch === current?.epoch ? 'done' : 'olderEpoch';
   }
 
-  /** Decides on a tenant's request, as long as this replica is sure to be one of the members. */
+  /** Decides on a tenant's request, if a majority confirms that this replica is still a member. */
   private spend(
     request: Extract<ReplicaRequest, { type: 'spend' }>,
     send: ReplySender,
@@ -321,8 +325,8 @@
   }
 
   private readChain(turn: string, epoch: number, send: ReplySender): ChainLookup {
-    // A client gives up for good what is denied: only who surely has what was ever acknowledged may say so, and
-    // only to one that counts denials by the same members.
+    // Clients treat a missing chain as permanent. Only a replica that holds every acknowledged write may report it, and
+    // only to a client that counts such replies under the same epoch.
     const isSameEpoch = this.outcomeOf(epoch, true, send) === 'done';
     return downgradeMissing(this.state.chainOf(turn), isSameEpoch && this.hasReadEarlierEpochs());
   }
@@ -353,7 +357,7 @@
         log: this.logName,
         ...this.state.readLog(after),
       });
-    // A newer epoch is on disk before the puller may rely on it.
+    // A newer record must be durable before the puller may rely on the reply.
     if (directory.offerText(request.members, request.from)) {
       this.saveMeta(answer);
     } else {
--- a/src/turns/reservation-digests.ts
+++ b/src/turns/reservation-digests.ts
@@ -1,32 +1,32 @@
 /**
- * Names the state of each reservation by a digest of eight bytes, so that replicas which hold the same
- * reservations find that out without sending them. Most reservations reach every replica directly.
+ * Eight-byte digests of reservation states, with which replicas compare their reservations without sending them. Most
+ * reservations reach every replica directly, so few have to be sent.
  */
 import { hashText } from '../runtime/hashing.js';
 import type { AccountEntry } from './messages.js';
 
-/** Bytes of one digest. */
+/** Size of one digest, in bytes. */
 export const DIGEST_BYTES = 8;
 const OPEN = 'open';
 
-/** Where a reservation is found. */
+/** Identifies a reservation. */
 export interface ReservationKey {
   readonly program: string;
   readonly turn: string;
 }
 
-/** The digest of a reservation in its present state, as hexadecimal digits. */
+/** Returns the digest of a reservation's current state, in hexadecimal. */
 export function digestOf(entry: AccountEntry): string {
   const used = entry.usedTokens ?? OPEN;
   return hashText(`${entry.program} ${entry.turn} ${entry.mostTokens} ${used}`);
 }
 
-/** Writes digests one behind the other. */
+/** Concatenates hexadecimal digests into bytes. */
 export function packDigests(digests: readonly string[]): Buffer {
   return Buffer.from(digests.join(''), 'hex');
 }
 
-/** Reads digests that stand one behind the other; bytes left over are no digest. */
+/** Splits concatenated digests; trailing bytes are ignored. */
 export function unpackDigests(bytes: Buffer): string[] {
   const digests: string[] = [];
   for (let offset = 0; offset + DIGEST_BYTES <= bytes.length; offset += DIGEST_BYTES) {
@@ -35,11 +35,11 @@
   return digests;
 }
 
-/** The digests of all reservations that one replica holds. */
+/** An index of the reservations of one replica by digest. */
 export class ReservationDigests {
   private readonly keys = new Map<string, ReservationKey>();
 
-  /** Notes the new state of a reservation; who knows it settled needs no word of it open. */
+  /** Adds a reservation state and returns its digest; a settled state is also added under its open digest. */
   add(entry: AccountEntry): string {
     const key = { program: entry.program, turn: entry.turn };
     if (entry.usedTokens !== undefined) {
@@ -50,13 +50,13 @@
     return digest;
   }
 
-  /** Forgets a reservation that was dropped, in its state and as it was while it was open. */
+  /** Removes a dropped reservation, in its current state and in its open state. */
   drop(entry: AccountEntry): void {
     this.keys.delete(digestOf(entry));
     this.keys.delete(digestOf({ ...entry, usedTokens: undefined }));
   }
 
-  /** Where the reservation of a digest is; undefined when none is held. */
+  /** Returns the key of the reservation with a digest; undefined when there is none. */
   find(digest: string): ReservationKey | undefined {
     return this.keys.get(digest);
   }
--- a/src/turns/retirement-reporter.ts
+++ b/src/turns/retirement-reporter.ts
@@ -1,9 +1,8 @@
 /**
- * Reports how far the emptying of this replica's machine is. It is done once every member that was one
- * when this replica left the record has at some time read all that was here then: what is acknowledged
- * later is not acknowledged here, and a member that read it and is down since still has it on its disk.
- * Who joined afterwards reads from those, and never from here. A replica that stood by and was never a
- * member has nothing to hand over.
+ * Reports the progress of retiring this replica's machine. The retirement is finished once every remaining member of
+ * the record that this replica left has, at some time, read this replica's log up to its end at that moment. This
+ * replica acknowledges nothing afterwards, and a member that has read the log holds it on disk even if it is down.
+ * Members that joined later read from those members. A standby that was never a member has nothing to hand over.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import type { MembershipStore } from './membership-store.js';
@@ -13,7 +12,7 @@
 
 type RetirementState = 'nothing' | 'running' | 'finished';
 
-/** What the report is made with. */
+/** Dependencies of a {@link RetirementReporter}. */
 export interface RetirementReporterOptions {
   readonly self: Member;
   readonly runtime: Runtime;
@@ -21,15 +20,15 @@
   readonly store: MembershipStore;
 }
 
-/** See the head of this file. */
+/** Tracks which members have read this replica's log and publishes the state of its retirement. */
 export class RetirementReporter {
-  /** End of the log when this replica was no longer a member; undefined while it is one. */
+  /** End of the log when this replica left the record; undefined while it is a member. */
   private logEndAtRemoval: number | undefined;
-  /** The others that were members together with this replica. */
+  /** Members that must read this replica's log: those that were members together with it. */
   private handoverTargets: ReadonlySet<string> = new Set();
-  /** Members that have read the log up to there. */
+  /** Members that have read the log up to that end. */
   private readonly handedTo = new Set<string>();
-  /** Whether acknowledged writes may be here that only members are sure to have elsewhere. */
+  /** Whether this replica may hold acknowledged writes, because it is or was a member. */
   private wasMember: boolean;
   private reported: RetirementState = 'nothing';
 
@@ -37,7 +36,7 @@
     this.wasMember = options.replica.ready;
   }
 
-  /** Notes who has read what and reports what has changed; called now and then. */
+  /** Updates the read progress and reports a changed state. Must be called regularly. */
   step(record: MemberRecord): void {
     const { self: own, store } = this.options;
     this.wasMember ||= hasMember(record, own.id);
@@ -51,7 +50,7 @@
     this.report(isDone ? 'finished' : 'running', record);
   }
 
-  /** Whether enough of the members that had to read this log are left, and all of those have. */
+  /** Whether enough handover targets are still members, and all of those have read the log. */
   private isHandedOver(record: MemberRecord): boolean {
     const remainingTargets = record.members.filter((member) => this.handoverTargets.has(member.id));
     const haveRead = remainingTargets.every((member) => this.handedTo.has(member.id));
@@ -67,7 +66,7 @@
     } else {
       this.logEndAtRemoval ??= replica.state.logEnd;
     }
-    // One that joins in the same moment is no heir; after a start in between, all that are there count.
+    // A member that joins at the same moment is no target. After a restart in between, all current members are.
     if (hasMember(record, own.id) || this.handoverTargets.size === 0) {
       this.handoverTargets = new Set(others.map((member) => member.id));
     }
@@ -83,7 +82,7 @@
       if (position >= logEnd) {
         this.handedTo.add(id);
       } else {
-        // It began anew, perhaps with an empty disk.
+        // The member restarted, perhaps with an empty disk.
         this.handedTo.delete(id);
       }
     }
@@ -98,9 +97,9 @@
     this.reported = state;
     store.reportRetirement(own.node, state === 'finished', (written) => {
       this.reported = written ? state : previous;
-      runtime.log('info', 'emptying reported', {
+      runtime.log('info', 'retirement state reported', {
         event: 'retirement.reported',
-        state: state,
+        state,
         written,
         epoch: record.epoch,
         members: record.members.length,
--- a/src/turns/segment-codec.ts
+++ b/src/turns/segment-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Records of a segment file: length and checksum, then one change. Reading ends at the first record
- * that is torn or missing; what follows was never acknowledged.
+ * The record format of segment files: length, checksum, and one encoded change. Decoding ends at the first torn record;
+ * nothing after that was ever acknowledged.
  */
 import { crc32 } from 'node:zlib';
 import * as r from 'restructure';
@@ -19,12 +19,13 @@
 import type { WrittenChange } from './turn-storage.js';
 
 const HEADER_BYTES = 8;
-/** Longest record that is believed, in bytes. */
+/** Maximum size of a record's content, in bytes; a larger length counts as torn. */
 const MAXIMUM_RECORD_CONTENT_BYTES = 64 * 1024 * 1024;
 
 /**
- * Append only: a branch's place is its number on disk. One that is added is read by a build before any writes it,
- * since the build before that may come back to this disk. What a record carries besides goes into sections behind it.
+ * Append-only: the index of a branch is its kind number on disk. A new kind must be readable by one build before a
+ * later build writes it, since the disk may be used again by the previous build after a rollback. Additional data of a
+ * record goes into sections appended to it.
  */
 const recordField: r.Field = new TaggedUnion([
   { type: 'meta', fields: { ready: flag, members: longText } },
@@ -73,7 +74,7 @@
   }
 }
 
-/** One change as a record. */
+/** Encodes one change as a record with its header. */
 export function encodeRecord(change: WrittenChange): Buffer {
   const content = encodeField(recordField, toRecordValue(change));
   const bytes = Buffer.allocUnsafe(HEADER_BYTES + content.length);
@@ -83,17 +84,17 @@
   return bytes;
 }
 
-/** What was found in a segment. */
+/** Statistics of a decoded segment. */
 export interface SegmentSummary {
-  /** Whole records, known or not. */
+  /** Number of complete records, of known and unknown kinds. */
   readonly records: number;
-  /** Those of kinds that only newer builds know: what they hold is not here. */
+  /** Number of complete records whose kind this build does not know; their content is lost to it. */
   readonly unknownRecords: number;
-  /** Bytes after the last whole record. */
+  /** Number of bytes after the last complete record. */
   readonly tornBytes: number;
 }
 
-/** The change of a record; undefined when only newer builds know its kind. */
+/** Decodes the change of a record; undefined when this build does not know its kind. */
 function decodeChange(content: Buffer): WrittenChange | undefined {
   try {
     return toChange(decodeGrown(recordField, content).value as RecordValue);
@@ -105,7 +106,7 @@
   }
 }
 
-/** Tells all whole records from the start of a segment. */
+/** Decodes all complete records of a segment, calling back with the change of each known one. */
 export function decodeSegment(
   bytes: Buffer,
   onChange: (change: WrittenChange) => void,
--- a/src/turns/segment-turn-storage.ts
+++ b/src/turns/segment-turn-storage.ts
@@ -1,12 +1,12 @@
 /**
- * Durable storage of a replica in append-only segment files. Each process begins a new segment, and
- * another when one is long, and only ever appends to the newest, so no rename and no removal has to
- * last for the state to be right: a file that comes back after a loss of power holds nothing but old
- * records, which merge again. What does have to last is that a segment is there at all: its name does
- * before its first record is written, which costs one more sync for each segment.
+ * Durable storage of a replica in append-only segment files. Each process starts a new segment, and another one when
+ * the current segment is full, and appends only to the newest. Correctness therefore does not depend on the durability
+ * of renames or removals: a file that reappears after a power loss contains only old records, which merge again. The
+ * directory entry of a segment must be durable before its first record is written, at the cost of one extra sync per
+ * segment.
  *
- * `classic-level` was tried first: after a loss of power that kept the removal of an old manifest but
- * not the renaming of its successor, the database no longer opened.
+ * An embedded LevelDB (`classic-level`) does not meet this requirement: it failed to open after a power loss that
+ * preserved the removal of an old manifest but not the rename of its successor.
  */
 import type { FileHandle } from 'node:fs/promises';
 import type { Runtime } from '../runtime/runtime.js';
@@ -17,15 +17,15 @@
 import type { StorageChange, TurnStorage, WriteUrgency, WrittenChange } from './turn-storage.js';
 
 const SEGMENT_PATTERN = /^segment-(\d+)\.log$/;
-/** Longest wait of a lazy write, in milliseconds. */
+/** Maximum delay of a lazy write, in milliseconds. */
 const LAZY_WRITE_MILLISECONDS = 250;
-/** Pause before a refused write is tried in a new segment, in milliseconds. */
+/** Delay before a failed write is retried in a new segment, in milliseconds. */
 const RETRY_DELAY_MILLISECONDS = 500;
-/** Length at which a segment is ended: a start reads one at a time into memory. */
+/** Size at which a segment is closed, in bytes. Segments are read into memory one at a time at startup. */
 const MAXIMUM_SEGMENT_BYTES = 8 * 1024 * 1024;
 /**
- * Time after the start in which nothing is compacted, since callers wait for other work then, in
- * milliseconds; as much again is drawn, so that replicas that started together don't compact together.
+ * Time after startup in which no compaction starts, in milliseconds, since callers wait for other work then. A random
+ * delay of up to the same length is added, so that replicas started together do not compact together.
  */
 const COMPACTION_GRACE_MILLISECONDS = 20_000;
 const EMPTY_DISK: DiskUse = { bytes: 0, segments: 0 };
@@ -48,23 +48,23 @@
   return change.tag !== 'dropEntry' && change.tag !== 'dropTurn';
 }
 
-/** See the head of this file. */
+/** Appends changes to segment files, syncs them in batches, and compacts the files. */
 export class SegmentTurnStorage implements TurnStorage {
   private queue: PendingWrite[] = [];
   private writing = false;
   private lazyTimerSet = false;
   private file: FileHandle | undefined;
-  /** All that are on the disk, the newest last. */
+  /** All segments on disk, oldest first. */
   private segments: Segment[] = [];
-  /** What the last compaction left. */
+  /** Disk usage right after the last compaction. */
   private left = EMPTY_DISK;
   private compacting = false;
-  /** Local time before which nothing is compacted, in milliseconds. */
+  /** Local time before which no compaction starts, in milliseconds. */
   private readonly compactionAllowedAt: number;
   private closing: (() => void) | undefined;
-  /** Everything that is to survive a compaction; set by the replica. */
+  /** Source of the live state that a compaction rewrites; see {@link useLiveChanges}. */
   private liveChanges: () => Iterable<StorageChange> = () => [];
-  /** Synced writes so far. */
+  /** Number of synced batches so far. */
   writeCount = 0;
 
   private constructor(
@@ -75,7 +75,7 @@
       runtime.now() + COMPACTION_GRACE_MILLISECONDS * (1 + runtime.random.uniform());
   }
 
-  /** Opens a folder, made when it is missing. Rejects when the disk refuses. */
+  /** Opens a folder, creating it if it is missing. Rejects on I/O errors. */
   static async open(path: string, runtime: Runtime): Promise<SegmentTurnStorage> {
     const folder = await DurableFolder.open(path);
     const storage = new SegmentTurnStorage(folder, runtime);
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Reads all segments, the oldest first, one at a time; tells each change. Resolves with the number of records of
-   * kinds that only newer builds know.
+   * Reads all segments, oldest first, and calls back with each change. Resolves with the number of records whose kind
+   * this build does not know.
    */
   async load(onChange: (change: WrittenChange) => void): Promise<number> {
     let unknownRecords = 0;
@@ -100,7 +100,7 @@
       unknownRecords += read.unknownRecords;
       if (tornBytes > 0) {
         const fields = { event: 'disk.torn', segment: segment.number, tornBytes, records };
-        this.runtime.log('warn', 'segment ends in a torn write', fields);
+        this.runtime.log('warn', 'segment ends in a torn record', fields);
       }
     }
     const { segments, use } = this;
@@ -114,7 +114,7 @@
     return unknownRecords;
   }
 
-  /** Tells what is to survive when old segments are removed. */
+  /** Sets the source of the live state, which is rewritten when old segments are removed. */
   useLiveChanges(liveChanges: () => Iterable<StorageChange>): void {
     this.liveChanges = liveChanges;
   }
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Writes what waits, then calls back. */
+  /** Flushes pending writes, closes the current segment, and calls back. */
   close(done: () => void): void {
     this.closing = done;
     this.writeNext();
@@ -198,15 +198,15 @@
     return this.folder.create(fileNameOf(segment));
   }
 
-  /** What is written from now on goes into a new segment. */
+  /** Closes the current segment; the next write opens a new one. */
   private closeSegment(): void {
     const { file } = this;
     this.file = undefined;
-    // What was written is synced: a refusal to close takes nothing away.
+    // All writes are synced, so a failure to close loses nothing.
     file?.close().catch(() => undefined);
   }
 
-  /** What may stand half written in this segment is written again into a new one. */
+  /** Retries failed writes in a new segment, since the current one may end in a torn record. */
   private retryInNewSegment(writes: readonly PendingWrite[], cause: unknown): void {
     this.logDiskError(cause);
     this.closeSegment();
@@ -219,10 +219,10 @@
 
   private logDiskError(cause: unknown): void {
     const reason = cause instanceof Error ? cause.message : String(cause);
-    this.runtime.log('error', 'disk refused a write', { event: 'disk.refused', reason });
+    this.runtime.log('error', 'disk operation failed', { event: 'disk.refused', reason });
   }
 
-  /** Writes the live state into new segments; once that is synced, the older ones may go. */
+  /** Rewrites the live state into new segments if a compaction is due; the old segments are removed afterwards. */
   private compactIfDue(): void {
     const { use, left, runtime } = this;
     if (
@@ -237,7 +237,7 @@
     const old = [...this.segments];
     const startedAt = runtime.now();
     const inputs = { bytes: use.bytes, segments: use.segments, leftBefore: left.bytes };
-    runtime.log('info', 'state is written anew', { event: 'disk.compacting', ...inputs });
+    runtime.log('info', 'compaction started', { event: 'disk.compacting', ...inputs });
     writeInSlices(
       runtime,
       this.liveChanges(),
@@ -250,14 +250,14 @@
     this.segments = this.segments.filter((segment) => !old.includes(segment));
     this.left = this.use;
     this.compacting = false;
-    this.runtime.log('info', 'old segments removed', {
+    this.runtime.log('info', 'compaction finished, removing old segments', {
       event: 'disk.compacted',
       segments: old.length,
       bytesLeft: this.left.bytes,
       milliseconds: Math.round(this.runtime.now() - startedAt),
     });
     for (const segment of old) {
-      // One that stays is read again at the next start and changes nothing.
+      // A segment that could not be removed is read again at the next start, without effect.
       this.folder.remove(fileNameOf(segment)).catch((cause: unknown) => this.logDiskError(cause));
     }
   }
--- a/src/turns/silence-tracker.ts
+++ b/src/turns/silence-tracker.ts
@@ -1,20 +1,20 @@
 /**
- * For how long members have not been heard: as this process saw itself, and, for one that is no member, on
- * the word of those that are. Members have asked one another all along; a newcomer would have to wait as
- * long again to find out by itself.
+ * Failure detection: tracks how long each member has been silent, from this process's own calls and from the reports of
+ * the members. The reports let a replica that has just started detect a lost member without observing the whole
+ * silence itself.
  */
 import type { Runtime } from '../runtime/runtime.js';
 
-/** What one process can say of how long a member has been silent. */
+/** One process's observation of how long a member has been silent. */
 export interface SilenceReport {
   readonly member: string;
-  /** Time since its last reply; when there was none, time for which it has been asked. */
+  /** Time since the member's last reply or, if there was none, since it was first polled, in milliseconds. */
   readonly milliseconds: number;
-  /** Whether it ever replied to who says this. */
+  /** Whether the member ever replied to the reporting process. */
   readonly wasHeard: boolean;
 }
 
-/** Time for which a word counts, in milliseconds: several looks at the members. */
+/** Time for which a report is valid, in milliseconds; spans several polls. */
 const REPORT_TTL_MILLISECONDS = 1_500;
 
 interface ReceivedReports {
@@ -22,47 +22,47 @@
   readonly byMember: ReadonlyMap<string, SilenceReport>;
 }
 
-/** See the head of this file. */
+/** Tracks the silence of each member. */
 export class SilenceTracker {
-  /** Local time since which a member has been asked without a break, in milliseconds. */
+  /** Local time since which a member has been polled without interruption, in milliseconds. */
   private readonly polledSince = new Map<string, number>();
   /** Local time of a member's last reply, in milliseconds. */
   private readonly repliedAt = new Map<string, number>();
-  /** What members said last, by who said it. */
+  /** The latest reports, by reporting member. */
   private readonly receivedReports = new Map<string, ReceivedReports>();
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** Notes that a member is asked. */
+  /** Starts the polling period of a member, unless it has already started. */
   startPolling(member: string): void {
     if (!this.polledSince.has(member)) {
       this.polledSince.set(member, this.runtime.now());
     }
   }
 
-  /** Notes that a member is asked no longer. */
+  /** Ends the polling period of a member. */
   stopPolling(member: string): void {
     this.polledSince.delete(member);
   }
 
-  /** Notes a reply. */
+  /** Records a reply of a member. */
   recordReply(member: string): void {
     this.repliedAt.set(member, this.runtime.now());
   }
 
-  /** Notes that this process stood still: what it did not hear meanwhile tells nothing. */
+  /** Ends all polling periods and discards all reports after a stall of this process, which may have missed replies. */
   resetAfterStall(): void {
     this.polledSince.clear();
     this.receivedReports.clear();
   }
 
-  /** Notes what a member says of others. */
+  /** Records a member's reports on other members, replacing its earlier ones. */
   recordReports(reporter: string, reports: readonly SilenceReport[]): void {
     const byMember = new Map(reports.map((word) => [word.member, word]));
-    this.receivedReports.set(reporter, { at: this.runtime.now(), byMember: byMember });
+    this.receivedReports.set(reporter, { at: this.runtime.now(), byMember });
   }
 
-  /** What this process itself can say. */
+  /** Returns this process's own observation of a member. */
   ownReport(member: string): SilenceReport {
     const now = this.runtime.now();
     const askedSince = this.polledSince.get(member) ?? now;
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Time in milliseconds since a member was last heard: by whoever heard it last; when nobody heard it, for as
-   * long as anybody has asked.
+   * Returns the silence of a member in milliseconds: the shortest one observed by any process that ever got a reply;
+   * if there is none, the longest time for which any process has polled the member.
    */
   silenceOf(member: string): number {
     const reports = [this.ownReport(member), ...this.reportsOf(member)];
--- a/src/turns/tcp-replica-caller.ts
+++ b/src/turns/tcp-replica-caller.ts
@@ -1,4 +1,4 @@
-/** Calls to replicas over one kept TCP connection each, many under way at a time. */
+/** Calls replicas over TCP, with one persistent connection per replica and multiplexed calls. */
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 import { encodeFrame, FrameReader } from '../wire/framing.js';
@@ -18,22 +18,22 @@
 import { fallbackRequestOf, adaptFallbackReply, decodeKindCount } from './protocol-negotiation.js';
 import { probeKindCount } from './protocol-probe.js';
 
-/** Longest wait for a connection to a replica, in milliseconds. */
+/** Timeout for connecting to a replica, in milliseconds. */
 export const CONNECT_TIMEOUT_MILLISECONDS = 500;
-/** Longest wait of a message to which nothing comes back, in milliseconds. */
+/** Maximum time for which notifications are buffered, in milliseconds. */
 const FLUSH_DELAY_MILLISECONDS = 25;
-/** Pause before a broken connection is made anew, in milliseconds. */
+/** Minimum delay before reconnecting after a connection closed, in milliseconds. */
 export const RECONNECT_DELAY_MILLISECONDS = 100;
-/** Bytes that may wait for one replica; beyond, calls to it fail at once. */
+/** Maximum number of bytes queued for one replica; calls fail at once and notifications are dropped beyond it. */
 const MAXIMUM_QUEUED_BYTES = 8 * 1024 * 1024;
 /**
- * A connection is given up when something is owed on it and nothing came for this long, however many
- * calls have ended meanwhile: it may be silent for good while a new one works.
+ * Time without any received message, while replies are due, after which a connection is closed, in milliseconds. Calls
+ * that time out meanwhile don't restart it: the connection may be dead while a new one would work.
  */
 export const SOCKET_SILENCE_MILLISECONDS = 1_000;
 /**
- * Longest wait for what a replica tells of its build, in milliseconds; a trial may follow, so that the first request
- * that needs it may end before: its client comes back when it is known.
+ * Timeout for querying a replica's message kind count, in milliseconds. A probe may follow, so the first request that
+ * depends on the count may time out; by the time its client retries, the count is known.
  */
 const KIND_COUNT_TIMEOUT_MILLISECONDS = 500;
 
@@ -42,17 +42,17 @@
   readonly cancelTimer: CancelTimer;
 }
 
-/** A connection to one replica, made when first needed and again after it broke. */
+/** A connection to one replica, opened on demand and reopened after it was closed. */
 class ReplicaConnection {
   private socket: Socket | undefined;
   private reconnectAt = -Infinity;
-  /** Local time since which a reply is owed and nothing came, in milliseconds; undefined when none is. */
+  /** Local time since which a reply has been due without anything received, in milliseconds; undefined if none is. */
   private dueSince: number | undefined;
-  /** Frames to which nothing comes back; they go with the next call or after a moment. */
+  /** Buffered notifications, sent with the next call or after the flush delay. */
   private bufferedFrames: Buffer[] = [];
   private bufferedBytes = 0;
   private readonly pending = new Map<number, PendingCall>();
-  /** Of the connection that stands. */
+  /** Negotiated protocol of the current socket. */
   private protocol: ConnectionProtocol;
   private unknownLogged = false;
 
@@ -88,11 +88,11 @@
     });
   }
 
-  /** Sends what an older build reads, or says in its place that it doesn't know the request. */
+  /** Sends the fallback of a request to an older build, or replies `notKnown` on its behalf if there is none. */
   private sendFallback(request: ReplicaRequest, pending: PendingCall): void {
     const fallback = fallbackRequestOf(request);
     if (fallback === undefined) {
-      // Later, as any reply: nobody is called back within the call.
+      // Deferred, so that the listener is never called synchronously.
       this.runtime.setTimer(0, () => this.deliverReply({ type: 'notKnown', call: request.call }));
       return;
     }
@@ -102,7 +102,7 @@
     this.sendRequest(fallback);
   }
 
-  /** From now on a reply is owed. */
+  /** Sends a request; a reply is due from now on. */
   private sendRequest(request: ReplicaRequest): void {
     this.dueSince ??= this.runtime.now();
     this.flush(encodeFrame(encodeReplicaMessage(request)));
@@ -138,7 +138,7 @@
     this.socket?.destroy();
   }
 
-  /** Sends what waited, and a frame behind it, in one write. */
+  /** Sends the buffered notifications, followed by a frame if given, in one write. */
   private flush(frame?: Buffer): void {
     const frames = frame === undefined ? this.bufferedFrames : [...this.bufferedFrames, frame];
     this.bufferedFrames = [];
@@ -174,7 +174,7 @@
     } catch (cause) {
       const reason = cause instanceof Error ? cause.message : String(cause);
       const fields = { event: 'replica.unreadable', member: this.member.id, reason };
-      this.runtime.log('error', 'unreadable message of a replica', fields);
+      this.runtime.log('error', 'malformed message from a replica, connection closed', fields);
       socket.destroy();
     }
   }
@@ -212,7 +212,7 @@
     if (!this.unknownLogged) {
       this.unknownLogged = true;
       const fields = { event: 'replica.unknown', member: this.member.id, kind };
-      this.runtime.log('warn', 'a reply of a kind that this build does not know', fields);
+      this.runtime.log('warn', 'message of an unknown kind from a replica', fields);
     }
   }
 
@@ -225,14 +225,14 @@
         member: this.member.id,
         pending: this.pending.size,
       };
-      this.runtime.log('info', 'connection to a replica given up', fields);
+      this.runtime.log('info', 'silent connection to a replica closed', fields);
       this.socket?.destroy();
     }
     pending?.listener(undefined);
   }
 
   private get isSilent(): boolean {
-    const { dueSince: dueSince } = this;
+    const { dueSince } = this;
     return dueSince !== undefined && this.runtime.now() - dueSince >= SOCKET_SILENCE_MILLISECONDS;
   }
 
@@ -252,14 +252,14 @@
   }
 }
 
-/** See the head of this file. */
+/** Manages the connections to all replicas and assigns call numbers. */
 export class TcpReplicaCaller implements ReplicaCaller {
   private readonly connections = new Map<string, ReplicaConnection>();
   private lastCall = 0;
 
   constructor(
     private readonly runtime: Runtime,
-    /** Told each record of members that a replica sends. */
+    /** Called with each membership record, as JSON, that a replica sends. */
     private readonly onMembers: (record: string) => void,
   ) {}
 
@@ -277,7 +277,7 @@
     this.connectionTo(member).notify(message);
   }
 
-  /** Closes the connections to replicas that are no longer members. */
+  /** Closes the connections to all replicas that are not among the given members. */
   keepOnly(members: readonly Member[]): void {
     const memberIds = new Set(members.map((member) => member.id));
     for (const [id, connection] of this.connections) {
--- a/src/turns/turn-client.ts
+++ b/src/turns/turn-client.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway's side of kept turns and token accounts: writes to the replicas and waits for
- * a majority, reads from the nearest first. Repeats a write when the members have changed meanwhile.
+ * The gateway's client for stored turns and token accounts. Writes wait for a majority of the replicas and are retried
+ * when the membership changes; reads ask the replicas in the own zone first.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import { fitsBudget } from './account.js';
@@ -17,28 +17,29 @@
 import type { MemberOutcomes } from './quorum-write.js';
 import type { ReplicaCaller, UnnumberedRequest } from './replica-caller.js';
 
-/** How a reservation ended. */
+/** The outcome of a reservation. */
 export type ReserveOutcome = 'granted' | 'spent' | 'unavailable';
 
-/** A chain of turns, or why there is none. */
+/** The result of reading a chain of turns. */
 export type ChainResult =
   | { readonly tag: 'found'; readonly body: Buffer }
-  /** Enough replicas that have all they acknowledged say that there is no such turn. */
+  /** The turn does not exist: a read quorum of replicas with complete state lacks it. */
   | { readonly tag: 'missing' }
+  /** Too few replicas replied conclusively. */
   | { readonly tag: 'unsure' };
 
-/** What the client is made with. */
+/** Dependencies of a {@link TurnClient}. */
 export interface TurnClientOptions {
   readonly runtime: Runtime;
   readonly directory: MemberDirectory;
   readonly caller: ReplicaCaller;
-  /** Zone of this process: replicas there are read first. */
+  /** Zone of this process; replicas in the same zone are read first. */
   readonly zone: string;
-  /** Whether enough replicas answer; what needs them is given up at once while they don't. */
+  /** Whether a majority of the replicas is reachable; while it is not, operations fail at once. @default always */
   readonly isReachable?: () => boolean;
 }
 
-/** A reservation to be made. */
+/** The parameters of a reservation. */
 export interface ReserveRequest {
   readonly program: string;
   readonly turn: string;
@@ -46,19 +47,19 @@
   readonly budgetTokens: number;
 }
 
-/** Pause before an account that seems spent is read again: turns just ended may be settling. */
+/** Pause before an exhausted account is read again, in milliseconds; settlements of ended turns may be in flight. */
 const SETTLING_MILLISECONDS = 40;
-/** Times that a seemingly spent account is read again. */
+/** Number of times that an exhausted account is read again. */
 const SETTLING_RETRIES = 2;
-/** Pause before a write is repeated under newer members, in milliseconds. */
+/** Pause before a failed write is retried, in milliseconds. */
 const EPOCH_RETRY_MILLISECONDS = 60;
-/** Time after which the next replica is asked for a chain as well, in milliseconds. */
+/** Time after which the next replica is also asked for a chain, in milliseconds. */
 const HEDGE_MILLISECONDS = 40;
 
-/** A request for replicas of one epoch. */
+/** Builds the request for the replicas of an epoch. */
 type EpochRequest = (epoch: number) => UnnumberedRequest;
 
-/** See the head of this file. */
+/** Reserves and settles tokens, and stores and reads turns. */
 export class TurnClient {
   private readonly chains = new ChainCache();
   private readonly failedWrites: FailedWriteLog;
@@ -67,7 +68,7 @@
     this.failedWrites = new FailedWriteLog(options.runtime);
   }
 
-  /** Reserves tokens for a turn; grants only what a majority has on disk. */
+  /** Reserves tokens for a turn; grants only what is durable at a majority of the replicas. */
   reserve(
     request: ReserveRequest,
     timeoutMilliseconds: number,
@@ -85,19 +86,19 @@
     );
   }
 
-  /** Whether enough replicas answer. */
+  /** Whether a majority of the replicas is reachable. */
   get isReachable(): boolean {
     return this.options.isReachable?.() ?? true;
   }
 
-  /** Settles a turn to the tokens that it handed out; replicas tell those that miss it. */
+  /** Settles a turn to the tokens that it returned, best effort; replicas propagate the settlement to each other. */
   settle(program: string, turn: string, mostTokens: number, usedTokens: number): void {
     const entry = { program, turn, mostTokens, usedTokens };
     const members = this.options.directory.current?.members ?? [];
     members.forEach((member) => this.options.caller.notify(member, { type: 'settle', entry }));
   }
 
-  /** Keeps a turn; true once a majority has it on disk. */
+  /** Stores a turn; calls back with true once it is durable at a majority of the replicas. */
   storeTurn(
     turn: ConversationTurn,
     timeoutMilliseconds: number,
@@ -161,7 +162,7 @@
     });
   }
 
-  /** Writes to the members; calls back with a majority's replies, or undefined. */
+  /** Writes to the current members; calls back with the replies of a majority, or undefined at the deadline. */
   private write(
     key: string,
     request: EpochRequest,
@@ -207,7 +208,7 @@
   return account;
 }
 
-/** Reads one chain: asks the nearest replica, then the others one after another or when it is slow. */
+/** Reads one chain: asks the replicas one by one, own zone first, and the next one early when a reply is slow. */
 class ChainRead {
   private readonly unaskedMembers: Member[];
   private pendingCalls = 0;
--- a/src/turns/turn-storage.ts
+++ b/src/turns/turn-storage.ts
@@ -1,13 +1,13 @@
-/** Durable storage of one replica, as its logic sees it. */
+/** The port to the durable storage of one replica. */
 import type { AccountEntry } from './messages.js';
 import type { ConversationTurn } from './conversation-turn.js';
 import type { JoinToken } from './membership.js';
 
-/** What a replica knows of itself. */
+/** A replica's metadata. */
 export interface ReplicaMeta {
   /** Whether the state was complete when this was written. */
   readonly ready: boolean;
-  /** Newest record of the members, as text. */
+  /** Newest known membership record, as JSON. */
   readonly members: string;
 }
 
@@ -23,25 +23,25 @@
   readonly storedAt: number;
 }
 
-/** One change. */
+/** A change of the stored state. */
 export type StorageChange =
   | { readonly tag: 'meta'; readonly meta: ReplicaMeta }
-  /** The replica is about to join, and will have acknowledged nothing until it says that it is complete. */
+  /** The replica is about to join; until its metadata says ready, it has acknowledged nothing under this token. */
   | { readonly tag: 'joining'; readonly token: JoinToken }
   | { readonly tag: 'entry'; readonly entry: StoredEntry }
   | { readonly tag: 'turn'; readonly turn: StoredTurn }
   | { readonly tag: 'dropEntry'; readonly program: string; readonly turn: string }
   | { readonly tag: 'dropTurn'; readonly id: string };
 
-/** Changes that are written; what is past its time is dropped by its age, not by a record. */
+/** Changes that are written as records; expired state is recognized by its age, so drops are not recorded. */
 export type WrittenChange = Extract<StorageChange, { tag: 'meta' | 'joining' | 'entry' | 'turn' }>;
 
-/** A lazy write may wait for the next urgent one, or for a moment. */
+/** A lazy write may be delayed until the next urgent one, or for a short time. */
 export type WriteUrgency = 'urgent' | 'lazy';
 
-/** See the head of this file. */
+/** Persists the changes of a replica. */
 export interface TurnStorage {
-  /** Makes changes durable, in the order of the calls; false when the disk refused. */
+  /** Makes changes durable, in the order of the calls; calls back with false when the write failed. */
   write(
     changes: readonly StorageChange[],
     done: (durable: boolean) => void,
