--- a/features/disk.feature
+++ b/features/disk.feature
@@ -1,18 +1,18 @@
 Feature: The disk of a replica
-  What is superseded or past its time leaves the disk, and callers' writes never wait for that.
+  Superseded and expired state is removed from the disk, and callers' writes never wait for that.
 
-  Scenario: A state larger than the bound is not written anew with each change
-    Given a replica's disk with 60 MB of turns that all live
+  Scenario: A state larger than the compaction threshold is not compacted after each change
+    Given a replica's disk with 60 MB of live turns
     When 10 reservations are written one after another
-    Then the state was written anew once at most
+    Then the state was compacted at most once
 
-  Scenario: A write waits for one slice of a compaction at most
-    Given a replica's disk with 60 MB of turns that all live
-    When a reservation is written as the state begins to be written anew
-    Then less than 8 MB reached the disk before it was durable
+  Scenario: A write waits for at most one slice of a compaction
+    Given a replica's disk with 60 MB of live turns
+    When a reservation is written as a compaction starts
+    Then less than 8 MB were written to the disk before it was durable
 
-  Scenario: What changes during a compaction is kept, and the old segments go
-    Given a replica's disk with 60 MB of turns that all live
+  Scenario: Changes during a compaction are preserved, and the old segments are removed
+    Given a replica's disk with 60 MB of live turns
     When 10 reservations are written one after another
     And the compaction is over
     And the disk is closed and read again
@@ -31,6 +31,6 @@
       | 380 | 40       | 300     | 30   | not due |
       | 1   | 12       | 0       | 0    | due     |
 
-  Scenario: Changes past their time leave the log, and who lacks the others is still told them
-    Then of any turns and reservations, whoever has read a part of the log is told all that live of the rest
-    And a log whose changes are all past their time is empty
+  Scenario: Expired changes are removed from the log, and readers still receive all others
+    Then any reader of a part of the log receives all unexpired turns and reservations of the rest
+    And a log whose changes have all expired is empty
--- a/features/reach.feature
+++ b/features/reach.feature
@@ -1,5 +1,5 @@
 Feature: A gateway that does not reach its replicas
-  Scenario: What needs replicas is refused at once while a majority of them is silent
+  Scenario: Operations that need replicas fail at once while a majority of them is silent
     Given a gateway before replicas "a b c"
     Then a reservation is "granted" within 20 milliseconds
     When replicas "a b" fall silent
@@ -8,7 +8,7 @@
     Then the gateway does not reach its replicas
     And a reservation is "unavailable" within 1 milliseconds
 
-  Scenario: Silent replicas are probed, and reached again soon after they answer
+  Scenario: Silent replicas are probed, and reachable again soon after they answer
     Given a gateway before replicas "a b c"
     When replicas "a b c" fall silent
     And a reservation is tried
@@ -19,7 +19,7 @@
     Then the gateway reaches its replicas
     And a reservation is "granted" within 20 milliseconds
 
-  Scenario: A minority that is silent changes nothing
+  Scenario: A silent minority has no effect
     Given a gateway before replicas "a b c"
     When replicas "b" fall silent
     And a reservation is tried
--- a/features/replica-link.feature
+++ b/features/replica-link.feature
@@ -1,7 +1,7 @@
 Feature: Connections to replicas
-  Scenario Outline: A connection that went silent is given up, however short the calls on it are
-    Given a replica whose first connection says nothing while later ones answer
-    When it is called again and again, each call waiting <wait> milliseconds
+  Scenario Outline: A silent connection is closed, however short the timeouts of its calls are
+    Given a replica whose first connection is silent while later ones answer
+    When it is called repeatedly with a timeout of <wait> milliseconds
     Then a call is answered within 2000 milliseconds
 
     Examples:
@@ -9,8 +9,8 @@
       | 250  |
       | 1000 |
 
-  Scenario: A connection on which replies come is kept
+  Scenario: A connection on which replies arrive is kept
     Given a replica that answers on all connections
-    When it is called again and again, each call waiting 250 milliseconds
+    When it is called repeatedly with a timeout of 250 milliseconds
     Then a call is answered within 2000 milliseconds
     And 5000 milliseconds of calls use 1 connection
--- a/features/steps/completeness.steps.ts
+++ b/features/steps/completeness.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about whether a replica's word that its state is complete outlasts its processes. */
+/** Steps about whether a replica's ready mark survives restarts of its process. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { AcknowledgementModel } from '../support/acknowledgement-model.js';
@@ -24,17 +24,17 @@
 
 const timings = membershipTimingsFor(DEFAULT_CATCH_UP_MILLISECONDS);
 
-/** Times each step of the rule is to have been taken over all seeds, so that a pass means something. */
+/** Minimum number of times that each kind of step must take effect over all seeds for the test to be meaningful. */
 const MINIMUM_STEPS = 1_000;
 const WRITE_MILLISECONDS = 5;
-/** Longer than a replica takes to see a change of the stored record. */
+/** Longer than a replica takes to notice a change of the stored record, in milliseconds. */
 const RECORD_PROPAGATION_MILLISECONDS = 600;
-/** Latest start of a machine after the one before it, in milliseconds. */
+/** Maximum delay between the starts of two machines, in milliseconds. */
 const MAXIMUM_START_DELAY_MILLISECONDS = 300;
 const RESERVE_TIMEOUT_MILLISECONDS = 700;
 const NAMES = ['m1', 'm2', 'm3'];
 
-/** Three replicas that were started at moments drawn from a seed, and again without power and a disk. */
+/** Three replicas that were started at random times, then restarted after a power loss and the loss of one disk. */
 interface StartRun {
   readonly seed: number;
   readonly clock: VirtualClock;
@@ -54,7 +54,7 @@
 }
 
 Given(
-  'three replicas on disks that take {int} milliseconds, started at moments drawn from seeds {int} to {int}',
+  'three replicas on disks with a write time of {int} milliseconds, started at random times of seeds {int} to {int}',
   function (this: World, writeMilliseconds: number, first: number, last: number) {
     const count = last - first + 1;
     this.seeds = Array.from({ length: count }, (_, index) => first + index);
@@ -63,7 +63,7 @@
 );
 
 When(
-  'they have had {int} milliseconds, all lose power, and one its disk',
+  'they run for {int} milliseconds, then all lose power and one loses its disk',
   function (this: World, milliseconds: number) {
     this.starts = this.seeds!.map((seed) => {
       const clock = new VirtualClock();
@@ -86,7 +86,7 @@
 );
 
 Then(
-  'all three were complete before, and are within {int} milliseconds',
+  'all three were complete before, and are complete again within {int} milliseconds',
   function (this: World, milliseconds: number) {
     const failed = this.starts!.flatMap(({ seed, clock, replicas, completeBefore }) => {
       clock.runUntil(clock.now + milliseconds);
@@ -98,7 +98,7 @@
   },
 );
 
-/** One replica before a store that shows it records as a test says. */
+/** One replica whose store returns the records that a test chooses. */
 class IsolatedReplica {
   private readonly clock = new VirtualClock();
   private readonly process = new SimulatedProcess('a', this.clock, createRandom(1));
@@ -108,7 +108,7 @@
   directory = new MemberDirectory(this.runtime);
   replica: Replica = this.begin();
 
-  /** Begins a life with what is on the disk. */
+  /** Restarts the process with the state that is on the disk. */
   restart(): void {
     this.process.kill();
     this.runtime = this.process.begin();
@@ -154,7 +154,7 @@
     return replica;
   }
 
-  /** A disk on which each write takes a while. */
+  /** A disk with a write delay. */
   private storage(runtime: Runtime): TurnStorage {
     return {
       write: (changes, done) => {
@@ -202,11 +202,11 @@
   this.isolatedReplica!.restart();
 });
 
-When('the store shows it the record from before it joined', function (this: World) {
+When('the store returns the record from before it joined', function (this: World) {
   this.isolatedReplica!.show(recordOf(3, 'b c'));
 });
 
-When('the store shows it a newer record without it', function (this: World) {
+When('the store returns a newer record without it', function (this: World) {
   this.isolatedReplica!.show(recordOf(5, 'b c'));
 });
 
@@ -219,7 +219,7 @@
 });
 
 When(
-  '{string} is emptied, another stands still as it is named in its place, then all lose power and a complete one its disk',
+  '{string} is retired, its successor pauses as it is added to the record, then all lose power and a complete one its disk',
   function (this: World, name: string) {
     const { clock, replicas } = this;
     assert.ok(replicas!.activeNames().includes(name));
@@ -229,7 +229,10 @@
       const named = replicas!.namedMembers();
       return named.length === 3 && !named.includes(name) && active.length === 2;
     };
-    assert.ok(clock!.runUntil(clock!.now + 10_000, isNamed), 'nobody was named in its place');
+    assert.ok(
+      clock!.runUntil(clock!.now + 10_000, isNamed),
+      'no successor was added to the record',
+    );
     const active = replicas!.activeNames();
     const fresh = replicas!.namedMembers().find((each) => !active.includes(each))!;
     replicas!.pause(fresh);
@@ -243,7 +246,7 @@
 );
 
 When(
-  'the rule is played by itself with seeds {int} to {int} and the mistake {string}',
+  'the model of the rule runs with seeds {int} to {int} and the fault {string}',
   function (this: World, first: number, last: number, mistake: InjectedFault) {
     this.missing = [];
     this.steps = {};
@@ -265,7 +268,7 @@
   }
 });
 
-Then('writes are missing at times', function (this: World) {
+Then('writes are sometimes missing', function (this: World) {
   assert.ok(this.missing!.length > 0);
 });
 
--- a/features/steps/disk.steps.ts
+++ b/features/steps/disk.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about what a replica's disk and its log of changes get rid of. */
+/** Steps about the compaction of a replica's disk and the trimming of its change log. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readdirSync, rmSync, statSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -15,7 +15,7 @@
 
 const MEGABYTE = 1024 * 1024;
 const TURN_MEGABYTES = 2;
-/** Long after the start: a replica that has just begun compacts nothing. */
+/** Time after the start by which compaction is allowed, in milliseconds. */
 const AFTER_COMPACTION_GRACE_MILLISECONDS = 60_000;
 const TIMEOUT_MILLISECONDS = 10_000;
 
@@ -73,7 +73,7 @@
   while (!condition() && Date.now() < end) {
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
-  assert.ok(condition(), 'it did not come to hold in time');
+  assert.ok(condition(), 'the condition was not met in time');
 }
 
 After(async function (this: World) {
@@ -87,7 +87,7 @@
 });
 
 Given(
-  "a replica's disk with {int} MB of turns that all live",
+  "a replica's disk with {int} MB of live turns",
   async function (this: World, megabytes: number) {
     this.folder = mkdtempSync(join(tmpdir(), 'ivyloom-disk-'));
     this.events = [];
@@ -114,25 +114,22 @@
   },
 );
 
-When(
-  'a reservation is written as the state begins to be written anew',
-  async function (this: World) {
-    // The first write lets the storage notice that a compaction is due.
-    await write(this.storage!, entryChange(0));
-    this.bytesBefore = bytesOn(this.folder!);
-    await write(this.storage!, entryChange(1));
-    this.bytesAfter = bytesOn(this.folder!);
-  },
-);
+When('a reservation is written as a compaction starts', async function (this: World) {
+  // After the first write the storage starts a compaction.
+  await write(this.storage!, entryChange(0));
+  this.bytesBefore = bytesOn(this.folder!);
+  await write(this.storage!, entryChange(1));
+  this.bytesAfter = bytesOn(this.folder!);
+});
 
 Then(
-  'less than {int} MB reached the disk before it was durable',
+  'less than {int} MB were written to the disk before it was durable',
   function (this: World, megabytes: number) {
     assert.ok(this.bytesAfter! - this.bytesBefore! < megabytes * MEGABYTE);
   },
 );
 
-Then('the state was written anew once at most', async function (this: World) {
+Then('the state was compacted at most once', async function (this: World) {
   const count = (): number => this.events!.filter((event) => event === 'disk.compacted').length;
   await until(() => count() > 0);
   await write(this.storage!, entryChange(0));
@@ -185,7 +182,7 @@
   readonly storedAt: number;
 }
 
-/** Turns live for 10 s and a slack of 10 s, accounts for five minutes. */
+/** Turns are retained for this time plus 10 s for clock skew, accounts for five minutes. */
 const RETENTION_MILLISECONDS = 10_000;
 const LONGEST_MILLISECONDS = 400_000;
 
@@ -209,7 +206,7 @@
 );
 
 Then(
-  'of any turns and reservations, whoever has read a part of the log is told all that live of the rest',
+  'any reader of a part of the log receives all unexpired turns and reservations of the rest',
   function () {
     fc.assert(
       fc.property(drawnChanges, fc.nat(), fc.nat(LONGEST_MILLISECONDS), (changes, drawn, now) => {
@@ -231,7 +228,7 @@
   },
 );
 
-Then('a log whose changes are all past their time is empty', function () {
+Then('a log whose changes have all expired is empty', function () {
   const state = stateWith([
     { isTurn: true, storedAt: 0 },
     { isTurn: false, storedAt: 0 },
--- a/features/steps/members.steps.ts
+++ b/features/steps/members.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about the record of the members: majorities, and what a replica does about it. */
+/** Steps about the membership record: majorities, and the decisions of a replica about it. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -33,25 +33,28 @@
   return text.split(' ').filter((word) => word !== '');
 }
 
-Then('any majority of a record meets any majority of the record with one member more', function () {
-  const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
-  fc.assert(
-    fc.property(fc.integer({ min: 1, max: 5 }), fc.infiniteStream(fc.nat()), (size, draws) => {
-      const record: MemberRecord = { epoch: 1, members: ids.slice(0, size).map(member) };
-      const larger = withMember(record, member(ids[size]!));
-      const draw = (from: MemberRecord): string[] => {
-        const left = from.members.map(({ id }) => id);
-        const drawn: string[] = [];
-        while (drawn.length < majorityOf(from)) {
-          drawn.push(...left.splice((draws.next().value as number) % left.length, 1));
-        }
-        return drawn;
-      };
-      const other = new Set(draw(larger));
-      assert.ok(draw(record).some((id) => other.has(id)));
-    }),
-  );
-});
+Then(
+  'any majority of a record overlaps any majority of the record with one member more',
+  function () {
+    const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
+    fc.assert(
+      fc.property(fc.integer({ min: 1, max: 5 }), fc.infiniteStream(fc.nat()), (size, draws) => {
+        const record: MemberRecord = { epoch: 1, members: ids.slice(0, size).map(member) };
+        const larger = withMember(record, member(ids[size]!));
+        const draw = (from: MemberRecord): string[] => {
+          const left = from.members.map(({ id }) => id);
+          const drawn: string[] = [];
+          while (drawn.length < majorityOf(from)) {
+            drawn.push(...left.splice((draws.next().value as number) % left.length, 1));
+          }
+          return drawn;
+        };
+        const other = new Set(draw(larger));
+        assert.ok(draw(record).some((id) => other.has(id)));
+      }),
+    );
+  },
+);
 
 function recordOf(count: number): MemberRecord {
   const members = Array.from({ length: count }, (_, place) => member(`m${place}`));
@@ -59,24 +62,27 @@
 }
 
 Then(
-  'a majority of the members named for some losses outlives them and stays a majority',
+  'with the members that a number of losses requires, a majority survives these losses',
   function () {
     for (let losses = 0; losses <= 20; losses += 1) {
       const count = membersToTolerate(losses);
       const majority = majorityOf(recordOf(count));
-      assert.ok(majority > losses, 'all that hold a write may be lost');
-      assert.ok(count - losses >= majority, 'no majority is left');
+      assert.ok(majority > losses, 'all members that hold a write may be lost');
+      assert.ok(count - losses >= majority, 'no majority remains');
     }
   },
 );
 
-Then('with one member fewer it would not stay one, or too few would be left', function () {
-  for (let losses = 0; losses <= 20; losses += 1) {
-    const fewer = membersToTolerate(losses) - 1;
-    const isTooFew = fewer < MINIMUM_MEMBERS;
-    assert.ok(isTooFew || fewer - losses < majorityOf(recordOf(fewer)));
-  }
-});
+Then(
+  'with one member fewer no majority would survive, or the minimum would not be met',
+  function () {
+    for (let losses = 0; losses <= 20; losses += 1) {
+      const fewer = membersToTolerate(losses) - 1;
+      const isTooFew = fewer < MINIMUM_MEMBERS;
+      assert.ok(isTooFew || fewer - losses < majorityOf(recordOf(fewer)));
+    }
+  },
+);
 
 Given(
   'replicas {string} and this one is {string}',
@@ -95,7 +101,7 @@
 });
 
 When(
-  'members {string} are silent, it is level with {string} and machines {string} are to be emptied',
+  'members {string} are silent, it is caught up with {string} and machines {string} are being retired',
   function (this: World, silent: string, level: string, retiring: string) {
     const silentIds = new Set(words(silent));
     const caughtUpIds = new Set(words(level));
@@ -118,7 +124,7 @@
 );
 
 When(
-  'the record is to name {int} members and has named {string} with zones {string} for {int} milliseconds',
+  '{int} members are wanted and the record has named {string} with zones {string} for {int} milliseconds',
   function (this: World, wanted: number, names: string, zones: string, milliseconds: number) {
     const zoneNames = words(zones);
     const members = words(names).map((name, place) => ({
--- a/features/steps/older-replica.steps.ts
+++ b/features/steps/older-replica.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about calls to replicas of older builds, and to ones that are asked what they don't know: real sockets. */
+/** Steps about calls to replicas of older builds, and about unknown message kinds, with real sockets. */
 import assert from 'node:assert/strict';
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
@@ -27,16 +27,16 @@
 import { encodeFrame, FrameReader } from '../../src/wire/framing.js';
 
 const OLDER_MEMBERS = ['a', 'b', 'c'];
-/** As the users' deployments have it. */
+/** The bound that deployments use, in milliseconds. */
 const CATCH_UP_MILLISECONDS = 4_000;
 const STEP_MILLISECONDS = 20;
 const HOST = '127.0.0.1';
 const CALL_MILLISECONDS = 2_000;
-/** Time in which replies come on loopback. */
+/** Time in which replies arrive on loopback, in milliseconds. */
 const REPLY_MILLISECONDS = 200;
-/** Time after which the older replica answers a write. */
+/** Time after which the older replica answers a write, in milliseconds. */
 const SLOW_MILLISECONDS = 50;
-/** Time in which a server listens. */
+/** Time in which a server starts listening, in milliseconds. */
 const LISTEN_MILLISECONDS = 100;
 
 interface World {
@@ -44,7 +44,7 @@
   olderSockets?: Socket[];
   olderCaller?: TcpReplicaCaller;
   olderMember: Member;
-  /** Names of the kinds in which chains were asked for on the first connection. */
+  /** Message kinds with which chains were requested on the first connection. */
   requestedKinds: string[];
   otherReply?: ReplicaReply | undefined;
   servingReplica?: Replica;
@@ -68,7 +68,7 @@
   log: () => undefined,
 };
 
-/** Reads as many kinds as its build has, and ends the connection on others, as older builds do. */
+/** A replica that knows a limited number of message kinds and closes the connection on others, as older builds do. */
 class OlderReplica {
   constructor(
     private readonly world: World,
@@ -147,14 +147,17 @@
   );
 }
 
-When('a chain is asked for under members while another call waits', async function (this: World) {
-  const none = Buffer.alloc(0);
-  const turn = { id: 't', previous: '', input: none, output: none, retentionMilliseconds: 1 };
-  const other = ask(this, { type: 'keep', epoch: 1, turn });
-  const reply = await ask(this, { type: 'chainUnder', epoch: 1, turn: 't' });
-  this.replies.push(reply?.type === 'chained' ? reply.state : String(reply?.type));
-  this.otherReply = await other;
-});
+When(
+  'a chain is requested under an epoch while another call is pending',
+  async function (this: World) {
+    const none = Buffer.alloc(0);
+    const turn = { id: 't', previous: '', input: none, output: none, retentionMilliseconds: 1 };
+    const other = ask(this, { type: 'keep', epoch: 1, turn });
+    const reply = await ask(this, { type: 'chainUnder', epoch: 1, turn: 't' });
+    this.replies.push(reply?.type === 'chained' ? reply.state : String(reply?.type));
+    this.otherReply = await other;
+  },
+);
 
 When('it is asked for the silences of others', async function (this: World) {
   const reply = await ask(this, { type: 'askSilences' });
@@ -162,7 +165,7 @@
 });
 
 Then(
-  'the answer is {string}, asked for as {string}',
+  'the reply is {string}, requested as {string}',
   function (this: World, answer: string, form: string) {
     assert.deepEqual(this.replies, [answer]);
     assert.deepEqual(this.requestedKinds, form === 'nothing' ? [] : [form]);
@@ -177,7 +180,7 @@
   },
 );
 
-/** A member of an older build: it says nothing of silences, and tells its log. */
+/** The reply of a member of an older build, which reports no silences but answers pulls. */
 function answerAsOlder(member: Member, request: UnnumberedRequest): ReplicaReply {
   if (request.type !== 'pull') {
     return { type: 'notKnown', call: 1 };
@@ -187,7 +190,7 @@
 }
 
 Given(
-  'a replica outside the members, which are of a build that says nothing of silences',
+  'a non-member replica, and members of a build that does not report silences',
   function (this: World) {
     this.outsideClock = new VirtualClock();
     const process = new SimulatedProcess('o', this.outsideClock, createRandom(1)).begin();
@@ -234,7 +237,7 @@
   },
 );
 
-Given('a replica that serves', async function (this: World) {
+Given('a replica with a server', async function (this: World) {
   const directory = new MemberDirectory(runtime);
   const storage = new MemoryTurnStorage(runtime);
   this.servingReplica = new Replica({ id: 'a', runtime, storage, directory });
@@ -247,7 +250,7 @@
 });
 
 When(
-  "it gets a message of a kind beyond today's, and then a question that it knows",
+  'it receives a message of an unknown kind, and then a request that it knows',
   async function (this: World) {
     this.replies = [];
     const socket = connect({ host: HOST, port: this.servingPort });
@@ -267,7 +270,7 @@
 );
 
 Then(
-  'it says of the first that it is not known, and answers the second on the same connection',
+  'it replies that the first is not known, and answers the second on the same connection',
   function (this: World) {
     assert.deepEqual(this.replies, ['notKnown 7', 'chained 8']);
   },
--- a/features/steps/power-loss.steps.ts
+++ b/features/steps/power-loss.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about what outlasts a loss of power, on real files that lose what was not synced. */
+/** Steps about durability, on real files that lose everything not synced when power is lost. */
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import { createRandom } from '../../src/runtime/random.js';
@@ -26,7 +26,7 @@
 const STEPS_PER_SEED = 24;
 const CALL_TIMEOUT_MILLISECONDS = 700;
 const POLL_MILLISECONDS = 20;
-/** Longer than a replica waits after its start before it compacts. */
+/** Time after the start by which compaction is allowed, in milliseconds. */
 const AFTER_COMPACTION_GRACE_MILLISECONDS = 60_000;
 const REPLICA_NAMES = ['a', 'b', 'c'];
 
@@ -55,7 +55,7 @@
 });
 
 Given(
-  "a replica's disk that has acknowledged {int} turns and that it is complete",
+  "a replica's disk that has acknowledged {int} turns and a ready mark",
   async function (this: World, count: number) {
     const disk = new RecordedDisk();
     this.disks = [disk];
@@ -68,12 +68,12 @@
   },
 );
 
-When('power is lost with every name that was not synced', function (this: World) {
+When('power is lost, and with it every unsynced directory entry', function (this: World) {
   return this.disks![0]!.losePower(createRandom(1), LOSE_ALL_NAMES);
 });
 
 Then(
-  'all that was acknowledged is there when the disk is opened again',
+  'everything acknowledged is there when the disk is opened again',
   async function (this: World) {
     const disk = this.disks![0]!;
     await disk.start();
@@ -82,7 +82,7 @@
   },
 );
 
-/** What one seed draws of lives, writes and losses. */
+/** Runs a seeded sequence of writes, restarts and power losses; returns what was missing after a restart. */
 async function runRandomDisk(disk: RecordedDisk, random: RandomSource): Promise<string[]> {
   const missing: string[] = [];
   const acknowledged: string[] = [];
@@ -98,7 +98,7 @@
       continue;
     }
     if (drawn < 0.7) {
-      // Enough lives make a compaction due; it begins with the next write, and may be cut off.
+      // With enough restarts a compaction is due; it starts with the next write and may be interrupted.
       run.skippedMilliseconds = AFTER_COMPACTION_GRACE_MILLISECONDS;
       continue;
     }
@@ -108,7 +108,7 @@
     const { foundTurns } = disk;
     missing.push(...acknowledged.filter((id) => !foundTurns.has(id)));
     if (!disk.foundReady) {
-      missing.push('its word that it is complete');
+      missing.push('the ready mark');
     }
   }
   return missing;
@@ -119,7 +119,7 @@
 }
 
 Given(
-  "a replica's disk whose writes, lives and losses of power are drawn from seed {int} to {int}",
+  "a replica's disk with random writes, restarts and power losses of seeds {int} to {int}",
   { timeout: 60_000 },
   async function (this: World, first: number, last: number) {
     this.acknowledged = [];
@@ -135,7 +135,7 @@
   },
 );
 
-Then('all that was acknowledged was there at each start', function (this: World) {
+Then('everything acknowledged was there at each start', function (this: World) {
   assert.deepEqual(this.acknowledged, []);
 });
 
@@ -145,7 +145,7 @@
 
 const RECORD: MemberRecord = { epoch: 1, members: REPLICA_NAMES.map(memberOf) };
 
-/** Calls that reach whichever replicas run. */
+/** A caller that reaches the replicas that are running. */
 function callerOf(world: World): ReplicaCaller {
   return {
     call: (to, request, timeout, listener) => {
@@ -215,7 +215,7 @@
 );
 
 When(
-  'power is lost at all of them with every name that was not synced, and one disk besides',
+  'all of them lose power and every unsynced directory entry, and one loses its disk',
   async function (this: World) {
     this.syncs!.forEach((sync) => sync.close());
     this.diskReplicas!.forEach((replica) => replica.close());
--- a/features/steps/quotas.steps.ts
+++ b/features/steps/quotas.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about proofs of the configuration and quotas in virtual time: what is sure whatever is cut off or frozen. */
+/** Steps about configuration proofs and quotas in virtual time, under partitions and process freezes. */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -27,7 +27,7 @@
 const READ_MILLISECONDS = 700;
 const MAXIMUM_DELAY_MILLISECONDS = 3_000;
 
-/** Gateways that ask one another; the first reads the store. Each takes a configuration late or never. */
+/** Gateways that exchange proofs; only the first reads the store. Each applies a configuration late or never. */
 class ProofHistory {
   readonly violations: string[] = [];
   private readonly clock = new VirtualClock();
@@ -41,7 +41,7 @@
 
   constructor(
     seed: number,
-    /** A planted fault: an answer counts from when it was received. */
+    /** An injected fault: a proof is dated to the receipt of the answer. */
     private readonly trustsReceiptTime: boolean,
   ) {
     this.random = createRandom(seed);
@@ -82,7 +82,7 @@
     }
   }
 
-  /** The store answers what it holds when it is reached; the reader's time is that of sending. */
+  /** Reads the store after a pause. The proof is dated to the sending of the read. */
   private scheduleRead(index: number): void {
     this.clock.schedule(READ_MILLISECONDS, () => {
       this.processes[index]!.enter(() => {
@@ -155,7 +155,7 @@
     });
   }
 
-  /** Nothing that the store acknowledged before the time of a proof may be missing where it is held. */
+  /** A gateway with a proof must have applied every change that the store acknowledged before the proof's time. */
   private check(): void {
     this.proofs.forEach((proof, index) => {
       const { proven } = proof;
@@ -181,7 +181,7 @@
   assert.ok(caught.some(({ violations }) => violations.length > 0));
 });
 
-/** A gateway's side of the exchange with what it sent; its clock begins at 0, as each process's does. */
+/** Starts a gateway's side of the exchange and records what it sends; its clock starts at 0, as that of any process. */
 function startGateway(seed: number) {
   const clock = new VirtualClock();
   const runtime = new SimulatedProcess('g', clock, createRandom(seed)).begin();
@@ -241,11 +241,11 @@
 
 const WINDOW_MILLISECONDS = 5_000;
 const MEMBERS = 5;
-/** What the users' rules allow beyond the limit: a tenth, and 20 requests. */
+/** The allowed excess over the limit: a tenth of it plus 20 requests. */
 const OVERSHOOT = 1.1;
 const SLACK = 20;
 
-/** Most grants in any window. */
+/** Returns the maximum number of grants in any window. */
 function largestWindow(grants: readonly number[]): number {
   let first = 0;
   let largest = 0;
@@ -262,7 +262,7 @@
   return ((ratePerSecond * WINDOW_MILLISECONDS) / 1_000 + burst) * OVERSHOOT + SLACK;
 }
 
-/** Asks members in a drawn order until one grants; returns when the request runs. */
+/** Asks members, starting at a random one, until one grants; returns the time at which the request runs. */
 function spendAt(
   members: readonly QuotaBuckets[],
   quota: { ratePerSecond: number; burst: number },
@@ -338,7 +338,7 @@
 
 const TENANT = 't' as TenantId;
 
-/** Programs of nine requests, a third of a second apart; one that is refused a request ends. */
+/** Programs of nine requests, a third of a second apart; a program ends when one of its requests is refused. */
 class ProgramLoad {
   granted = 0;
   refusedPrograms = 0;
@@ -354,7 +354,7 @@
     private readonly patienceMilliseconds = 0,
   ) {}
 
-  /** Begins programs until a time. */
+  /** Starts programs at a mean rate until the given time. */
   run(programsPerSecond: number, until: number): void {
     while (this.now < until) {
       this.now += this.random.exponential(1_000 / programsPerSecond);
@@ -367,7 +367,7 @@
     }
   }
 
-  /** Counts anew. */
+  /** Resets the counters. */
   resetCounts(): void {
     this.granted = 0;
     this.refusedPrograms = 0;
@@ -385,7 +385,7 @@
     }
   }
 
-  /** All pauses are alike, so what is added comes last. */
+  /** Schedules a program's next request; all pauses are equal, so the queue stays sorted. */
   private add(at: number, left: number): void {
     this.due.push({ at: at + PAUSE_OF_PROGRAM, left });
   }
--- a/features/steps/reach.steps.ts
+++ b/features/steps/reach.steps.ts
@@ -15,7 +15,7 @@
 const REPLY_DELAY_MILLISECONDS = 3;
 const RESERVE_TIMEOUT_MILLISECONDS = 700;
 
-/** Replicas of which some say nothing. */
+/** Replicas that can be silenced one by one. */
 class SilenceableReplicas implements ReplicaCaller {
   readonly silent = new Set<string>();
 
@@ -36,7 +36,7 @@
   }
 
   notify(): void {
-    // Settlements are not looked at here.
+    // Settlements are ignored.
   }
 }
 
--- a/features/steps/replaced-member.steps.ts
+++ b/features/steps/replaced-member.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about machines that are gone for good and those that take their place. */
+/** Steps about lost machines and their successors. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { playReplacementDay } from '../../src/histories/replacement-day.js';
@@ -22,9 +22,9 @@
 import { ReplicaSync } from '../../src/turns/replica-sync.js';
 import { Replica } from '../../src/turns/replica.js';
 
-/** Turns that each day keeps at least, so that a pass means something. */
+/** Minimum number of turns that each run must store for the test to be meaningful. */
 const MINIMUM_TURNS = 80;
-/** Short, so that the members change while they are split. */
+/** Short, so that the membership changes during the partition, in milliseconds. */
 const SPLIT_CATCH_UP_MILLISECONDS = 6_000;
 
 interface World {
@@ -36,7 +36,7 @@
 }
 
 When(
-  'days of a machine replaced, {string}, with {int} replicas, {int} of them members, {int} disks lost at once and {int} milliseconds to catch up are played with seeds {int} to {int}',
+  'replacement histories {string} with {int} replicas, {int} of them members, {int} disks lost at once and {int} milliseconds to catch up run with seeds {int} to {int}',
   function (
     this: World,
     replacement: Replacement,
@@ -56,7 +56,7 @@
   },
 );
 
-Then('no replacement breaks a promise', function (this: World) {
+Then('no replacement violates a guarantee', function (this: World) {
   const broken = this.replacements!.filter(({ violations }) => violations.length > 0);
   assert.deepEqual(
     broken.map(({ seed, violations }) => `seed ${seed}: ${violations[0]}`),
@@ -66,7 +66,7 @@
 });
 
 When(
-  'days with {int} replicas, {int} of them members, of which {int} are cut off from the others, are played with seeds {int} to {int}',
+  'partition histories with {int} replicas, {int} of them members, of which {int} are cut off from the others, run with seeds {int} to {int}',
   function (
     this: World,
     replicaCount: number,
@@ -84,7 +84,7 @@
   },
 );
 
-Then('no turn that was kept is denied, although the members changed', function (this: World) {
+Then('no stored turn is reported as missing, although the members changed', function (this: World) {
   const broken = this.splits!.filter(({ violations }) => violations.length > 0);
   assert.deepEqual(
     broken.map(({ seed, violations }) => `seed ${seed}: ${violations[0]}`),
@@ -94,10 +94,10 @@
   assert.ok(this.splits!.every(({ epochs }) => epochs > 0));
 });
 
-/** Service is looked at once a second. */
+/** Interval at which the run checks whether requests are served, in milliseconds. */
 const POLL_MILLISECONDS = 1_000;
 
-Then('service is back within the sum of the timers of a return', function (this: World) {
+Then('service resumes within the sum of the recovery timers', function (this: World) {
   const slowest = Math.max(...this.replacements!.map(({ servedAfter }) => servedAfter));
   assert.ok(slowest <= worstRecoveryMilliseconds() + POLL_MILLISECONDS, `${slowest} ms`);
 });
@@ -117,7 +117,7 @@
   },
 );
 
-Then("the sums of the replicas' timers fit all of them", function (this: World) {
+Then("the sums of the replicas' timers meet all bounds", function (this: World) {
   assert.deepEqual(unmetBounds(this.bounds!, this.sameZoneMembers!), []);
 });
 
@@ -165,13 +165,13 @@
   },
 );
 
-When('{int} milliseconds pass there', function (this: World, milliseconds: number) {
+When('{int} milliseconds pass at the replica', function (this: World, milliseconds: number) {
   const { clock } = this.observer!;
   clock.runUntil(clock.now + milliseconds);
 });
 
 Then(
-  'it believes {string} silent for at least {int} milliseconds',
+  'it considers {string} silent for at least {int} milliseconds',
   function (this: World, name: string, milliseconds: number) {
     assert.ok(this.observer!.sync.silenceOf(name) >= milliseconds);
   },
--- a/features/steps/replica-link.steps.ts
+++ b/features/steps/replica-link.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about connections to replicas: real sockets, a clock that the test advances. */
+/** Steps about connections to replicas, with real sockets and a virtual clock. */
 import assert from 'node:assert/strict';
 import { createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
@@ -14,7 +14,7 @@
 
 const HOST = '127.0.0.1';
 const STEP_MILLISECONDS = 25;
-/** Time that is left to the sockets in each step of the clock, in milliseconds. */
+/** Real time given to the sockets in each step of the virtual clock, in milliseconds. */
 const SOCKET_MILLISECONDS = 2;
 
 interface World {
@@ -59,7 +59,7 @@
   world.answeredCalls = 0;
 }
 
-/** Lets virtual time pass, with some real time for the sockets in between. */
+/** Advances virtual time step by step, with real time for the sockets in between. */
 async function pass(
   world: World,
   milliseconds: number,
@@ -79,7 +79,7 @@
 });
 
 Given(
-  'a replica whose first connection says nothing while later ones answer',
+  'a replica whose first connection is silent while later ones answer',
   async function (this: World) {
     await startReplica(this, 1);
   },
@@ -90,7 +90,7 @@
 });
 
 When(
-  'it is called again and again, each call waiting {int} milliseconds',
+  'it is called repeatedly with a timeout of {int} milliseconds',
   function (this: World, wait: number) {
     const call = (): void =>
       this.linkCaller.call(this.linkMember, PRESENCE_PROBE, wait, (reply) => {
--- a/features/steps/replicas.steps.ts
+++ b/features/steps/replicas.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about replicas in virtual time: who is active, who is emptied, what is copied. */
+/** Steps about replicas in virtual time: membership, retirement and the copying of turns. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { createRandom } from '../../src/runtime/random.js';
@@ -29,7 +29,7 @@
   assert.equal(this.replicas!.activeNames().length, count);
 });
 
-When('one active replica dies for good', function (this: World) {
+When('one active replica is lost permanently', function (this: World) {
   this.replicas!.kill(this.replicas!.activeNames()[0]!);
 });
 
@@ -40,7 +40,7 @@
   this.replicas!.start(name!);
 });
 
-When('a replica that stands by is to be emptied', function (this: World) {
+When('a standby replica is being retired', function (this: World) {
   const active = new Set(this.replicas!.activeNames());
   this.standby = this.replicas!.runningNames().find((name) => !active.has(name))!;
   this.replicas!.store.retiring.add(this.standby);
@@ -56,15 +56,18 @@
 );
 
 Then(
-  'within {int} milliseconds it is told to be empty',
+  'within {int} milliseconds its retirement is reported as finished',
   function (this: World, milliseconds: number) {
     const { clock, replicas, standby } = this;
     const finished = (): boolean => replicas!.store.finished.has(standby!);
-    assert.ok(clock!.runUntil(clock!.now + milliseconds, finished), 'it is not empty');
+    assert.ok(
+      clock!.runUntil(clock!.now + milliseconds, finished),
+      'its retirement is not finished',
+    );
   },
 );
 
-/** Starts replicas that gateways keep writing to. */
+/** Starts replicas under a continuous load of writes. */
 function startBusyReplicas(
   world: World,
   count: number,
@@ -108,7 +111,7 @@
 );
 
 When(
-  'machine {string} is to be emptied and {string} stands still for {int} milliseconds as it leaves',
+  'machine {string} is being retired and {string} pauses for {int} milliseconds as it leaves',
   function (this: World, name: string, slow: string, milliseconds: number) {
     const { clock, replicas } = this;
     assert.ok(replicas!.activeNames().includes(name) && replicas!.activeNames().includes(slow));
@@ -121,12 +124,12 @@
   },
 );
 
-When('machine {string} is to be emptied', function (this: World, name: string) {
+When('machine {string} is being retired', function (this: World, name: string) {
   this.replicas!.store.retiring.add(name);
 });
 
 When(
-  'machine {string} is to be emptied while no report of it gets through',
+  'machine {string} is being retired while no report of it gets through',
   function (this: World, name: string) {
     this.replicas!.store.refusesReports = true;
     this.replicas!.store.retiring.add(name);
@@ -138,18 +141,21 @@
   function (this: World, name: string, milliseconds: number) {
     this.clock!.runUntil(this.clock!.now + milliseconds);
     this.replicas!.kill(name);
-    // Longer than a member counts as present after its last pull.
+    // Longer than the time for which a member's last pull counts as recent.
     this.clock!.runUntil(this.clock!.now + 1_700);
     this.replicas!.store.refusesReports = false;
   },
 );
 
 Then(
-  'within {int} milliseconds it is told to be empty and the others hold every turn',
+  'within {int} milliseconds its retirement is reported as finished and the others hold every turn',
   function (this: World, milliseconds: number) {
     const { clock, replicas, keptTurns } = this;
     const finished = (): boolean => replicas!.store.finished.has('m1');
-    assert.ok(clock!.runUntil(clock!.now + milliseconds, finished), 'it is not empty');
+    assert.ok(
+      clock!.runUntil(clock!.now + milliseconds, finished),
+      'its retirement is not finished',
+    );
     const lacking = keptTurns!.filter(
       (turn) => replicas!.holdersOf(turn).filter((name) => name !== 'm1').length < 2,
     );
@@ -169,7 +175,7 @@
   clock.runUntil(clock.now + 2_000);
 });
 
-When('{int} turns are kept', function (this: World, count: number) {
+When('{int} turns are stored', function (this: World, count: number) {
   const { client } = this.replicas!.client('g', 'z1', 'm1');
   this.keptTurns = [];
   for (let index = 1; index <= count; index += 1) {
--- a/features/steps/turns.steps.ts
+++ b/features/steps/turns.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about token accounts, writes to a quorum and what a replica's disk holds. */
+/** Steps about token accounts, quorum writes and a replica's storage. */
 import assert from 'node:assert/strict';
 import { appendFileSync, copyFileSync, mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -20,7 +20,7 @@
 import { SegmentTurnStorage } from '../../src/turns/segment-turn-storage.js';
 import type { WrittenChange } from '../../src/turns/turn-storage.js';
 
-/** Replicas that answer, refuse or say nothing; counts what they are asked. */
+/** Replicas that acknowledge, refuse or never answer; counts the messages sent to them. */
 interface AnsweringReplicas {
   readonly record: MemberRecord;
   readonly caller: ReplicaCaller;
@@ -75,7 +75,7 @@
       const list = drawn.map(({ turn, mostTokens, settled }) => ({
         turn,
         mostTokens,
-        // What a turn used is one fact, told once or more.
+        // All settlements of a turn report the same number of used tokens.
         usedTokens: settled ? turn.charCodeAt(1) : undefined,
       }));
       const random = createRandom(seed);
@@ -121,11 +121,11 @@
   await this.storage.load((change) => this.found!.push(change));
 });
 
-Given('a write was torn off at the end of its newest file', function (this: World) {
+Given('its newest file ends in a torn write', function (this: World) {
   appendFileSync(join(this.folder!, 'segment-1.log'), Buffer.from([9, 0, 0, 0, 1, 2, 3]));
 });
 
-Given('an older file came back that had been removed', function (this: World) {
+Given('an older, removed file has reappeared', function (this: World) {
   copyFileSync(join(this.folder!, 'segment-1.log'), join(this.folder!, 'segment-0.log'));
 });
 
@@ -160,7 +160,7 @@
   return state;
 }
 
-/** Copies what `to` lacks of `from`; returns how many reservations were sent. */
+/** Copies the reservations that `to` lacks from `from`; returns how many were sent. */
 function pullMissing(to: ReplicaState, from: ReplicaState): number {
   const missing = to.missingDigests(unpackDigests(from.readLog(0).digests));
   const sent = from.entriesByDigest(missing);
@@ -173,20 +173,23 @@
   return entries.map((entry) => JSON.stringify(entry)).sort();
 }
 
-Then('any two sets of reservations are made level by the digests that each lacks', function () {
-  fc.assert(
-    fc.property(fc.array(reservation), fc.array(reservation), (left, right) => {
-      const [one, other] = [stateOf(left), stateOf(right)];
-      pullMissing(one, other);
-      pullMissing(other, one);
-      assert.deepEqual(contentOf(one), contentOf(other));
-      assert.deepEqual(contentOf(one), contentOf(stateOf([...left, ...right])));
-      assert.equal(pullMissing(one, other) + pullMissing(other, one), 0);
-    }),
-  );
-});
+Then(
+  'any two sets of reservations converge when the reservations of missing digests are exchanged',
+  function () {
+    fc.assert(
+      fc.property(fc.array(reservation), fc.array(reservation), (left, right) => {
+        const [one, other] = [stateOf(left), stateOf(right)];
+        pullMissing(one, other);
+        pullMissing(other, one);
+        assert.deepEqual(contentOf(one), contentOf(other));
+        assert.deepEqual(contentOf(one), contentOf(stateOf([...left, ...right])));
+        assert.equal(pullMissing(one, other) + pullMissing(other, one), 0);
+      }),
+    );
+  },
+);
 
-Then('who knows a reservation settled lacks no word of it open', function () {
+Then('a replica that holds a settled reservation does not fetch its open state', function () {
   fc.assert(
     fc.property(fc.array(reservation), (entries) => {
       const open = entries.map((entry) => ({ ...entry, usedTokens: undefined }));
@@ -225,7 +228,7 @@
   },
 );
 
-When('{int} writes with keys of their own are made', function (this: World, count: number) {
+When('{int} writes with distinct keys are made', function (this: World, count: number) {
   const { clock, answering } = this;
   const runtime = new SimulatedProcess('g', clock!, createRandom(1)).begin();
   this.writtenCount = 0;
--- a/features/steps/two-builds.steps.ts
+++ b/features/steps/two-builds.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about builds that run side by side: frozen bytes of older ones, and strange bytes of newer ones. */
+/** Steps about compatibility between builds: frozen bytes of older builds and unknown bytes of newer ones. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { crc32 } from 'node:zlib';
@@ -47,12 +47,12 @@
   builtReplica: Replica;
 }
 
-/** Bytes of kinds that came after the oldest build that is met, with the call 9. */
+/** Bytes of the message kinds that are newer than the frozen samples, with the call number 9. */
 const NEWER_MESSAGES: Readonly<Record<string, string>> = { notKnown: '1400000009' };
 const RECORD_HEADER_BYTES = 8;
 const UNKNOWN_RECORD_KIND = 4;
 
-/** Buffers stand in the samples as `{ bytes: hex }`. */
+/** Revives buffers, which the samples contain as `{ bytes: hex }`. */
 function revive(_key: string, value: unknown): unknown {
   const bytes = (value as { bytes?: unknown } | null)?.bytes;
   return typeof bytes === 'string' ? Buffer.from(bytes, 'hex') : value;
@@ -69,7 +69,7 @@
   return JSON.parse(JSON.stringify(value));
 }
 
-/** A gateway's side of the exchange of proofs, with what it sends, as hexadecimal text. */
+/** A gateway's side of the proof exchange; collects what it sends, in hexadecimal. */
 function proofExchange(): { sent: string[]; take: (bytes: Uint8Array) => void } {
   const clock = new VirtualClock();
   const runtime = new SimulatedProcess('g', clock, createRandom(1)).begin();
@@ -136,7 +136,7 @@
   this.samples = samplesOf(build);
 });
 
-Then('each is read as what it was made of, and made of that again', function (this: World) {
+Then('each is decoded to its original value and encoded to the same bytes', function (this: World) {
   this.samples.forEach((sample) => READERS[sample.form](sample, this.samples));
 });
 
@@ -149,7 +149,7 @@
 );
 
 Then(
-  'the kinds of messages beyond those of {string} have the bytes that were declared for them',
+  'the message kinds beyond those of {string} have their declared bytes',
   function (build: string) {
     const frozen = samplesOf(build).filter(({ form }) => form === 'message').length;
     const newer = REPLICA_MESSAGE_KINDS.slice(frozen);
@@ -162,7 +162,7 @@
   },
 );
 
-Then('the kinds of records on disk are those of {string}', function (build: string) {
+Then('the record kinds on disk are those of {string}', function (build: string) {
   const frozen = samplesOf(build).filter(({ form }) => form === 'record');
   const kinds = frozen.map(({ hex }) => Buffer.from(hex, 'hex')[RECORD_HEADER_BYTES]);
   assert.deepEqual(kinds, [0, 1, 2, 3]);
@@ -170,7 +170,7 @@
     recordOf(Buffer.from([UNKNOWN_RECORD_KIND])),
     () => undefined,
   );
-  assert.equal(unknownRecords, 1, 'a kind that is added has its sample here');
+  assert.equal(unknownRecords, 1, 'a new record kind needs a sample');
 });
 
 function recordOf(content: Uint8Array): Buffer {
@@ -180,7 +180,7 @@
   return Buffer.concat([header, content]);
 }
 
-Then('any message is read the same with any sections behind it', function () {
+Then('any message is decoded alike with any sections appended', function () {
   fc.assert(
     fc.property(anyMessage, anySections, (message, sections) => {
       const encoded = encodeReplicaMessage(message);
@@ -191,7 +191,7 @@
   );
 });
 
-Then("any message of a kind beyond today's is told as unknown, with its call", function () {
+Then('any message of an unknown kind is decoded as unknown, with its call number', function () {
   const kinds = fc.integer({ min: REPLICA_MESSAGE_KINDS.length, max: 0xff });
   fc.assert(
     fc.property(kinds, fc.nat(0xffff_ffff), fc.uint8Array(), (kind, call, rest) => {
@@ -205,7 +205,7 @@
 });
 
 Then(
-  'any record is read the same with any sections behind it and strange records between',
+  'any record is decoded alike with any sections appended and unknown records in between',
   function () {
     const kinds = fc.integer({ min: UNKNOWN_RECORD_KIND, max: 0xff });
     const strange = fc
@@ -234,38 +234,32 @@
   },
 );
 
-Then(
-  'a message between gateways about proofs is read the same with sections behind it',
-  function () {
-    const question = samplesOf('8a76974').find(({ value }) => value.type === 'question')!;
-    fc.assert(
-      fc.property(anySections, (sections) => {
-        const { sent, take } = proofExchange();
-        take(Buffer.concat([Buffer.from(question.hex, 'hex'), sections]));
-        take(Uint8Array.of(9, 1, 2, 3));
-        assert.equal(sent.length, 1);
-      }),
-    );
-  },
-);
+Then('a proof message between gateways is decoded alike with sections appended', function () {
+  const question = samplesOf('8a76974').find(({ value }) => value.type === 'question')!;
+  fc.assert(
+    fc.property(anySections, (sections) => {
+      const { sent, take } = proofExchange();
+      take(Buffer.concat([Buffer.from(question.hex, 'hex'), sections]));
+      take(Uint8Array.of(9, 1, 2, 3));
+      assert.equal(sent.length, 1);
+    }),
+  );
+});
 
-Then(
-  'any sections of strange kinds behind the loads of a gateway change nothing of them',
-  function () {
-    const sample = samplesOf('8a76974').find(({ form }) => form === 'load')!;
-    const bytes = Buffer.from(sample.hex, 'hex');
-    // Older builds draw their lives up to here, and refuse a tail.
-    assert.ok(FIRST_LIFE_WITH_EXTENSIONS > 2 ** 31);
-    fc.assert(
-      fc.property(fc.integer({ min: 2, max: 0xff }), fc.uint8Array(), (kind, content) => {
-        const grown = Buffer.concat([bytes, encodeSections([{ kind, content }])]);
-        assert.deepEqual(decodeLoadMessage(grown), decodeLoadMessage(bytes));
-      }),
-    );
-  },
-);
+Then('any unknown sections appended to a load message leave its loads unchanged', function () {
+  const sample = samplesOf('8a76974').find(({ form }) => form === 'load')!;
+  const bytes = Buffer.from(sample.hex, 'hex');
+  // Older builds draw life numbers up to 2^31 and reject extensions.
+  assert.ok(FIRST_LIFE_WITH_EXTENSIONS > 2 ** 31);
+  fc.assert(
+    fc.property(fc.integer({ min: 2, max: 0xff }), fc.uint8Array(), (kind, content) => {
+      const grown = Buffer.concat([bytes, encodeSections([{ kind, content }])]);
+      assert.deepEqual(decodeLoadMessage(grown), decodeLoadMessage(bytes));
+    }),
+  );
+});
 
-Then('fields of a newer build stay in the record of members when that changes', function () {
+Then('fields of a newer build stay in the membership record when it changes', function () {
   const sample = samplesOf('8a76974').find(({ form }) => form === 'members')!;
   const value = sample.value as unknown as MemberRecord;
   const [first, ...others] = value.members;
--- a/features/support/acknowledgement-model.ts
+++ b/features/support/acknowledgement-model.ts
@@ -1,7 +1,7 @@
 /**
- * The rule by which a replica becomes complete, by itself: members acknowledge writes, join, lose their
- * disks one at a time, and read from as few others as the rule asks for, drawn as unluckily as they come.
- * Nothing is levelled in the background, so that the rule alone has to keep every write.
+ * A model of the rule by which a replica becomes complete: members acknowledge writes, join, lose their disks one at a
+ * time, and read from a random minimal set of members that the rule requires. There is no background replication, so
+ * the rule alone has to preserve every write.
  */
 import { drawSeveral } from '../../src/histories/draw-several.js';
 import type { RandomSource } from '../../src/runtime/random.js';
@@ -13,12 +13,12 @@
 } from '../../src/turns/membership.js';
 import type { MemberRecord } from '../../src/turns/membership.js';
 
-/** Mistakes planted to show that the model notices them. */
+/** Faults injected to show that the model detects them. */
 export type InjectedFault =
   | 'none'
-  /** One that lost its disk counts as one that has acknowledged nothing. */
+  /** A member that lost its disk counts as one that has acknowledged nothing. */
   | 'lostCountsAsFresh'
-  /** Members that are not complete yet count as if they had nothing that could be missed. */
+  /** Incomplete members count as if they held no writes that could be missed. */
   | 'onlyCompleteCount';
 
 interface ModelMember {
@@ -30,12 +30,12 @@
 const STEPS = 60;
 const MAXIMUM_MEMBERS = 6;
 
-/** See the head of this file. */
+/** Runs random steps of the model and checks after each that no write can be reported as missing. */
 export class AcknowledgementModel {
   private members: ModelMember[] = [{ id: 'm1', standing: 'complete', writes: new Set() }];
   private memberCount = 1;
   private writeCount = 0;
-  /** Steps that did something, by kind. */
+  /** Number of steps that had an effect, by kind. */
   readonly effectiveSteps: Record<string, number> = {};
 
   constructor(
@@ -43,7 +43,7 @@
     private readonly injectedFault: InjectedFault,
   ) {}
 
-  /** Plays; tells the first write that could be said to be missing, or undefined. */
+  /** Runs the model; returns the first write that could be reported as missing, or undefined. */
   run(): string | undefined {
     const steps: Readonly<Record<string, () => boolean>> = {
       write: () => this.write(),
@@ -116,7 +116,7 @@
     return true;
   }
 
-  /** What a member that is to become complete believes of each, itself too. */
+  /** Whether a recovering member assumes that a member, itself included, may have acknowledged writes. */
   private mayHaveAcknowledged(other: ModelMember, member: ModelMember): boolean {
     switch (this.injectedFault) {
       case 'none':
@@ -140,7 +140,7 @@
     return true;
   }
 
-  /** A complete one goes once enough others, and all that are complete, have read all that it has. */
+  /** A complete member leaves once all other complete members, enough for a majority, have read its writes. */
   private leave(): boolean {
     const complete = this.completeMembers();
     if (complete.length <= MINIMUM_MEMBERS) {
@@ -158,7 +158,7 @@
     return true;
   }
 
-  /** A silent one is taken out once all others are complete and have read all of one another. */
+  /** A silent member is removed once all others are complete and have read each other's writes. */
   private remove(): boolean {
     const silent = this.random.pick(this.members);
     const others = this.members.filter((other) => other !== silent);
@@ -172,7 +172,7 @@
     return true;
   }
 
-  /** A write that enough complete members lack to say, together, that it doesn't exist. */
+  /** Returns a write that a read quorum of complete members lacks, so that it would be reported as missing. */
   private findMissing(): number | undefined {
     const complete = this.completeMembers();
     const needed = readQuorumOf(this.record);
--- a/features/support/recorded-disk.ts
+++ b/features/support/recorded-disk.ts
@@ -1,4 +1,4 @@
-/** A replica's storage on real files, through lives that end with or without a loss of power. */
+/** A replica's storage on real files across process runs that end with or without a power loss. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -12,13 +12,13 @@
 import { SegmentTurnStorage } from '../../src/turns/segment-turn-storage.js';
 import type { StorageChange, WrittenChange } from '../../src/turns/turn-storage.js';
 
-/** Surroundings of one life: its timers fall silent once it is over. */
+/** The runtime of one process run; its timers no longer fire once it has ended. */
 export class ProcessRun {
   private over = false;
-  /** Added to the clock, so that a test needs no wait, in milliseconds. */
+  /** Offset added to the clock, so that a test need not wait, in milliseconds. */
   skippedMilliseconds = 0;
 
-  /** Nothing of this life happens after this, but for what the disk is doing. */
+  /** Ends the run; only disk operations in flight continue. */
   end(): void {
     this.over = true;
   }
@@ -35,7 +35,7 @@
   };
 }
 
-/** See the head of this file. */
+/** A disk whose operations are recorded, so that a power loss can discard everything not synced. */
 export class RecordedDisk {
   private readonly base = mkdtempSync(join(tmpdir(), 'ivyloom-power-'));
   private readonly folder: RecordedFolder = {
@@ -45,10 +45,10 @@
   private readonly endRecording = recordFolder(this.folder);
   private run = new ProcessRun();
   private open: SegmentTurnStorage | undefined;
-  /** What was found at the last start. */
+  /** Changes read at the last start. */
   found: WrittenChange[] = [];
 
-  /** Begins a life. */
+  /** Starts a process run and reads the disk. */
   async start(): Promise<ProcessRun> {
     this.run = new ProcessRun();
     const { runtime } = this.run;
@@ -64,7 +64,7 @@
     return this.open;
   }
 
-  /** Ends a life; what the disk is doing is done. */
+  /** Ends the process run after its disk operations have completed. */
   async stop(): Promise<void> {
     this.run.end();
     const { open } = this;
@@ -74,40 +74,40 @@
     }
   }
 
-  /** Ends a life by a loss of power. */
+  /** Ends the process run with a power loss; `nameLoss` is the probability that an unsynced name change is undone. */
   async losePower(random: RandomSource, nameLoss: number): Promise<void> {
     await this.stop();
     losePower(this.folder, { random, nameLoss });
   }
 
-  /** Ends a life and takes all that is on the disk away. */
+  /** Ends the process run and deletes everything on the disk. */
   async loseDisk(): Promise<void> {
     await this.stop();
     rmSync(this.folder.root, { recursive: true, force: true });
     rmSync(this.folder.ledger, { force: true });
   }
 
-  /** Ends the last life and removes all files. */
+  /** Ends the process run and removes all files. */
   async remove(): Promise<void> {
     await this.stop();
     this.endRecording();
     rmSync(this.base, { recursive: true, force: true });
   }
 
-  /** Writes changes; resolves when they are acknowledged. */
+  /** Writes changes; resolves once they are durable. */
   async write(changes: readonly StorageChange[]): Promise<void> {
     const durable = await new Promise<boolean>((resolve) => this.storage.write(changes, resolve));
     assert.equal(durable, true);
   }
 
-  /** Ids of the turns found at the last start. */
+  /** Ids of the turns read at the last start. */
   get foundTurns(): Set<string> {
     return new Set(
       this.found.flatMap((change) => (change.tag === 'turn' ? [change.turn.turn.id] : [])),
     );
   }
 
-  /** Whether the replica's last word of itself, as found, is that its state is complete. */
+  /** Whether the last metadata record read at the last start marks the state as ready. */
   get foundReady(): boolean {
     return this.found.findLast((change) => change.tag === 'meta')?.meta.ready ?? false;
   }
--- a/features/support/wire-arbitraries.ts
+++ b/features/support/wire-arbitraries.ts
@@ -1,4 +1,4 @@
-/** Any messages between gateways and replicas, any changes on disk, and any sections behind them. */
+/** Generators of messages between gateways and replicas, of changes on disk, and of appended sections. */
 import fc from 'fast-check';
 import { CHAIN_STATES, REPLICA_OUTCOMES } from '../../src/turns/messages.js';
 import type { ReplicaMessage } from '../../src/turns/messages.js';
@@ -44,7 +44,7 @@
 
 type Fields = Record<string, fc.Arbitrary<unknown>>;
 
-/** Fields of each kind, by its name. */
+/** Generators of the fields of each message kind, by name. */
 export const MESSAGE_FIELDS: Readonly<Record<string, Fields>> = {
   reserve: { call: whole, epoch: whole, entry },
   settle: { entry },
@@ -69,14 +69,14 @@
   notKnown: { call: whole },
 };
 
-/** Any message of any kind. */
+/** Generates a message of any kind. */
 export const anyMessage = fc.oneof(
   ...Object.entries(MESSAGE_FIELDS).map(([type, fields]) =>
     fc.record({ type: fc.constant(type), ...fields }, plain),
   ),
 ) as unknown as fc.Arbitrary<ReplicaMessage>;
 
-/** Any change that is written. */
+/** Generates any change that is written as a record. */
 export const anyChange: fc.Arbitrary<WrittenChange> = fc.oneof(
   fc.record(
     {
@@ -99,7 +99,7 @@
   ),
 );
 
-/** Sections of any kinds, as bytes. */
+/** Generates one or more encoded sections of any kinds. */
 export const anySections = fc
   .array(fc.record({ kind: fc.nat(0xff), content: fc.uint8Array({ maxLength: 30 }) }, plain), {
     minLength: 1,
--- a/features/turns.feature
+++ b/features/turns.feature
@@ -1,8 +1,8 @@
-Feature: Kept turns and token accounts
-  Turns that were answered whole are found again, and no program gets more tokens than its budget,
-  through whatever gateway, whatever happens to one disk while all power is lost elsewhere.
+Feature: Conversation turns and token accounts
+  Turns that were answered completely can be read again, and no program gets more tokens than its budget,
+  through any gateway, even when one disk is lost and all other machines lose power.
 
-  Scenario Outline: Seeded histories under faults keep every promise
+  Scenario Outline: Seeded fault histories violate no guarantee
     When histories of turns with seeds <first> to <last> are played
     Then no promise about turns is broken
     And turns were kept, tokens granted and budgets refused
@@ -12,7 +12,7 @@
       | first | last |
       | 1     | 30   |
 
-  Scenario Outline: Histories in which replicas stand by keep every promise too
+  Scenario Outline: Histories with standby replicas violate no guarantee
     When histories of turns with seeds <first> to <last> are played with 8 replicas of which 3 are to be members
     Then no promise about turns is broken
     And turns were kept, tokens granted and budgets refused
@@ -22,7 +22,7 @@
       | first | last |
       | 1     | 30   |
 
-  Scenario Outline: Histories in which two replicas are lost at once keep every promise too
+  Scenario Outline: Histories in which two replicas are lost at once violate no guarantee
     When histories of turns with seeds <first> to <last> are played with <replicas> replicas of which 5 are to be members and 2 are lost at once
     Then no promise about turns is broken
     And turns were kept, tokens granted and budgets refused
@@ -32,11 +32,11 @@
       | first | last | replicas |
       | 1     | 25   | 9        |
 
-  Scenario: As many members are named as the losses at once ask for, and no more
-    Then a majority of the members named for some losses outlives them and stays a majority
-    And with one member fewer it would not stay one, or too few would be left
+  Scenario: The number of members is the minimum that the tolerated losses require
+    Then with the members that a number of losses requires, a majority survives these losses
+    And with one member fewer no majority would survive, or the minimum would not be met
 
-  Scenario Outline: The checker finds a planted fault
+  Scenario Outline: The checker detects an injected fault
     When histories of turns are played with the planted fault "<fault>"
     Then a promise about "<promise>" is broken
 
@@ -46,16 +46,16 @@
       | replicas acknowledge before the disk   | history |
       | accounts never reach the disks         | budget  |
 
-  Scenario: An account merges to the same whatever the order
+  Scenario: Reservations merge to the same account in any order
     Then reservations merge to the same account in any order and any number of times
 
-  Scenario: Majorities of neighbouring epochs overlap
-    Then any majority of a record meets any majority of the record with one member more
+  Scenario: Majorities of consecutive epochs overlap
+    Then any majority of a record overlaps any majority of the record with one member more
 
-  Scenario Outline: What a replica does about the members
+  Scenario Outline: How a replica decides on the membership record
     Given replicas "<members>" and this one is "<self>"
     And its state is <state>
-    When members "<silent>" are silent, it is level with "<level>" and machines "<retiring>" are to be emptied
+    When members "<silent>" are silent, it is caught up with "<level>" and machines "<retiring>" are being retired
     Then it decides to <action>
 
     Examples:
@@ -78,9 +78,9 @@
       | a b c d | a    | complete   |        | b c d | a        | Remove a  |
       | a b c   | a    | complete   | c      | b c   | a        | Wait      |
 
-  Scenario Outline: A replica joins while the record names too few, those of other zones first
+  Scenario Outline: A replica joins while there are too few members, replicas in other zones first
     Given replicas "" and this one is "a"
-    When the record is to name <wanted> members and has named "<members>" with zones "<zones>" for <vacant> milliseconds
+    When <wanted> members are wanted and the record has named "<members>" with zones "<zones>" for <vacant> milliseconds
     Then it decides to <action>
 
     Examples:
@@ -91,38 +91,38 @@
       | 5      | b c d   | z1 z2 z3 | 1100   | Join   |
       | 5      | b c d   | z1 z1 z3 | 1100   | Wait   |
 
-  Scenario: No more replicas are members than the loss to be borne asks for; others take vacant places
+  Scenario: Only as many replicas as wanted are members; standbys fill vacancies
     Given 9 replicas of which 5 are to be members
     Then 5 replicas are active
-    When one active replica dies for good
+    When one active replica is lost permanently
     Then within 6500 milliseconds 5 replicas are active
-    When a replica that stands by is to be emptied
-    Then within 1000 milliseconds it is told to be empty
+    When a standby replica is being retired
+    Then within 1000 milliseconds its retirement is reported as finished
 
-  Scenario: One that stands by takes the place of a member that is gone although no more than three were named
+  Scenario: A standby replaces a lost member of a record that names only three
     Given 4 replicas of which 3 are to be members
     Then 3 replicas are active
-    When one active replica dies for good
+    When one active replica is lost permanently
     Then within 9000 milliseconds 3 replicas are active
     When one active replica loses its disk
     Then within 3000 milliseconds 3 replicas are active
 
-  Scenario: A turn that a replica lacks is copied from one other, not from all
+  Scenario: A missing turn is copied from one other replica, not from all
     Given 5 replicas that are members
-    When 150 turns are kept
+    When 150 turns are stored
     Then within 3000 milliseconds all replicas hold all turns
     And each turn was copied 1.3 times on average at most
     When replica "m5" loses its disk and starts again
     Then within 5000 milliseconds all replicas hold all turns
     And each turn was copied 1.3 times on average at most
 
-  Scenario: Replicas that hold the same reservations find that out by digests alone
-    Then any two sets of reservations are made level by the digests that each lacks
-    And who knows a reservation settled lacks no word of it open
+  Scenario: Replicas compare their reservations by digests alone
+    Then any two sets of reservations converge when the reservations of missing digests are exchanged
+    And a replica that holds a settled reservation does not fetch its open state
 
-  Scenario Outline: A write reaches a majority with few messages and in spite of dead replicas
+  Scenario Outline: A write reaches a majority with few messages and despite dead replicas
     Given <members> replicas of which <dead> never answer and <refusing> refuse
-    When 40 writes with keys of their own are made
+    When 40 writes with distinct keys are made
     Then <written> are acknowledged by a majority, with at most <messages> messages
 
     Examples:
@@ -134,35 +134,35 @@
       | 9       | 2    | 3        | 0       | 360      |
       | 3       | 0    | 2        | 0       | 120      |
 
-  Scenario: A busy machine is emptied in time
+  Scenario: A busy machine is retired in time
     Given 4 replicas that take 200 writes a second
-    When machine "m1" is to be emptied
-    Then within 3000 milliseconds it is told to be empty and the others hold every turn
+    When machine "m1" is being retired
+    Then within 3000 milliseconds its retirement is reported as finished and the others hold every turn
 
-  Scenario: A machine is emptied although a member died after it had read all
+  Scenario: A machine is retired although a member died after reading its whole log
     Given 4 replicas that take 50 writes a second
-    When machine "m1" is to be emptied while no report of it gets through
+    When machine "m1" is being retired while no report of it gets through
     And machine "m3" dies after 2000 milliseconds and reports get through again
-    Then within 1500 milliseconds it is told to be empty and the others hold every turn
+    Then within 1500 milliseconds its retirement is reported as finished and the others hold every turn
 
-  Scenario: A machine is emptied although another took its place before all had read it
+  Scenario: A machine is retired although another one joined before all members had read its log
     Given 7 replicas of which 5 are to be members that take 50 writes a second
-    When machine "m1" is to be emptied and "m3" stands still for 2500 milliseconds as it leaves
-    Then within 3000 milliseconds it is told to be empty and the others hold every turn
+    When machine "m1" is being retired and "m3" pauses for 2500 milliseconds as it leaves
+    Then within 3000 milliseconds its retirement is reported as finished and the others hold every turn
 
   Scenario: A disk holds what was acknowledged
     Given a replica's disk with a turn, a settled reservation and its members
     When the disk is opened again
     Then the turn, the reservation and the members are there
 
-  Scenario: A torn write costs nothing that was acknowledged
+  Scenario: A torn write loses nothing that was acknowledged
     Given a replica's disk with a turn, a settled reservation and its members
-    And a write was torn off at the end of its newest file
+    And its newest file ends in a torn write
     When the disk is opened again
     Then the turn, the reservation and the members are there
 
-  Scenario: A removed file that comes back after a loss of power changes nothing
+  Scenario: A removed file that reappears after a power loss has no effect
     Given a replica's disk with a turn, a settled reservation and its members
-    And an older file came back that had been removed
+    And an older, removed file has reappeared
     When the disk is opened again
     Then the turn, the reservation and the members are there
