--- a/src/turns/durable-folder.ts
+++ b/src/turns/durable-folder.ts
@@ -19,7 +19,6 @@
     return new DurableFolder(path);
   }
 
-  /** Lists the names of all files. */
   names(): Promise<string[]> {
     return readdir(this.path);
   }
--- a/src/turns/replica-state.ts
+++ b/src/turns/replica-state.ts
@@ -165,7 +165,6 @@
     return { next, end, digests: packDigests(digests), turns };
   }
 
-  /** Position of the end of the log. */
   get logEnd(): number {
     return this.logStart + this.log.length;
   }
--- a/src/turns/replica.ts
+++ b/src/turns/replica.ts
@@ -1,7 +1,7 @@
 /**
  * A replica of conversation turns and token accounts: accepts writes, answers reads, and serves its log to other
- * replicas. Writes are durable before they are acknowledged. Changes commute, so writes may arrive in any order. Only
- * acknowledgements count towards a majority, and only while the replica is active.
+ * replicas. Writes are durable before they are acknowledged. Changes commute, so writes may arrive in any order and are
+ * accepted at any time; acknowledgements count towards a majority only while the replica is active.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import { setRepeatingTimer } from '../runtime/runtime.js';
@@ -67,7 +67,7 @@
   readonly state = new ReplicaState();
   /** Identifies the log of this process; positions are only valid within the log of one process. */
   readonly logName: string;
-  /** Progress of other replicas in this replica's log, by replica. */
+  /** Read progress of other replicas in this replica's log, keyed by replica id. */
   readonly pullers = new Map<string, PullerProgress>();
   /** Whether a majority of the members has recently confirmed that it knows no newer record. */
   holdsQuorum: () => boolean = () => true;
@@ -179,7 +179,7 @@
     this.saveMeta();
   }
 
-  /** Persists a join token and calls back with it once it is durable. */
+  /** Persists a join token, under which nothing was acknowledged yet; calls back with the token once it is durable. */
   prepareJoin(done: (token: JoinToken) => void): void {
     const { id, runtime, storage } = this.options;
     const newToken = `${id} ${runtime.wallTime()} ${runtime.random.uniform()}` as JoinToken;
--- a/src/turns/turn-client.ts
+++ b/src/turns/turn-client.ts
@@ -1,6 +1,6 @@
 /**
  * The gateway's client for stored turns and token accounts. Writes wait for a majority of the replicas and are retried
- * when the membership changes; reads ask the replicas in the own zone first.
+ * until their deadline, under the newest membership record; reads ask the replicas in the gateway's own zone first.
  */
 import type { Runtime } from '../runtime/runtime.js';
 import { fitsBudget } from './account.js';
