--- a/src/scheduling/cache-directory.ts
+++ b/src/scheduling/cache-directory.ts
@@ -1,18 +1,21 @@
-/** What the scheduler believes each back end's prompt cache holds: what was sent, less evictions. */
+/**
+ * Tracks which prompt prefixes each engine is expected to have in its prompt cache. Prefixes are
+ * added when calls finish and removed when engines report evictions, so an entry may be stale.
+ */
 import type { EngineId } from '../model/identifiers.js';
 import type { PromptPrefix } from '../wire/messages.js';
 
-/** Tokens believed cached on one engine for a prompt. */
+/** Number of a prompt's tokens that an engine is expected to have cached. */
 export interface CachedPrefix {
   readonly engine: EngineId;
   readonly tokens: number;
 }
 
-/** Prefix names to the engines that should have them. */
+/** Maps prefix names to the engines expected to have them cached. */
 export class CacheDirectory {
   private readonly enginesByPrefix = new Map<string, Map<EngineId, number>>();
 
-  /** Notes that an engine now holds a prefix. */
+  /** Records that an engine has a prefix cached. */
   add(engine: EngineId, prefix: PromptPrefix): void {
     let engines = this.enginesByPrefix.get(prefix.name);
     if (engines === undefined) {
@@ -22,7 +25,7 @@
     engines.set(engine, prefix.tokens);
   }
 
-  /** Notes that an engine no longer holds a prefix. */
+  /** Records that an engine no longer has a prefix cached. */
   remove(engine: EngineId, name: string): void {
     const engines = this.enginesByPrefix.get(name);
     engines?.delete(engine);
@@ -31,19 +34,22 @@
     }
   }
 
-  /** Forgets a prefix everywhere and returns the engines that held it. */
+  /** Removes a prefix from all engines and returns the engines that had it. */
   forget(name: string): EngineId[] {
     const engines = [...(this.enginesByPrefix.get(name)?.keys() ?? [])];
     this.enginesByPrefix.delete(name);
     return engines;
   }
 
-  /** Engines believed to hold a prefix. */
+  /** Returns the engines expected to have a prefix cached. */
   holders(name: string): EngineId[] {
     return [...(this.enginesByPrefix.get(name)?.keys() ?? [])];
   }
 
-  /** Tokens of a prompt believed cached on an engine: its longest known prefix. */
+  /**
+   * Returns how many tokens of a prompt an engine is expected to have cached. The prefixes are
+   * ordered from longest to shortest; the first one known on the engine counts.
+   */
   cachedTokens(engine: EngineId, prefixes: readonly PromptPrefix[]): number {
     for (const prefix of prefixes) {
       const tokens = this.enginesByPrefix.get(prefix.name)?.get(engine);
@@ -54,7 +60,7 @@
     return 0;
   }
 
-  /** Number of known prefixes. */
+  /** Number of prefixes cached on at least one engine. */
   get size(): number {
     return this.enginesByPrefix.size;
   }
--- a/src/scheduling/cost-model.ts
+++ b/src/scheduling/cost-model.ts
@@ -1,22 +1,23 @@
 /**
- * What work costs on a service's back ends, learned from finished calls: the time per prompt token
- * computed, per token generated alone, and what each neighbour in the batch adds to it.
+ * Estimates the duration of calls on a service's engines by regression over finished calls. The
+ * coefficients are the prefill time per uncached prompt token, the decode time per generated token
+ * in an otherwise empty batch, and the decode time that each concurrent call in the batch adds.
  */
 import { RecursiveLeastSquares } from './recursive-least-squares.js';
 
-/** First guesses, used until calls have finished, in milliseconds. */
+/** Coefficients before the first observation, in milliseconds per token. */
 const INITIAL_COEFFICIENTS = [0.08, 9, 0.4];
-/** How little the guesses are trusted, each at the scale of its feature. */
+/** Initial variances of the coefficients, each at the scale of its feature. */
 const INITIAL_VARIANCES = [1e-4, 1e-1, 1e-2];
-/** Weight of the past after one more observation. */
+/** Weight of earlier observations after each new one. */
 const FORGETTING_FACTOR = 0.999;
-/** Bounds that keep a wild estimate from steering the scheduler, in milliseconds. */
+/** Lower bounds per token, since the regression may yield values near or below 0. */
 const MINIMUM_PREFILL_MILLISECONDS = 0.001;
 const MINIMUM_DECODE_MILLISECONDS = 0.1;
-/** Weight of one more answer in the mean length. */
+/** Weight of each new answer in the moving average of the output length. */
 const OUTPUT_LENGTH_SMOOTHING = 0.02;
 
-/** Learned costs of one service. */
+/** Cost estimates of one service. */
 export class CostModel {
   private readonly regression = new RecursiveLeastSquares(
     [...INITIAL_COEFFICIENTS],
@@ -25,22 +26,27 @@
   );
   private meanOutputTokens = 128;
 
-  /** Milliseconds per uncached prompt token. */
+  /** Prefill time per uncached prompt token. */
   get prefillMillisecondsPerToken(): number {
     return Math.max(MINIMUM_PREFILL_MILLISECONDS, this.regression.coefficients[0]!);
   }
 
-  /** Milliseconds per generated token in an otherwise empty batch. */
+  /** Decode time per generated token in an otherwise empty batch. */
   get decodeMillisecondsPerToken(): number {
     return Math.max(MINIMUM_DECODE_MILLISECONDS, this.regression.coefficients[1]!);
   }
 
-  /** Milliseconds that each other call in the batch adds to a generated token. */
+  /** Decode time that each concurrent call in the batch adds to a generated token. */
   get interferenceMillisecondsPerToken(): number {
     return Math.max(0, this.regression.coefficients[2]!);
   }
 
-  /** Learns from one finished call that shared its engine with others. */
+  /**
+   * Updates the estimates from a finished call.
+   *
+   * @param concurrentCalls number of other calls on the same engine
+   * @param milliseconds time from the start of the call to its answer
+   */
   observe(
     uncachedTokens: number,
     generatedTokens: number,
@@ -52,12 +58,12 @@
     this.regression.observe(features, milliseconds);
   }
 
-  /** Tokens an answer is expected to have, given its upper bound. */
+  /** Expected number of generated tokens, at most `maximumTokens`. */
   expectedOutputTokens(maximumTokens: number): number {
     return Math.min(maximumTokens, this.meanOutputTokens);
   }
 
-  /** Expected milliseconds of a call beside others, without waiting. */
+  /** Expected milliseconds from the start of a call to its answer, without queueing. */
   serviceMilliseconds(
     uncachedTokens: number,
     maximumTokens: number,
@@ -69,14 +75,14 @@
     return uncachedTokens * this.prefillMillisecondsPerToken + decode;
   }
 
-  /** Milliseconds by which a call delays all its neighbours together. */
+  /** Sum of the milliseconds by which a call delays the calls it runs beside. */
   delayToConcurrentCalls(
     uncachedTokens: number,
     maximumTokens: number,
     concurrentCalls: number,
   ): number {
     const decode = this.expectedOutputTokens(maximumTokens) * this.interferenceMillisecondsPerToken;
-    // While a prompt is computed, no neighbour generates.
+    // The engine generates no tokens for other calls during prefill.
     return concurrentCalls * (uncachedTokens * this.prefillMillisecondsPerToken + decode);
   }
 }
--- a/src/scheduling/create-policy.ts
+++ b/src/scheduling/create-policy.ts
@@ -1,14 +1,14 @@
-/** Makes policies by name; every one stays selectable, so that they can be compared for ever. */
+/** Creates scheduling policies by name. */
 import { IvyloomPolicy } from './policies/ivyloom.js';
 import type { Oracle } from './policies/ivyloom.js';
 import { LeastLoadedPolicy } from './policies/least-loaded-fifo.js';
 import { RoundRobinPolicy } from './policies/round-robin-fifo.js';
 import type { SchedulingPolicy } from './pool-view.js';
 
-/** Names of the policies a node may be set to use. */
+/** Policy names accepted in the settings. */
 export type PolicyName = 'ivyloom' | 'least-loaded-fifo' | 'round-robin-fifo' | 'clairvoyant';
 
-/** Every policy name. */
+/** All policy names. */
 export const POLICY_NAMES: readonly PolicyName[] = [
   'ivyloom',
   'least-loaded-fifo',
@@ -16,7 +16,7 @@
   'clairvoyant',
 ];
 
-/** Makes a policy; `clairvoyant` needs an oracle and is `ivyloom` without one. */
+/** Creates a policy. Without an oracle, `clairvoyant` behaves like `ivyloom`. */
 export function createPolicy(name: PolicyName, oracle?: Oracle): SchedulingPolicy {
   switch (name) {
     case 'ivyloom':
--- a/src/scheduling/fifo-queue.ts
+++ b/src/scheduling/fifo-queue.ts
@@ -1,22 +1,21 @@
-/** Calls in order of arrival; the queue of the baseline policies. */
+/** The queue of the baseline policies: calls in order of arrival. */
 import type { CallId } from '../model/identifiers.js';
 import type { CallTicket } from '../wire/messages.js';
 
-/** A first-come-first-served queue with removal. */
+/** A first-in, first-out queue from which any call can be removed. */
 export class FifoQueue {
   private readonly tickets = new Map<CallId, CallTicket>();
 
-  /** Appends a call. */
   add(ticket: CallTicket): void {
     this.tickets.set(ticket.call, ticket);
   }
 
-  /** Removes a call. */
+  /** Removes a call; does nothing if the queue does not contain it. */
   remove(call: CallId): void {
     this.tickets.delete(call);
   }
 
-  /** The call that came first. */
+  /** Returns the oldest call without removing it. */
   peek(): CallTicket | undefined {
     for (const ticket of this.tickets.values()) {
       return ticket;
--- a/src/scheduling/pause-model.ts
+++ b/src/scheduling/pause-model.ts
@@ -1,21 +1,21 @@
 /**
- * How long programs of a group pause between turns, as a histogram over logarithmic bins, and how
- * long it pays to hold a prompt's memory over such a pause.
+ * Models how long programs pause between turns as a decaying histogram with logarithmic bins, and
+ * derives from it how long a prompt is worth holding in an engine's cache.
  */
 
-/** Upper ends of the bins, in milliseconds. */
+/** Upper bounds of the bins, in milliseconds. */
 const BIN_ENDS: readonly number[] = Array.from({ length: 24 }, (_, bin) => 100 * 1.5 ** bin);
-/** Weight of the past after one more observation. */
+/** Weight of earlier observations after each new one. */
 const DECAY_FACTOR = 0.997;
-/** Observations' worth of belief in the prior, spread evenly over the bins up to a minute. */
+/** Initial count of each bin up to one minute, and of programs that never return. */
 const PRIOR_WEIGHT = 0.3;
 
-/** Pauses of one kind of program. */
+/** Pause distribution of one kind of program. */
 export class PauseModel {
   private readonly counts: number[] = BIN_ENDS.map((end) => (end <= 60_000 ? PRIOR_WEIGHT : 0));
   private neverReturned = PRIOR_WEIGHT;
 
-  /** Learns that a program came back after a pause. */
+  /** Records the pause of a program that returned. */
   observePause(milliseconds: number): void {
     this.decayCounts();
     const bin = BIN_ENDS.findIndex((end) => milliseconds <= end);
@@ -23,16 +23,16 @@
     this.counts[index] = this.counts[index]! + 1;
   }
 
-  /** Learns that a program ended without coming back. */
+  /** Records that a program ended without another call. */
   observeEnd(): void {
     this.decayCounts();
     this.neverReturned += 1;
   }
 
   /**
-   * Time for which holding pays, in milliseconds: the horizon with the greatest expected gain,
-   * where a return saves `savedMilliseconds` of an engine's time and each held millisecond costs
-   * `pricePerMillisecond`, in the same unit.
+   * Returns the hold duration with the greatest expected gain, in milliseconds; 0 if no hold has a
+   * positive one. A return during the hold saves `savedMilliseconds` of engine time, and each
+   * millisecond of holding costs `pricePerMillisecond` of it.
    */
   optimalHoldMilliseconds(savedMilliseconds: number, pricePerMillisecond: number): number {
     const total = this.counts.reduce((sum, count) => sum + count, this.neverReturned);
@@ -43,7 +43,7 @@
     let start = 0;
     BIN_ENDS.forEach((end, index) => {
       const returning = this.counts[index]! / total;
-      // Those who return inside the bin hold for half of it, those who stay for the whole of it.
+      // Programs that return within the bin hold for half of it on average, others for all of it.
       const heldTime = (end - start) * (remaining - returning / 2);
       gain += returning * savedMilliseconds - heldTime * pricePerMillisecond;
       remaining -= returning;
--- a/src/scheduling/placement-cost.ts
+++ b/src/scheduling/placement-cost.ts
@@ -1,35 +1,36 @@
-/** Where a call is expected to finish first, counting what its coming costs the others. */
+/** Chooses the engine for a call by its expected completion time and the delay it causes others. */
 import type { CallTicket } from '../wire/messages.js';
 import type { EngineView, PoolView } from './pool-view.js';
 
-/** Calls an engine takes beyond its limit when they are urgent. */
+/** Urgent calls that an engine may run beyond its concurrency limit. */
 export const URGENT_EXTRA_SLOTS = 2;
-/** Part of an engine's memory that running calls may fill. */
+/** Fraction of an engine's prompt cache that running calls and holds may fill. */
 const USABLE_CACHE_FRACTION = 0.95;
-/** Chance that memory pushed out by a new prompt would have been used again. */
+/** Assumed probability that an evicted prompt would have been reused. */
 const EVICTED_REUSE_PROBABILITY = 0.5;
 
-/** The best engine for a call and the time until it can start there. */
+/** The chosen engine for a call and the expected time until the call can start there. */
 export interface EngineChoice {
   readonly engine: EngineView;
-  /** 0 when it can start now. */
+  /** 0 if the call can start now. */
   readonly waitMilliseconds: number;
 }
 
-/** Tokens a call may come to occupy on its engine. */
+/** Upper bound of the tokens that a call occupies in its engine's prompt cache. */
 export function peakCacheTokens(ticket: CallTicket): number {
   return ticket.promptTokens + ticket.maximumTokens;
 }
 
-/** True when the engine has a place for one more call, an urgent one if need be. */
+/** True if the engine is available and below its limit, which is higher for urgent calls. */
 export function hasFreeSlot(engine: EngineView, urgent: boolean): boolean {
   const limit = engine.concurrency + (urgent ? URGENT_EXTRA_SLOTS : 0);
   return engine.available && engine.running < limit;
 }
 
 /**
- * True when the engine's memory takes the call. One that would push out memory held for programs in
- * a pause waits: computing their prompts again costs more than the wait. An idle engine takes any.
+ * True if the call fits in the engine's prompt cache. Only urgent calls may evict prompts held for
+ * programs between turns, since recomputing these costs more than waiting. An idle engine accepts
+ * any call.
  */
 export function fitsInCache(pool: PoolView, engine: EngineView, ticket: CallTicket): boolean {
   if (engine.cacheTokens === 0 || engine.running === 0) {
@@ -44,19 +45,19 @@
   return withRunning + engine.heldTokens - ownHold <= usable;
 }
 
-/** True when the engine can take the call now. */
+/** True if the call can start on the engine now. */
 export function canStart(pool: PoolView, engine: EngineView, ticket: CallTicket): boolean {
   return hasFreeSlot(engine, ticket.callClass === 'urgent') && fitsInCache(pool, engine, ticket);
 }
 
-/** Prompt tokens that must be computed on the engine that holds most of the prompt. */
+/** Prompt tokens left to compute on the engine that has most of the prompt cached. */
 export function minimumUncachedTokens(pool: PoolView, ticket: CallTicket): number {
   const holders = ticket.prefixes.flatMap((prefix) => pool.directory.holders(prefix.name));
   const cached = holders.map((engine) => pool.directory.cachedTokens(engine, ticket.prefixes));
   return ticket.promptTokens - Math.max(0, ...cached);
 }
 
-/** Expected milliseconds until a full engine has a place, behind those who wait for it already. */
+/** Expected time until a full engine has a free slot for a call behind `queued` others. */
 function expectedWaitMilliseconds(
   pool: PoolView,
   engine: EngineView,
@@ -68,6 +69,7 @@
   return (serviceTime * (queued + 1)) / slots;
 }
 
+/** Expected milliseconds to recompute held prompts evicted to free `needed` tokens. */
 function evictionCost(pool: PoolView, engine: EngineView, needed: number): number {
   const free = engine.cacheTokens - engine.runningTokens - engine.heldTokens;
   const evicted = Math.max(0, Math.min(engine.heldTokens, needed - free));
@@ -75,8 +77,8 @@
 }
 
 /**
- * Expected milliseconds from the start on an engine to the answer, and those by which the call
- * delays the others there: the sum over all programs is what counts.
+ * Cost of running a call on an engine, in milliseconds: its own expected duration, the delay it
+ * causes to the other calls there, and the expected cost of recomputing the prompts it evicts.
  */
 export function placementCost(pool: PoolView, engine: EngineView, ticket: CallTicket): number {
   const { costs, directory } = pool;
@@ -91,8 +93,10 @@
 }
 
 /**
- * Picks the engine with the least expected time to the answer among those whose memory takes the
- * call; undefined when there is none.
+ * Chooses the engine with the lowest sum of waiting time and placement cost among the available
+ * engines whose prompt cache fits the call. Returns undefined if there is none.
+ *
+ * @param affinityQueueLength number of calls already waiting for a given engine
  */
 export function chooseEngine(
   pool: PoolView,
--- a/src/scheduling/policies/ivyloom.ts
+++ b/src/scheduling/policies/ivyloom.ts
@@ -1,7 +1,8 @@
 /**
- * The scheduler's own policy: class, then weighted group fairness, then programs by attained
- * service with ageing; each call goes where it is expected to finish first, or waits a while for
- * the engine that holds its prompt; memory is held over a pause for as long as that pays.
+ * The default scheduling policy. Calls are ordered by class, then by weighted fairness between
+ * groups, then by the attained service of their programs with ageing. Each call goes to the engine
+ * with the lowest expected cost, or waits a limited time for the engine that has its prompt cached.
+ * Prompts are held in the cache between turns for as long as the expected saving exceeds the cost.
  */
 import TinyQueue from 'tinyqueue';
 import type { CallId, EngineId, ProgramId } from '../../model/identifiers.js';
@@ -19,52 +20,60 @@
 } from '../pool-view.js';
 import { chooseEngine, hasFreeSlot, canStart, minimumUncachedTokens } from '../placement-cost.js';
 
-/** What a policy that knows the future may ask; only the bench has one. */
+/** Knowledge of the future, for computing an upper bound on what a policy can achieve. */
 export interface Oracle {
-  /** Milliseconds of service the program still needs, this call included. */
+  /** Milliseconds of service that the program still needs, including its current call. */
   remainingMilliseconds(program: ProgramId): number;
-  /** Milliseconds until the program's next call, or undefined when there is none. */
+  /** Milliseconds until the program's next call, or undefined if there is none. */
   nextPauseMilliseconds(program: ProgramId): number | undefined;
 }
 
-/** Settings of the policy. */
+/** Options of `IvyloomPolicy`. */
 export interface IvyloomPolicyOptions {
-  /** Milliseconds a program falls behind for each millisecond of service attained. @default 2 */
+  /** Milliseconds added to a program's rank for each token of attained service. @default 2 */
   readonly attainedWeight?: number;
-  /** Longest pause, in milliseconds, over which memory is worth holding when there is plenty. @default 120000 */
+  /** Hold duration in milliseconds that costs as much as a cache hit saves. @default 120000 */
   readonly holdHorizonMilliseconds?: number;
-  /** Knowledge of the future; makes the clairvoyant bound. */
+  /** If set, the policy ranks and holds by actual future demand and is named `clairvoyant`. */
   readonly oracle?: Oracle;
 }
 
-/** Waiting calls looked at in one decision. */
+/** Maximum number of waiting calls examined per decision. */
 const SCAN_LIMIT = 12;
-/** Longest time a call waits for one particular engine, in milliseconds. */
+/** Maximum time that a call waits for one particular engine, in milliseconds. */
 const MAXIMUM_AFFINITY_WAIT_MILLISECONDS = 4_000;
 
+/** A call that waits for the engine that has its prompt cached. */
 interface AffinityWait {
   readonly ranked: RankedTicket;
+  /** Estimated cost already charged to the call's group. */
   readonly charged: number;
+  /** Monotonic time in milliseconds at which the call returns to the waiting queue. */
   readonly expiresAt: number;
 }
 
 interface LastTurn {
+  /** Monotonic time in milliseconds. */
   readonly finishedAt: number;
+  /** Key of the pause model that learns the pause after this turn. */
   readonly pauseKey: string;
 }
 
-/** See the head of this file. */
+/** Fair scheduling by attained service, with prompt-cache affinity. */
 export class IvyloomPolicy implements SchedulingPolicy {
   readonly name: string;
   readonly releasesMemory = true;
   private readonly queue = new WaitingQueue();
+  /** Waiting calls by engine. An entry that is not in `affinityWaits` is stale. */
   private readonly affinityQueues = new Map<EngineId, TinyQueue<AffinityWait>>();
   private readonly affinityWaits = new Map<CallId, AffinityWait>();
+  /** Calls that fit no engine's cache. An entry that is not in `memoryBlockedCalls` is stale. */
   private readonly memoryBlocked = new TinyQueue<RankedTicket>(
     [],
     (left, right) => left.rank - right.rank,
   );
   private readonly memoryBlockedCalls = new Map<CallId, RankedTicket>();
+  /** Estimated cost charged to a call's group until the call is answered. */
   private readonly charges = new Map<CallId, number>();
   private readonly pauseModels = new Map<string, PauseModel>();
   private readonly lastTurns = new Map<ProgramId, LastTurn>();
@@ -173,7 +182,7 @@
     this.queue.charge(ticket.group, -charged, pool.shareOf(ticket.group));
   }
 
-  /** Keeps a call that no engine's memory takes, in the order of rank. */
+  /** Queues a call that currently fits no engine, in order of rank. */
   private blockOnMemory(ranked: RankedTicket): void {
     this.memoryBlocked.push(ranked);
     this.memoryBlockedCalls.set(ranked.ticket.call, ranked);
--- a/src/scheduling/policies/least-loaded-fifo.ts
+++ b/src/scheduling/policies/least-loaded-fifo.ts
@@ -1,4 +1,4 @@
-/** Baseline: calls in order of arrival, each to the back end with the fewest running calls. */
+/** Baseline policy: calls in order of arrival, each on the engine with the fewest running calls. */
 import type { CallTicket } from '../../wire/messages.js';
 import { FifoQueue } from '../fifo-queue.js';
 import type {
@@ -9,7 +9,7 @@
   SchedulingPolicy,
 } from '../pool-view.js';
 
-/** Least outstanding calls first. */
+/** Assigns the oldest call to the available engine with the fewest running calls. */
 export class LeastLoadedPolicy implements SchedulingPolicy {
   readonly name = 'least-loaded-fifo';
   readonly releasesMemory = false;
@@ -47,6 +47,6 @@
   }
 
   programEnded(): void {
-    // The baseline knows nothing of programs.
+    // The baseline keeps no state per program.
   }
 }
--- a/src/scheduling/policies/round-robin-fifo.ts
+++ b/src/scheduling/policies/round-robin-fifo.ts
@@ -1,9 +1,9 @@
-/** Baseline: calls in order of arrival, back ends in turn. */
+/** Baseline policy: calls in order of arrival, engines in rotation. */
 import type { CallTicket } from '../../wire/messages.js';
 import { FifoQueue } from '../fifo-queue.js';
 import type { HoldDecision, Placement, PoolView, SchedulingPolicy } from '../pool-view.js';
 
-/** Round robin over back ends with a free place. */
+/** Assigns the oldest call to the next available engine with a free slot. */
 export class RoundRobinPolicy implements SchedulingPolicy {
   readonly name = 'round-robin-fifo';
   readonly releasesMemory = false;
@@ -39,6 +39,6 @@
   }
 
   programEnded(): void {
-    // The baseline knows nothing of programs.
+    // The baseline keeps no state per program.
   }
 }
--- a/src/scheduling/pool-view.ts
+++ b/src/scheduling/pool-view.ts
@@ -1,47 +1,47 @@
-/** What a policy sees of a pool of back ends, and what it decides. */
+/** The interface between pool schedulers and scheduling policies. */
 import type { EngineId, GroupName, ProgramId, ZoneName } from '../model/identifiers.js';
 import type { Usage } from '../model/call.js';
 import type { CallTicket, PromptPrefix } from '../wire/messages.js';
 import type { CacheDirectory } from './cache-directory.js';
 import type { CostModel } from './cost-model.js';
 
-/** One back end as the scheduler believes it to be now. */
+/** The scheduler's current view of one engine. */
 export interface EngineView {
   readonly engine: EngineId;
   readonly zone: ZoneName;
-  /** Most calls at a time. */
+  /** Maximum number of calls that run at the same time. */
   readonly concurrency: number;
-  /** Prompt memory, in tokens; 0 for a tool. */
+  /** Capacity of the prompt cache, in tokens; 0 for a tool service. */
   readonly cacheTokens: number;
-  /** Calls given and not finished. */
+  /** Number of calls assigned and not finished. */
   running: number;
-  /** Tokens those calls may come to occupy. */
+  /** Upper bound of the tokens that these calls occupy in the prompt cache. */
   runningTokens: number;
-  /** Prompt tokens given and probably not yet computed. */
+  /** Uncached prompt tokens of assigned calls whose prefill is not expected to be complete. */
   pendingPrefillTokens: number;
-  /** Tokens held for pausing programs by our own orders. */
+  /** Tokens of prompts held for programs between turns. */
   heldTokens: number;
-  /** False while it drains, has failed too often, or is gone. */
+  /** False while the engine is draining or ejected after failures. */
   available: boolean;
 }
 
-/** A pool of interchangeable back ends. */
+/** A pool of interchangeable engines. */
 export interface PoolView {
   readonly engines: readonly EngineView[];
   readonly engineByName: ReadonlyMap<EngineId, EngineView>;
   readonly directory: CacheDirectory;
   readonly costs: CostModel;
-  /** Weight of a group. */
+  /** Returns the fair-share weight of a group. */
   readonly shareOf: (group: GroupName) => number;
 }
 
-/** A decision to start one call now. */
+/** A decision to start a call on an engine now. */
 export interface Placement {
   readonly ticket: CallTicket;
   readonly engine: EngineView;
 }
 
-/** A call that has left its engine. */
+/** A call that was answered by its engine. */
 export interface FinishedTurn {
   readonly ticket: CallTicket;
   readonly engine: EngineView;
@@ -49,31 +49,31 @@
   readonly serviceMilliseconds: number;
 }
 
-/** What to do with the prompt memory of a finished turn. */
+/** What to do with the prompt of a finished turn in the engine's cache. */
 export type HoldDecision =
-  /** The engine's own cache decides. */
+  /** Leave it to the engine's own eviction. */
   | { readonly type: 'leave' }
-  /** Keep it, at most this long; 0 gives it back now. */
+  /** Hold it for at most this time; 0 releases it at once. */
   | { readonly type: 'hold'; readonly milliseconds: number };
 
-/** A way of deciding what runs next and where. One instance serves one pool. */
+/** Decides which call runs next and on which engine. Each pool has its own instance. */
 export interface SchedulingPolicy {
   readonly name: string;
-  /** Takes in a waiting call. */
+  /** Adds a waiting call. */
   enqueue(ticket: CallTicket, now: number): void;
-  /** Drops a waiting call. */
+  /** Removes a waiting call. */
   remove(ticket: CallTicket): void;
-  /** Picks a call that can start now and its engine; the call is then no longer waiting. */
+  /** Chooses a call that can start now and its engine, and removes the call from the queue. */
   choose(pool: PoolView, now: number): Placement | undefined;
-  /** Learns that a call has left its engine. */
+  /** Called when a call is answered; decides how long its prompt is held. */
   finished(pool: PoolView, turn: FinishedTurn, now: number): HoldDecision;
-  /** Learns that a program is over. */
+  /** Called when a program has ended. */
   programEnded(program: ProgramId): void;
-  /** True when the memory of ended programs is to be given back by order. */
+  /** True if the scheduler should release the cached prompts of ended programs. */
   readonly releasesMemory: boolean;
 }
 
-/** The prefix that a program's next turn will start with. */
+/** Returns the prefix that the program's next turn starts with: this turn's prompt and answer. */
 export function programPrefix(ticket: CallTicket, usage: Usage): PromptPrefix {
   return { name: ticket.program, tokens: usage.promptTokens + usage.completionTokens };
 }
--- a/src/scheduling/recursive-least-squares.ts
+++ b/src/scheduling/recursive-least-squares.ts
@@ -1,13 +1,13 @@
-/** Recursive least squares with forgetting: fits `y = w · x` as observations come in. */
+/** Recursive least squares with exponential forgetting, for the linear model `y = w · x`. */
 
-/** A running fit of a few coefficients. */
+/** An online linear regression. */
 export class RecursiveLeastSquares {
   private covariance: number[][];
 
   /**
-   * @param coefficients first guesses, changed in place as the fit goes on
-   * @param initialVariances variance of each first guess: smaller is trusted longer
-   * @param forgettingFactor weight of the past after one more observation, below 1
+   * @param coefficients initial estimates; updated in place
+   * @param initialVariances variance of each initial estimate; a small one is corrected slowly
+   * @param forgettingFactor weight of earlier observations after each new one, below 1
    */
   constructor(
     readonly coefficients: number[],
@@ -19,7 +19,7 @@
     );
   }
 
-  /** Learns from one observation; one from which no finite fit follows is passed over. */
+  /** Updates the fit with one observation, unless the result would not be finite. */
   observe(features: readonly number[], value: number): void {
     const gain = this.covariance.map((row) => dot(row, features));
     const scale = this.forgettingFactor + dot(features, gain);
@@ -30,7 +30,7 @@
     const covariance = this.covariance.map((variances, row) =>
       variances.map((variance, column) => {
         const reduced = variance - (gain[row]! * gain[column]!) / scale;
-        // The bound keeps a direction that is never observed from growing without end.
+        // Keeps the variance of features that are never observed from growing without bound.
         return Math.min(1, reduced / this.forgettingFactor);
       }),
     );
--- a/src/scheduling/waiting-queue.ts
+++ b/src/scheduling/waiting-queue.ts
@@ -1,6 +1,7 @@
 /**
- * Waiting calls in the order of service: class, then group by weighted virtual time, then program
- * by the policy's rank. Every operation is logarithmic in the number of waiting calls.
+ * Orders waiting calls by class, then by group using weighted fair queueing over virtual time, then
+ * by the rank that the policy assigned. Operations take amortized logarithmic time in the number of
+ * waiting calls.
  */
 import TinyQueue from 'tinyqueue';
 import type { CallId, GroupName } from '../model/identifiers.js';
@@ -8,11 +9,12 @@
 import type { CallClass } from '../model/call.js';
 import type { CallTicket } from '../wire/messages.js';
 
-/** A waiting call with what orders it inside its group. */
+/** A waiting call with its rank. */
 export interface RankedTicket {
   readonly ticket: CallTicket;
-  /** Lower is served first among the calls of one group and class. */
+  /** The lowest rank is served first among the calls of a group and class. */
   readonly rank: number;
+  /** Monotonic time in milliseconds. */
   readonly enqueuedAt: number;
 }
 
@@ -23,22 +25,24 @@
 
 interface GroupHeapEntry {
   readonly queue: GroupQueue;
+  /** The group's virtual time when the entry was pushed. */
   readonly virtualTime: number;
 }
 
-/** Milliseconds a call of a class may wait before it is served ahead of higher classes. */
+/** Time in milliseconds after which a waiting call may be served ahead of higher classes. */
 const STARVATION_MILLISECONDS: Readonly<Record<CallClass, number>> = {
   urgent: Infinity,
   interactive: 60_000,
   batch: 120_000,
 };
-/** At most one call in this many is served ahead of its class for having waited too long. */
+/** Minimum number of calls served in regular order between two starved ones. */
 const CALLS_PER_STARVED_CALL = 8;
-/** Most service, in cost units, that a group which was idle may catch up on. */
+/** Maximum lag behind the system's virtual time that a group keeps while idle, in cost units. */
 const MAXIMUM_LAG = 20_000;
 
 /** The queue of one pool. */
 export class WaitingQueue {
+  /** The waiting calls. A heap entry of a call that is not listed here is stale. */
   private readonly waitingByCall = new Map<CallId, RankedTicket>();
   private readonly virtualTimes = new Map<GroupName, number>();
   private readonly groups = new Map<CallClass, Map<GroupName, GroupQueue>>();
@@ -58,12 +62,10 @@
     }
   }
 
-  /** Number of waiting calls. */
   get size(): number {
     return this.waitingByCall.size;
   }
 
-  /** Adds a call. */
   add(ranked: RankedTicket): void {
     const { ticket } = ranked;
     this.waitingByCall.set(ticket.call, ranked);
@@ -84,12 +86,12 @@
     }
   }
 
-  /** Removes a call, wherever it is. */
+  /** Removes a call. Its heap entries are discarded later, when they reach the front. */
   remove(call: CallId): void {
     this.waitingByCall.delete(call);
   }
 
-  /** Takes the call to be served next. */
+  /** Removes and returns the next call to serve. */
   take(now: number): RankedTicket | undefined {
     const starving = this.takeStarving(now);
     if (starving !== undefined) {
@@ -105,13 +107,13 @@
     return undefined;
   }
 
-  /** Charges a group for service it was given; a negative cost gives back an overestimate. */
+  /** Advances a group's virtual time by a cost; a negative cost refunds an overestimate. */
   charge(group: GroupName, cost: number, share: number): void {
     const start = Math.max(this.virtualTimeOf(group), this.systemVirtualTime - MAXIMUM_LAG);
     this.virtualTimes.set(group, start + cost / Math.max(share, 0.001));
   }
 
-  /** Virtual time of a group: its service divided by its share. */
+  /** Returns a group's virtual time: the cost charged to it, divided by its share. */
   virtualTimeOf(group: GroupName): number {
     return this.virtualTimes.get(group) ?? this.systemVirtualTime;
   }
@@ -133,7 +135,7 @@
       }
       const current = this.virtualTimeOf(queue.group);
       if (current > entry.virtualTime) {
-        // The group was charged since its turn was set: it goes back to its proper place.
+        // The group was charged since this entry was pushed: reinsert it at its virtual time.
         heap.push({ queue, virtualTime: current });
         continue;
       }
@@ -182,7 +184,7 @@
       }
       removedCount += 1;
     }
-    // Removing from the front in one step keeps the cost per call constant.
+    // A single splice keeps the amortized cost per call constant.
     arrivals.splice(0, removedCount);
     return arrivals[0];
   }
