--- a/src/dispatch/engine-set.ts
+++ b/src/dispatch/engine-set.ts
@@ -1,11 +1,11 @@
-/** The back ends of one pool, as the configuration has them. */
+/** The configured engines of one pool. */
 import type { EngineId, ServiceName } from '../model/identifiers.js';
 import { enginesOf } from '../configuration/documents.js';
 import type { ClusterConfiguration, EngineDocument } from '../configuration/documents.js';
 import type { EngineView } from '../scheduling/pool-view.js';
 import { EngineState } from './engine-state.js';
 
-/** See the head of this file. */
+/** Keeps the state of each engine of a service in step with the configuration. */
 export class EngineSet {
   private readonly states = new Map<EngineId, EngineState>();
   private revision = -1;
@@ -14,27 +14,27 @@
 
   constructor(private readonly service: ServiceName) {}
 
-  /** Views of all back ends, for the policy. */
+  /** Views of all engines, for the scheduling policy. */
   get views(): readonly EngineView[] {
     return this.viewList;
   }
 
-  /** The same by name. */
+  /** The views by engine name. */
   get viewByName(): ReadonlyMap<EngineId, EngineView> {
     return this.viewMap;
   }
 
-  /** One back end. */
+  /** Returns the state of an engine, or undefined if the configuration does not name it. */
   get(engine: EngineId): EngineState | undefined {
     return this.states.get(engine);
   }
 
-  /** All back ends. */
+  /** Iterates over the states of all engines. */
   values(): IterableIterator<EngineState> {
     return this.states.values();
   }
 
-  /** Follows a new revision of the configuration; does nothing for one it has seen. */
+  /** Applies a configuration; does nothing if its revision was applied last. */
   configure(configuration: ClusterConfiguration, now: number): void {
     if (configuration.revision === this.revision) {
       return;
--- a/src/dispatch/engine-state.ts
+++ b/src/dispatch/engine-state.ts
@@ -1,25 +1,28 @@
-/** What a pool scheduler keeps of one back end: its view, its failures, what it holds. */
+/** The pool scheduler's state of one engine: running calls, failures and holds. */
 import type { CallId, ProgramId } from '../model/identifiers.js';
 import type { EngineDocument } from '../configuration/documents.js';
 import type { EngineView } from '../scheduling/pool-view.js';
 import { peakCacheTokens } from '../scheduling/placement-cost.js';
 import type { CallTicket } from '../wire/messages.js';
 
-/** Failures in a row after which an engine gets no work for a while. */
+/** Consecutive failures after which an engine is ejected. */
 const EJECTION_FAILURES = 3;
-/** First rest of an ejected engine, in milliseconds; doubles with each further one. */
+/**
+ * Duration of the first ejection, in milliseconds. It doubles with each further ejection until a
+ * call succeeds.
+ */
 const INITIAL_EJECTION_MILLISECONDS = 2_000;
-/** Longest rest of an ejected engine, in milliseconds. */
+/** Maximum duration of an ejection, in milliseconds. */
 const MAXIMUM_EJECTION_MILLISECONDS = 30_000;
 
-/** Prompt memory held by our order. */
+/** A program's prompt held in an engine's cache. */
 export interface Hold {
   readonly tokens: number;
-  /** Monotonic milliseconds at which it lapses by itself. */
+  /** Monotonic time in milliseconds at which the engine drops the hold by itself. */
   readonly expiresAt: number;
 }
 
-/** One back end of a pool. */
+/** One engine of a pool. */
 export class EngineState {
   readonly view: EngineView;
   readonly running = new Map<CallId, CallTicket | undefined>();
@@ -44,26 +47,29 @@
     this.draining = document.draining;
   }
 
-  /** True when a document leaves everything but the draining as it is. */
+  /** True if a document has the same capacity and zone; the draining flag may differ. */
   hasSameCapacity(document: EngineDocument): boolean {
     const { concurrency, cacheTokens, zone } = this.view;
     const same = cacheTokens === document.cacheTokens && zone === document.zone;
     return same && concurrency === Math.max(1, document.concurrency);
   }
 
-  /** Takes over the calls and holds of an earlier state of the same back end. */
+  /** Copies the calls and holds from an earlier state of the same engine. */
   copyCallsAndHolds(earlier: EngineState): void {
     earlier.running.forEach((ticket, call) => this.addRunning(call, ticket, 0));
     earlier.holds.forEach((hold, program) => this.addHold(program, hold));
   }
 
-  /** Takes over what a new revision of the document says. */
+  /** Applies the draining flag of a new revision of the document. */
   configure(document: EngineDocument, now: number): void {
     this.draining = document.draining;
     this.updateAvailability(now);
   }
 
-  /** Notes a call sent to the engine; the ticket is unknown for one learned from a report. */
+  /**
+   * Adds a call that runs on the engine. The ticket is undefined for a call known only from its
+   * owner's report; `uncached` is the number of prompt tokens to compute.
+   */
   addRunning(call: CallId, ticket: CallTicket | undefined, uncached: number): void {
     if (this.running.has(call)) {
       return;
@@ -76,7 +82,7 @@
     }
   }
 
-  /** Notes that a call has left; returns its ticket when known. */
+  /** Removes a call; returns its ticket if known. */
   removeRunning(call: CallId): CallTicket | undefined {
     const ticket = this.running.get(call);
     if (this.running.delete(call) && ticket !== undefined) {
@@ -86,19 +92,19 @@
     return ticket;
   }
 
-  /** Notes prompt tokens that have probably been computed by now. */
+  /** Subtracts tokens from the prefill backlog once they are computed or their call has left. */
   subtractPendingPrefill(tokens: number): void {
     this.view.pendingPrefillTokens = Math.max(0, this.view.pendingPrefillTokens - tokens);
   }
 
-  /** Notes a hold ordered for a program. */
+  /** Adds or replaces the hold of a program. */
   addHold(program: ProgramId, hold: Hold): void {
     this.removeHold(program);
     this.holds.set(program, hold);
     this.view.heldTokens += hold.tokens;
   }
 
-  /** Notes that a program's memory is no longer held. */
+  /** Removes the hold of a program; returns false if there is none. */
   removeHold(program: ProgramId): boolean {
     const hold = this.holds.get(program);
     if (hold === undefined) {
@@ -109,20 +115,20 @@
     return true;
   }
 
-  /** Drops holds that have lapsed; returns their programs. */
+  /** Removes expired holds and returns their programs. */
   removeExpiredHolds(now: number): ProgramId[] {
     const expired = [...this.holds].filter(([, hold]) => hold.expiresAt <= now);
     expired.forEach(([program]) => this.removeHold(program));
     return expired.map(([program]) => program);
   }
 
-  /** Notes an answer. */
+  /** Resets the failure count and the ejection backoff. */
   recordSuccess(): void {
     this.consecutiveFailures = 0;
     this.ejections = 0;
   }
 
-  /** Notes a failure; too many in a row eject the engine for a while. */
+  /** Counts a failure; ejects the engine after several consecutive ones. */
   recordFailure(now: number): void {
     this.consecutiveFailures += 1;
     if (this.consecutiveFailures < EJECTION_FAILURES) {
@@ -135,17 +141,17 @@
     this.updateAvailability(now);
   }
 
-  /** Brings the view up to date with time. */
+  /** Recomputes whether the engine is available at the given time. */
   updateAvailability(now: number): void {
     this.view.available = !this.draining && now >= this.ejectedUntil;
   }
 
-  /** True when the engine takes no new work by order. */
+  /** True if the configuration excludes the engine from new work. */
   get isDraining(): boolean {
     return this.draining;
   }
 
-  /** True while the engine rests after failures. */
+  /** True while the engine is ejected after failures. */
   isEjected(now: number): boolean {
     return now < this.ejectedUntil;
   }
--- a/src/dispatch/hold-manager.ts
+++ b/src/dispatch/hold-manager.ts
@@ -1,4 +1,4 @@
-/** Decides and orders what prompt memory the back ends of a pool hold for programs in a pause. */
+/** Manages the prompts that a pool's engines hold in their caches for programs between turns. */
 import type { ProgramId } from '../model/identifiers.js';
 import type { BackEndPort, BackEndReport, Fence } from '../platform/back-end-port.js';
 import type { CacheDirectory } from '../scheduling/cache-directory.js';
@@ -7,25 +7,28 @@
 import type { EngineSet } from './engine-set.js';
 import type { EngineState } from './engine-state.js';
 
-/** Time for which memory found held by an earlier scheduler's order is kept unasked, in ms. */
+/** Expiry of a hold found on an engine but not requested by this scheduler, in milliseconds. */
 const ADOPTED_HOLD_MILLISECONDS = 4_000;
 
-/** What a keeper is made with. */
+/** Dependencies of a `HoldManager`. */
 export interface HoldManagerOptions {
   readonly engines: EngineSet;
   readonly directory: CacheDirectory;
   readonly policy: SchedulingPolicy;
   readonly backEnds: BackEndPort;
   readonly fence: () => Fence;
-  /** Asks the owners which of these programs are over. */
+  /** Asks the shard owners which of these programs have ended. */
   readonly checkHolds: (programs: readonly ProgramId[]) => void;
 }
 
-/** See the head of this file. */
+/** Requests, tracks and releases the holds of one pool. */
 export class HoldManager {
   constructor(private readonly options: HoldManagerOptions) {}
 
-  /** Notes what a finished turn left in its engine's cache and orders how long to keep it. */
+  /**
+   * Records the prefixes that a finished turn left in its engine's cache and applies the policy's
+   * hold decision.
+   */
   finishTurn(pool: PoolView, engine: EngineState, turn: FinishedTurn, now: number): void {
     this.recordCachedPrefixes(turn);
     if (engine.view.cacheTokens === 0) {
@@ -47,7 +50,7 @@
     engine.addHold(program, { tokens, expiresAt: now + decision.milliseconds });
   }
 
-  /** Gives back the memory of a program that is over. */
+  /** Removes the holds of an ended program and, if the policy says so, frees its cached prompts. */
   releaseProgram(program: ProgramId): void {
     const { directory, engines, policy } = this.options;
     policy.programEnded(program);
@@ -60,7 +63,7 @@
     }
   }
 
-  /** Forgets holds that have lapsed by themselves. */
+  /** Removes expired holds. */
   removeExpired(now: number): void {
     for (const engine of this.options.engines.values()) {
       for (const program of engine.removeExpiredHolds(now)) {
@@ -69,14 +72,14 @@
     }
   }
 
-  /** Takes a back end's word on what it holds and has pushed out. */
+  /** Updates holds and cached prefixes from an engine's report. */
   receiveReport(engine: EngineState, report: BackEndReport, now: number): void {
     const { directory, checkHolds } = this.options;
     const name = engine.view.engine;
     report.evictedPrograms.forEach((program) => directory.remove(name, program));
     const unknown = report.held.filter((held) => !engine.holds.has(held.program));
     for (const { program, tokens } of unknown) {
-      // Held by an earlier scheduler's order: its owner says whether the program still lives.
+      // An earlier scheduler requested this hold; the program's owner knows whether it has ended.
       engine.addHold(program, { tokens, expiresAt: now + ADOPTED_HOLD_MILLISECONDS });
       directory.add(name, { name: program, tokens });
     }
@@ -85,7 +88,7 @@
     }
   }
 
-  /** Asks the owners about every program for which memory is held. */
+  /** Asks the shard owners which of the programs with holds have ended. */
   checkAllHolds(): void {
     const programs = [...this.options.engines.values()].flatMap((engine) => [
       ...engine.holds.keys(),
@@ -102,7 +105,7 @@
     shared.forEach((prefix) => this.options.directory.add(engine, prefix));
   }
 
-  /** Older copies of the same history, left on engines the program has moved away from. */
+  /** Releases older copies of the program's history on engines other than the current one. */
   private releaseElsewhere(program: ProgramId, keptEngine: EngineState): void {
     const { directory, engines } = this.options;
     for (const holder of directory.holders(program)) {
--- a/src/dispatch/pool-client.ts
+++ b/src/dispatch/pool-client.ts
@@ -1,4 +1,4 @@
-/** An owner's side of the pool schedulers: enqueues calls, repeats what may be lost, reports ends. */
+/** The shard owners' client of the pool schedulers. */
 import type { NodeId, ProgramId, ServiceName, ShardId } from '../model/identifiers.js';
 import type { LeaderDirectory } from '../replication/leader-directory.js';
 import type { Runtime } from '../runtime/runtime.js';
@@ -12,22 +12,22 @@
   RunningCall,
 } from '../wire/messages.js';
 
-/** Everything an owner has in one pool. */
+/** The waiting and running calls of one shard in one pool. */
 export interface PoolCalls {
   readonly waiting: CallTicket[];
   readonly running: RunningCall[];
 }
 
-/** Silence of a scheduler after which another node is asked, in milliseconds. */
+/** Time without an acknowledgement after which another node is tried, in milliseconds. */
 const SCHEDULER_TIMEOUT_MILLISECONDS = 2_500;
 
 interface UnansweredReport {
   readonly target: NodeId;
-  /** Monotonic milliseconds of the first report that was not answered. */
+  /** Monotonic time in milliseconds of the first unacknowledged report. */
   readonly since: number;
 }
 
-/** What the client is made with. */
+/** Dependencies of a `PoolClient`. */
 export interface PoolClientOptions {
   readonly map: ShardMap;
   readonly leaders: LeaderDirectory;
@@ -35,24 +35,24 @@
   readonly send: (to: NodeId, message: Message) => void;
 }
 
-/** Sends to the pool schedulers. */
+/** Sends calls, reports and ends of calls and programs to the leaders of the pools' shards. */
 export class PoolClient {
   private readonly unansweredReports = new Map<ShardId, UnansweredReport>();
 
   constructor(private readonly options: PoolClientOptions) {}
 
-  /** Takes the word of a pool's scheduler that it has heard. */
+  /** Confirms the node that acknowledged a report as leader of the pool's shard. */
   receiveAcknowledgement(from: NodeId, shard: ShardId): void {
     this.options.leaders.confirm(shard, from);
     this.unansweredReports.delete(shard);
   }
 
-  /** Puts one call into a pool's queue. */
+  /** Adds a call to a pool's queue. */
   enqueue(service: ServiceName, from: ShardId, ticket: CallTicket): void {
     this.sendReport(service, from, false, { waiting: [ticket], running: [] });
   }
 
-  /** Tells a pool everything a shard has in it; what is not listed is no longer there. */
+  /** Sends a complete report; the scheduler drops the shard's calls that are not listed. */
   reportAll(service: ServiceName, from: ShardId, content: PoolCalls): void {
     this.suspectSilentScheduler(shardOfPool(this.options.map, service));
     this.sendReport(service, from, true, content);
@@ -71,12 +71,12 @@
     }
   }
 
-  /** Tells that a call has left its engine. */
+  /** Reports that a call no longer runs on its engine. */
   reportFinished(finished: PoolFinished): void {
     this.options.send(this.targetOf(finished.service), finished);
   }
 
-  /** Tells the pools of these services that a program is over. */
+  /** Notifies the pools of these services that a program has ended. */
   announceProgramEnded(services: readonly ServiceName[], program: ProgramId): void {
     const targets = new Set(services.map((service) => this.targetOf(service)));
     for (const target of targets) {
--- a/src/dispatch/pool-scheduler.ts
+++ b/src/dispatch/pool-scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * Scheduler of one service's back ends, on the node that leads the pool's shard. All it knows is
- * rebuilt from the owners' reports and from the back ends, so it keeps nothing on disk.
+ * Schedules calls onto the engines of one service, on the node that leads the pool's shard. The
+ * state is rebuilt from the reports of shard owners and engines, so nothing is persisted.
  */
 import type {
   CallId,
@@ -22,16 +22,22 @@
 import type { EngineState } from './engine-state.js';
 import { HoldManager } from './hold-manager.js';
 
-/** Time between requests for a back end's report, in milliseconds. */
+/** Time between requests for engine reports, in milliseconds. */
 const BACK_END_REPORT_PERIOD_MILLISECONDS = 2_000;
-/** Time an assignment or an end may be on its way before a report is believed over it, in ms. */
+/**
+ * Time in milliseconds during which an owner's report does not override a recent assignment or
+ * end of a call, since the report may have been sent before it.
+ */
 const IN_FLIGHT_GRACE_MILLISECONDS = 2_500;
-/** Time without a report after which a shard's calls are forgotten, in milliseconds. */
+/** Time without a report after which a shard's calls are dropped, in milliseconds. */
 const OWNER_TIMEOUT_MILLISECONDS = 6_000;
-/** Time for which a new scheduler only listens, so that it hears of running calls, in ms. */
+/**
+ * Time after start, in milliseconds, during which no call is assigned, so that the scheduler first
+ * learns from reports which calls are running.
+ */
 const STARTUP_OBSERVATION_MILLISECONDS = 1_200;
 
-/** What a pool scheduler is made with. */
+/** Dependencies of a `PoolScheduler`. */
 export interface PoolSchedulerOptions {
   readonly service: ServiceName;
   readonly runtime: Runtime;
@@ -41,27 +47,29 @@
   readonly fence: () => Fence;
   readonly canServe: () => boolean;
   readonly send: (to: NodeId, message: Message) => void;
-  /** Asks the owners which of these programs are over. */
+  /** Asks the shard owners which of these programs have ended. */
   readonly checkHolds: (programs: readonly ProgramId[]) => void;
 }
 
-/** A call the scheduler knows of. */
+/** A waiting or running call. */
 interface TrackedCall {
   ticket: CallTicket | undefined;
   readonly call: CallId;
   readonly group: GroupName;
   owner: NodeId;
-  /** Shard the call belongs to. */
+  /** Shard of the call's program. */
   readonly shard: ShardId;
-  /** Empty while it waits. */
+  /** Empty while the call waits. */
   engine: EngineId;
-  /** When it was enqueued or assigned, monotonic milliseconds. */
+  /** Monotonic time in milliseconds at which the call was enqueued or assigned. */
   changedAt: number;
+  /** Monotonic time in milliseconds from which the ticket's deadline counts. */
   readonly enqueuedAt: number;
+  /** Uncached prompt tokens whose prefill is not expected to be complete. */
   pendingPrefillTokens: number;
 }
 
-/** One row of the pool, for operators. */
+/** An engine as listed for operators. */
 export interface EngineRow {
   readonly engine: EngineId;
   readonly service: ServiceName;
@@ -73,26 +81,29 @@
   readonly heldTokens: number;
 }
 
-/** One held program, for operators. */
+/** A hold as listed for operators. */
 export type HoldRow = {
   readonly program: ProgramId;
   readonly engine: EngineId;
   readonly service: ServiceName;
   readonly tokens: number;
-  /** Seconds until the hold lapses by itself. */
+  /** Seconds until the hold expires. */
   readonly left: number;
 };
 
-/** See the head of this file. */
+/** Queues the calls of one service and assigns them to engines. */
 export class PoolScheduler {
   private readonly engines: EngineSet;
   private readonly holds: HoldManager;
   private readonly calls = new Map<CallId, TrackedCall>();
+  /** End times of recent calls, kept so that late reports do not add these calls again. */
   private readonly endedAt = new Map<CallId, number>();
+  /** Monotonic time in milliseconds of each shard's last report. */
   private readonly lastReportByShard = new Map<ShardId, number>();
   private readonly pool: PoolView;
   private readonly startedAt: number;
   private backEndReportsRequestedAt = 0;
+  /** Prevents reentrant calls of `assignStartableCalls`. */
   private assigning = false;
 
   constructor(private readonly options: PoolSchedulerOptions) {
@@ -115,7 +126,7 @@
     this.configure();
   }
 
-  /** Calls waiting here. */
+  /** Number of waiting calls. */
   get waitingCount(): number {
     let count = 0;
     for (const call of this.calls.values()) {
@@ -124,7 +135,7 @@
     return count;
   }
 
-  /** Takes an owner's report: single calls, or everything it has here. */
+  /** Handles an owner's report of single calls or, if complete, of all its calls in this pool. */
   receiveReport(from: NodeId, message: PoolReport): void {
     const now = this.options.runtime.now();
     this.lastReportByShard.set(message.from, now);
@@ -139,7 +150,7 @@
     this.assignStartableCalls();
   }
 
-  /** Takes word that a call has left its engine. */
+  /** Handles an owner's message that a call no longer runs on its engine. */
   receiveFinished(message: PoolFinished): void {
     const now = this.options.runtime.now();
     const engine = this.engines.get(message.engine);
@@ -155,12 +166,12 @@
     this.assignStartableCalls();
   }
 
-  /** Gives back the memory of a program that is over. */
+  /** Releases the cached prompts of an ended program. */
   receiveProgramGone(program: ProgramId): void {
     this.holds.releaseProgram(program);
   }
 
-  /** Called a few times a second: follows configuration, lapses, silence and reports. */
+  /** Applies configuration changes and timeouts and starts calls; called a few times a second. */
   tick(): void {
     const now = this.options.runtime.now();
     this.configure();
@@ -178,7 +189,7 @@
     this.assignStartableCalls();
   }
 
-  /** The pool's engines, for operators. */
+  /** Lists the pool's engines for operators. */
   listEngines(): EngineRow[] {
     const now = this.options.runtime.now();
     return [...this.engines.values()].map((engine) => ({
@@ -193,7 +204,7 @@
     }));
   }
 
-  /** Prompt memory held by order, for operators; times in seconds. */
+  /** Lists the holds on the pool's engines for operators. */
   listHolds(): HoldRow[] {
     const now = this.options.runtime.now();
     return [...this.engines.values()].flatMap((engine) =>
@@ -220,7 +231,7 @@
     known.owner = owner;
     const graceElapsed = now - known.changedAt > IN_FLIGHT_GRACE_MILLISECONDS;
     if (known.engine !== '' && graceElapsed) {
-      // The owner never got the assignment, or lost the engine's stream: it is sent again.
+      // The owner missed the assignment or lost the engine's stream, so the call is queued again.
       this.engines.get(known.engine)?.removeRunning(ticket.call);
       this.forgetCall(known, now);
       this.enqueue(owner, shard, ticket, now);
@@ -353,7 +364,7 @@
     this.holds.finishTurn(this.pool, engine, turn, now);
   }
 
-  /** Refuses at once what the queue's speed shows cannot be started before its caller gives up. */
+  /** Refuses waiting calls whose deadline is closer than their expected service time. */
   private refuseUnmeetableDeadlines(now: number): void {
     for (const known of [...this.calls.values()]) {
       const { ticket } = known;
