--- a/src/program/apply-command.ts
+++ b/src/program/apply-command.ts
@@ -1,4 +1,4 @@
-/** Applies one command to a shard's state. Deterministic: depends on the state and command alone. */
+/** Applies commands to a shard's state. The result depends only on the state and the command. */
 import { hashText } from '../runtime/hashing.js';
 import { chainDigest, countMessageTokens, EMPTY_HISTORY_DIGEST } from '../model/chat.js';
 import type { ChatMessage } from '../model/chat.js';
@@ -30,13 +30,13 @@
 import type { CallRecord, ProgramRecord } from './program-record.js';
 import type { ShardState } from './shard-state.js';
 
-/** What applying a command led to, told to its proposer. */
+/** Result of applying a command, passed to its proposer. */
 export type CommandOutcome =
   | { readonly type: 'done' }
-  /** The command came too late or twice and changed nothing. */
+  /** The command was late or a duplicate and changed nothing. */
   | { readonly type: 'ignored' }
   | { readonly type: 'accepted'; readonly record: CallRecord }
-  /** The same call was taken before; this is its record. */
+  /** The call was accepted before; this is its record. */
   | { readonly type: 'repeated'; readonly record: CallRecord }
   | { readonly type: 'refused'; readonly error: CallError }
   | { readonly type: 'granted'; readonly granted: number };
@@ -44,18 +44,18 @@
 const DONE: CommandOutcome = { type: 'done' };
 const IGNORED: CommandOutcome = { type: 'ignored' };
 
-/** Tokens a call is charged for: the prompt it had computed or read, and what was generated. */
+/** Tokens charged for a call: prompt tokens, cached or not, and generated tokens. */
 export function chargedTokens(usage: Usage): number {
   return usage.promptTokens + usage.completionTokens;
 }
 
-/** Digest of what a call asks, without the parts that differ between a call and its repeat. */
+/** Digest of the parts of a request that are equal in a call and its duplicates. */
 export function digestRequest(request: CallRequest): string {
   const { service, payload, messages, maximumTokens, repeatable } = request;
   return hashText(JSON.stringify([service, payload, messages, maximumTokens, repeatable]));
 }
 
-/** The slice of a group, made when first needed. */
+/** Returns the slice of a group, creating it if needed. */
 export function sliceOf(state: ShardState, group: string): SliceState {
   let slice = state.slices.get(group);
   if (slice === undefined) {
@@ -74,7 +74,7 @@
   return ledger;
 }
 
-/** Applies one command. */
+/** Applies a command to the state in place. */
 export function applyCommand(state: ShardState, command: Command): CommandOutcome {
   switch (command.type) {
     case 'noop':
@@ -207,7 +207,7 @@
 function acceptCall(state: ShardState, command: AcceptCallCommand): CommandOutcome {
   const { request } = command;
   const known = state.programs.get(request.program);
-  // A refused first call leaves no program behind.
+  // A new program is stored only if its first call is accepted.
   const program = known ?? newProgram(request.program, request.group, command.at);
   if (program.group !== request.group) {
     return refuseOtherGroup();
@@ -243,9 +243,9 @@
 }
 
 /**
- * A call that provably did not run leaves its place free for another try, unless later calls have
- * come. The same call, arriving once more over the network, is never taken again: its caller may
- * have been told already that it did not run.
+ * True if a request may replace an earlier call of the same sequence: one that provably did not run
+ * and has no successor. A duplicate delivery of the earlier call itself is never accepted again,
+ * since its caller may already have received the `NotRun` error.
  */
 function mayReplaceFailedCall(
   program: ProgramRecord,
@@ -437,7 +437,7 @@
     detail: 'The program was ended before this call had its answer.',
     retryAfterSeconds: 0,
   };
-  // A call that may have run may have cost its whole reservation.
+  // A call that may have run is charged its whole reservation.
   const usage = verdict === 'NotRun' ? NO_USAGE : { ...NO_USAGE, promptTokens: record.reserved };
   const ended = endCall(state, program, record, usage, at);
   program.calls.set(record.sequence, { ...ended, status: 'failed', error });
--- a/src/program/call-admission.ts
+++ b/src/program/call-admission.ts
@@ -1,6 +1,6 @@
 /**
- * Takes calls into their programs' order: attaches repeats, keeps early calls, gets budget, commits
- * the acceptance.
+ * Admission of calls at the shard owner: attaches duplicates to calls in progress, buffers calls
+ * that arrive out of order, acquires budget and commits the acceptance.
  */
 import type { CallId, NodeId, ProgramId } from '../model/identifiers.js';
 import type { SliceClient } from '../budget/slice-client.js';
@@ -20,25 +20,26 @@
 import type { OwnerLimits } from './program-limits.js';
 import type { CallRecord, ProgramRecord } from './program-record.js';
 
-/** What admission is made with; the owner keeps the calls once they are taken. */
+/** Dependencies of a `CallAdmission`. The owner keeps the calls once they are accepted. */
 export interface CallAdmissionOptions {
   readonly host: ShardHost;
   readonly runtime: Runtime;
   readonly limits: OwnerLimits;
   readonly slices: SliceClient;
   readonly send: (to: NodeId, message: Message) => void;
-  /** A call under way. */
+  /** Returns a call in progress. */
   readonly findLiveCall: (call: CallId) => LiveCall | undefined;
-  /** Lets a gateway hear of a call under way, from the text it has already. */
+  /** Adds a gateway to a call in progress and sends it the text after `receivedText`. */
   readonly attach: (call: LiveCall, from: NodeId, receivedText: string) => void;
-  /** Puts an accepted call under way. */
+  /** Starts tracking an accepted call. */
   readonly addLiveCall: (request: CallRequest, gateways: Iterable<NodeId>) => LiveCall;
-  /** Starts the next call of a program, if it can start. */
+  /** Enqueues the next call of a program if none is in progress. */
   readonly startNext: (program: ProgramId) => void;
 }
 
-/** See the head of this file. */
+/** Accepts, buffers or refuses the calls submitted to one shard. */
 export class CallAdmission {
+  /** Gateways of the calls whose acceptance is not yet committed. */
   private readonly accepting = new Map<CallId, Set<NodeId>>();
   private readonly outOfOrderCalls: OutOfOrderCalls;
 
@@ -46,18 +47,18 @@
     this.outOfOrderCalls = new OutOfOrderCalls(options.limits.maximumOutOfOrderCalls);
   }
 
-  /** True while a call is being taken in, or waits for an earlier one. */
+  /** True while a call is being accepted or waits for an earlier sequence. */
   isPending(call: CallId): boolean {
     return this.accepting.has(call) || this.outOfOrderCalls.has(call);
   }
 
-  /** Forgets everything of a leadership that is over. */
+  /** Drops all pending calls; called when leadership ends. */
   reset(): void {
     this.accepting.clear();
     this.outOfOrderCalls.clear();
   }
 
-  /** Takes a call in, or attaches to it when it is known. */
+  /** Accepts a call, or attaches the gateway to it if it is already pending or in progress. */
   submit(from: NodeId, request: CallRequest): void {
     if (this.attachToKnown(from, request)) {
       return;
@@ -132,7 +133,7 @@
     const gateways = this.accepting.get(request.call) ?? new Set();
     this.accepting.delete(request.call);
     if (result.type !== 'committed') {
-      // The gateway asks again, whoever leads by then; the call's identifier makes that safe.
+      // The gateway retries with the new leader; the call id makes the retry idempotent.
       return;
     }
     const { outcome } = result;
@@ -172,7 +173,7 @@
     }
   }
 
-  /** Refuses early calls that waited too long; called once a second. */
+  /** Refuses out-of-order calls that waited too long; called once a second. */
   sweep(): void {
     for (const expired of this.outOfOrderCalls.takeExpired(this.options.runtime.now())) {
       const error = notRun('Conflict', 'An earlier sequence never came.', 1);
--- a/src/program/call-result.ts
+++ b/src/program/call-result.ts
@@ -1,10 +1,10 @@
-/** The final event of a call, as its record has it. */
+/** Builds the final events of calls. */
 import type { CallEvent } from '../model/call.js';
 import { NO_USAGE } from '../model/call.js';
 import { mayHaveRun } from '../model/verdict.js';
 import type { CallRecord } from './program-record.js';
 
-/** The final event of a call that has ended. */
+/** Returns the final event of an ended call, built from its record. */
 export function resultEvent(record: CallRecord): CallEvent {
   if (record.status === 'answered') {
     const { call, sequence } = record;
--- a/src/program/call-ticket.ts
+++ b/src/program/call-ticket.ts
@@ -1,4 +1,4 @@
-/** What the pool scheduler is told of a waiting call. */
+/** Builds the tickets that describe waiting calls to the pool scheduler. */
 import { countTokens, digestConversation } from '../model/chat.js';
 import type { ChatMessage } from '../model/chat.js';
 import type { CallRequest } from '../model/call.js';
@@ -8,22 +8,25 @@
 import { rootOf } from './program-name.js';
 import type { ShardState } from './shard-state.js';
 
-/** Tokens a call's prompt has: the program's history and the new messages. */
+/**
+ * Estimates the prompt tokens of a call: the program's history, the new messages, and the payload
+ * at four characters per token.
+ */
 export function promptTokensOf(program: ProgramRecord | undefined, request: CallRequest): number {
   return (program?.historyTokens ?? 0) + countTokens(request.messages) + request.payload.length / 4;
 }
 
-/** Worst cost of a call in tokens, reserved before it is taken. */
+/** Estimated upper bound of a call's tokens, reserved from the budget on acceptance. */
 export function worstCaseTokens(program: ProgramRecord | undefined, request: CallRequest): number {
   return Math.ceil(promptTokensOf(program, request)) + request.maximumTokens;
 }
 
-/** The conversation a call is answered from. */
+/** Returns the history and the new messages, as sent to the engine; empty for a tool call. */
 export function conversationOf(program: ProgramRecord, request: CallRequest): ChatMessage[] {
   return request.messages.length === 0 ? [] : [...program.history, ...request.messages];
 }
 
-/** Names what an engine may already hold of a prompt: the history, then the leading instructions. */
+/** Lists the prefixes that engines may have cached: the history, then the system message. */
 function prefixesOf(program: ProgramRecord, request: CallRequest): PromptPrefix[] {
   const prefixes: PromptPrefix[] = [];
   if (program.historyTokens > 0) {
@@ -37,13 +40,18 @@
   return prefixes;
 }
 
-/** Service attained by the whole program, sub-agents included, in tokens. */
+/** Tokens computed for the program and, if it is a sub-agent, for its root program. */
 function attainedServiceWithRoot(state: ShardState, program: ProgramRecord): number {
   const root = state.programs.get(rootOf(program.program));
   return program.attainedService + (root === program ? 0 : (root?.attainedService ?? 0));
 }
 
-/** Builds the ticket of a call that is next in its program's order. */
+/**
+ * Builds the ticket of a program's next call.
+ *
+ * @param now monotonic milliseconds
+ * @param wallTime milliseconds since 1970
+ */
 export function createTicket(
   state: ShardState,
   program: ProgramRecord,
--- a/src/program/commands.ts
+++ b/src/program/commands.ts
@@ -10,7 +10,7 @@
 import type { CallRequest, Usage } from '../model/call.js';
 import type { CallError } from '../model/verdict.js';
 
-/** Fills the log of a new leader's term. */
+/** Appended by a new leader, so that entries of earlier terms can be committed. */
 export interface NoopCommand {
   readonly type: 'noop';
 }
@@ -21,34 +21,34 @@
   readonly voters: readonly NodeId[];
 }
 
-/** Opens a program, or does nothing when it is open already. */
+/** Opens a program; does nothing if it exists already in the same group. */
 export interface OpenProgramCommand {
   readonly type: 'openProgram';
-  /** Milliseconds since 1970 at the proposer. */
+  /** Wall time of the proposer, in milliseconds since 1970. */
   readonly at: number;
   readonly program: ProgramId;
   readonly group: GroupName;
 }
 
-/** Takes a call into its program's order and reserves its worst cost. */
+/** Accepts a call as the next of its program and reserves its worst-case tokens. */
 export interface AcceptCallCommand {
   readonly type: 'acceptCall';
   readonly at: number;
   readonly request: CallRequest;
-  /** Tokens taken from the group's slice until the call ends. */
+  /** Tokens reserved from the group's slice until the call ends. */
   readonly reserve: number;
   readonly limits: ProgramLimits;
 }
 
-/** Bounds that end a program's loop; 0 in no field means unlimited. */
+/** Limits of a program, which stop runaway loops. 0 does not mean unlimited. */
 export interface ProgramLimits {
-  /** Most calls of one program. */
+  /** Maximum number of calls of a program. */
   readonly maximumTurns: number;
-  /** Most tokens of one program's history. */
+  /** Maximum number of tokens in a program's history. */
   readonly maximumHistoryTokens: number;
-  /** Deepest nesting of sub-agents. */
+  /** Maximum nesting depth of sub-agents. */
   readonly maximumDepth: number;
-  /** Longest life of a program, in milliseconds. */
+  /** Maximum age of a program, in milliseconds. */
   readonly maximumLifeMilliseconds: number;
 }
 
@@ -61,7 +61,7 @@
   readonly engine: EngineId;
 }
 
-/** Takes an intent back: the engine provably refused the order, so the call may go elsewhere. */
+/** Withdraws an intent after the engine provably refused the call, so that it may be reassigned. */
 export interface WithdrawIntentCommand {
   readonly type: 'withdrawIntent';
   readonly program: ProgramId;
@@ -70,7 +70,7 @@
   readonly engine: EngineId;
 }
 
-/** Ends a call with its answer; its messages and the answer join the history. */
+/** Ends a call with its answer and appends its messages and the answer to the history. */
 export interface AnswerCallCommand {
   readonly type: 'answerCall';
   readonly at: number;
@@ -81,7 +81,7 @@
   readonly usage: Usage;
 }
 
-/** Ends a call without an answer; the history stays as it was. */
+/** Ends a call with an error; the history is unchanged. */
 export interface FailCallCommand {
   readonly type: 'failCall';
   readonly at: number;
@@ -92,12 +92,12 @@
   readonly usage: Usage;
 }
 
-/** Why a program is over. */
+/** Why a program has ended. */
 export type ProgramEnd = 'finished' | 'stopped' | 'expired';
-/** Every reason, in wire order; append only. */
+/** All reasons, in wire order; append only. */
 export const PROGRAM_ENDS: readonly ProgramEnd[] = ['finished', 'stopped', 'expired'];
 
-/** Ends a program; it takes no further calls. */
+/** Ends a program and its descendants; they accept no further calls. */
 export interface EndProgramCommand {
   readonly type: 'endProgram';
   readonly at: number;
@@ -105,13 +105,13 @@
   readonly reason: ProgramEnd;
 }
 
-/** Forgets a program that ended long ago. */
+/** Deletes an ended program and its calls. */
 export interface ForgetProgramCommand {
   readonly type: 'forgetProgram';
   readonly program: ProgramId;
 }
 
-/** Program shard: decides to ask the ledger for slice `number`; the amount is fixed from here on. */
+/** Program shard: starts request `number` to the ledger and fixes its amount. */
 export interface RequestSliceCommand {
   readonly type: 'requestSlice';
   readonly group: GroupName;
@@ -119,7 +119,7 @@
   readonly amount: number;
 }
 
-/** Program shard: the ledger's answer to slice `number`. */
+/** Program shard: records the ledger's reply to request `number`. */
 export interface ReceiveSliceCommand {
   readonly type: 'receiveSlice';
   readonly group: GroupName;
@@ -127,7 +127,7 @@
   readonly granted: number;
 }
 
-/** Program shard: takes unused tokens out of its slice, to be booked by the ledger. */
+/** Program shard: starts return `number` of available tokens to the ledger. */
 export interface ReturnSliceCommand {
   readonly type: 'returnSlice';
   readonly group: GroupName;
@@ -135,7 +135,7 @@
   readonly amount: number;
 }
 
-/** Program shard: the ledger has booked return `number`. */
+/** Program shard: records that the ledger has booked return `number`. */
 export interface SettleReturnCommand {
   readonly type: 'settleReturn';
   readonly group: GroupName;
@@ -149,11 +149,11 @@
   readonly holder: ShardId;
   readonly number: number;
   readonly amount: number;
-  /** The group's whole budget, in tokens, as configured when this was proposed. */
+  /** The group's whole budget in tokens, as configured at the time of the proposal. */
   readonly budget: number;
 }
 
-/** Ledger shard: books a returned part, once for each (holder, number). */
+/** Ledger shard: books returned tokens, once for each (holder, number). */
 export interface BookReturnCommand {
   readonly type: 'bookReturn';
   readonly group: GroupName;
@@ -162,7 +162,7 @@
   readonly amount: number;
 }
 
-/** Everything a shard's log may hold. */
+/** Any command of a shard's log. */
 export type Command =
   | NoopCommand
   | ChangeVotersCommand
--- a/src/program/engine-request.ts
+++ b/src/program/engine-request.ts
@@ -1,14 +1,14 @@
-/** The order that an owner gives a back end for a call. */
+/** Builds the requests that shard owners send to engines. */
 import type { CallClass } from '../model/call.js';
 import type { BackEndRequest, Fence } from '../platform/back-end-port.js';
 import { conversationOf } from './call-ticket.js';
 import type { LiveCall } from './live-call.js';
 import type { ProgramRecord } from './program-record.js';
 
-/** Priorities of the classes at an engine; lower runs first. */
+/** Engine priorities of the call classes; lower runs first. */
 const PRIORITIES: Readonly<Record<CallClass, number>> = { urgent: 0, interactive: 1, batch: 2 };
 
-/** Builds the order of a call that is next in its program. */
+/** Builds the engine request for a program's current call. */
 export function createEngineRequest(
   program: ProgramRecord,
   call: LiveCall,
--- a/src/program/live-call.ts
+++ b/src/program/live-call.ts
@@ -1,48 +1,51 @@
-/** A call under way, as its owner holds it in memory; rebuilt from the log by the next owner. */
+/** In-memory state of a call in progress at its owner; rebuilt from the log after failover. */
 import type { EngineId, NodeId } from '../model/identifiers.js';
 import type { CallRequest } from '../model/call.js';
 import type { CancelRequest } from '../platform/back-end-port.js';
 import type { CancelTimer } from '../runtime/runtime.js';
 
-/** Where a live call stands. */
+/** Phases of a live call. */
 export type LiveCallPhase =
-  /** Accepted; an earlier call of the program is under way. */
+  /** Accepted, but not yet queued: an earlier call of the program is in progress. */
   | 'behind'
   /** In the pool scheduler's queue. */
   | 'waiting'
-  /** Assigned; its intent is being committed. */
+  /** Assigned to an engine; the intent is being committed. */
   | 'intending'
   /** Sent to an engine. */
   | 'running'
-  /** Found intended by a new owner; its engine is being asked. */
+  /** Taken over by a new owner with a committed intent; the engine is asked for its result. */
   | 'recovering'
-  /** Its result is being committed. */
+  /** The result, or the withdrawal of the intent, is being committed. */
   | 'ending';
 
-/** One call under way. */
+/** A call in progress. */
 export interface LiveCall {
   readonly request: CallRequest;
   readonly sequence: number;
   phase: LiveCallPhase;
-  /** Monotonic milliseconds at which this owner took it. */
+  /** Monotonic time in milliseconds at which this owner started tracking the call. */
   readonly addedAt: number;
-  /** Gateways that want to hear of it. */
+  /** Gateways that receive the call's events. */
   readonly gateways: Set<NodeId>;
+  /** Engine of the current or latest attempt; empty while the call waits for one. */
   engine: EngineId;
+  /** Engine of the latest failed attempt, or empty. */
   avoidEngine: EngineId;
   attempts: number;
-  /** True once some try of it, by this owner or an earlier one, may have run. */
+  /** True if some attempt, by this owner or an earlier one, may have run. */
   mayHaveRun: boolean;
-  /** Text generated so far, including what an earlier owner sent. */
+  /** Text generated so far, including text sent by an earlier owner. */
   text: string;
+  /** Monotonic time in milliseconds at which the current attempt started. */
   startedAt: number;
   cancelRequest: CancelRequest | undefined;
   cancelDeadline: CancelTimer;
-  /** Stops the wait for a gateway to attach, if one goes on. */
+  /** Ends the wait for a gateway to attach and resumes the call, if such a wait is in progress. */
   endAttachWait: CancelTimer;
 }
 
-/** Makes a live call in its first phase. */
+/** Creates a live call in phase `behind`. */
 export function createLiveCall(request: CallRequest, now: number): LiveCall {
   return {
     request,
--- a/src/program/out-of-order-calls.ts
+++ b/src/program/out-of-order-calls.ts
@@ -1,22 +1,22 @@
-/** Calls that came before an earlier one of their program; they wait, bounded, for their turn. */
+/** A bounded buffer of calls that arrived before earlier calls of their programs. */
 import type { CallId, NodeId, ProgramId } from '../model/identifiers.js';
 import type { CallRequest } from '../model/call.js';
 
-/** A call that waits for an earlier sequence. */
+/** A call that waits for an earlier sequence of its program. */
 export interface OutOfOrderCall {
   readonly from: NodeId;
   readonly request: CallRequest;
-  /** Monotonic milliseconds until which it waits. */
+  /** Monotonic time in milliseconds until which the call waits. */
   readonly expiresAt: number;
 }
 
-/** Early calls of one shard's programs. */
+/** The out-of-order calls of one shard's programs. */
 export class OutOfOrderCalls {
   private readonly byProgram = new Map<ProgramId, OutOfOrderCall[]>();
 
   constructor(private readonly maximumPerProgram: number) {}
 
-  /** True when a call waits here. */
+  /** True if the buffer contains the call. */
   has(call: CallId): boolean {
     for (const waiting of this.byProgram.values()) {
       if (waiting.some((entry) => entry.request.call === call)) {
@@ -26,7 +26,7 @@
     return false;
   }
 
-  /** Keeps a call; false when too many of its program wait already. */
+  /** Adds a call; returns false if the buffer of its program is full. */
   add(entry: OutOfOrderCall): boolean {
     const { program, call } = entry.request;
     const waiting = this.byProgram.get(program) ?? [];
@@ -40,7 +40,7 @@
     return true;
   }
 
-  /** Takes out a call whose turn has come. */
+  /** Removes and returns a call whose sequence is due. */
   takeReady(program: ProgramId, nextSequence: number): OutOfOrderCall | undefined {
     const waiting = this.byProgram.get(program) ?? [];
     const ready = waiting.find((entry) => entry.request.sequence <= nextSequence);
@@ -53,7 +53,7 @@
     return ready;
   }
 
-  /** Takes out the calls that have waited too long. */
+  /** Removes and returns the calls that have expired. */
   takeExpired(now: number): OutOfOrderCall[] {
     const expired: OutOfOrderCall[] = [];
     for (const [program, waiting] of [...this.byProgram]) {
@@ -66,7 +66,7 @@
     return expired;
   }
 
-  /** Forgets everything. */
+  /** Removes all calls. */
   clear(): void {
     this.byProgram.clear();
   }
--- a/src/program/program-expiry.ts
+++ b/src/program/program-expiry.ts
@@ -1,7 +1,7 @@
 /**
- * Ends programs that were left and forgets those that ended long ago. Quiet time is counted on the
- * leader's monotonic clock from the last change it has seen, so a jump of the wall clock ends nothing;
- * a new leader counts afresh.
+ * Ends idle programs and deletes programs whose retention time has passed. Idle time is measured on
+ * the leader's monotonic clock since it last observed a change, so a jump of the wall clock expires
+ * nothing. A new leader starts measuring from zero.
  */
 import type { ProgramId } from '../model/identifiers.js';
 import type { ShardHost } from '../replication/shard-host.js';
@@ -10,7 +10,7 @@
 import { firstUnfinishedCall } from './program-record.js';
 import type { ProgramRecord } from './program-record.js';
 
-/** What the expiry is made with. */
+/** Dependencies of a `ProgramExpiry`. */
 export interface ProgramExpiryOptions {
   readonly host: ShardHost;
   readonly runtime: Runtime;
@@ -19,19 +19,19 @@
 }
 
 interface ActivityObservation {
-  /** The program's own mark of its last change; any change of it is an activity. */
+  /** Value derived from the program's record; a different value means activity. */
   readonly activityStamp: number;
-  /** Monotonic milliseconds at which that mark was first seen. */
+  /** Monotonic time in milliseconds at which this value was first observed. */
   readonly observedAt: number;
 }
 
-/** See the head of this file. */
+/** Expires the idle and ended programs of one shard. */
 export class ProgramExpiry {
   private readonly observations = new Map<ProgramId, ActivityObservation>();
 
   constructor(private readonly options: ProgramExpiryOptions) {}
 
-  /** Looks at every program; called about once a second by the leader. */
+  /** Checks all programs; called about once a second by the leader. */
   sweep(): void {
     const { host, limits } = this.options;
     for (const program of host.state.programs.values()) {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Forgets what was seen; called when leadership ends. */
+  /** Drops all observations; called when leadership ends. */
   reset(): void {
     this.observations.clear();
   }
--- a/src/program/program-limits.ts
+++ b/src/program/program-limits.ts
@@ -1,22 +1,22 @@
-/** The limits that end loops and hangs, with their defaults. */
+/** Limits of programs and calls, with their defaults. */
 import type { ProgramLimits } from './commands.js';
 
 const HOUR_MILLISECONDS = 3_600_000;
 
-/** Limits of programs and of what an owner keeps for them. */
+/** Limits that a shard owner enforces. */
 export interface OwnerLimits {
   readonly program: ProgramLimits;
-  /** Milliseconds without a call after which a program is over. @default 3600000 */
+  /** Milliseconds without activity after which a program ends. @default 3600000 */
   readonly idleMilliseconds: number;
-  /** Milliseconds an ended program's answers and history stay readable. @default 86400000 */
+  /** Milliseconds for which an ended program's answers and history are kept. @default 86400000 */
   readonly retentionMilliseconds: number;
-  /** Times a repeatable call may be sent again. @default 3 */
+  /** Maximum number of attempts per call at one owner. @default 3 */
   readonly maximumAttempts: number;
-  /** Calls of one program that may wait for an earlier sequence. @default 64 */
+  /** Maximum number of buffered out-of-order calls per program. @default 64 */
   readonly maximumOutOfOrderCalls: number;
 }
 
-/** Limits used when the settings name none. */
+/** Default limits. */
 export const DEFAULT_OWNER_LIMITS: OwnerLimits = {
   program: {
     maximumTurns: 1_000,
--- a/src/program/program-name.ts
+++ b/src/program/program-name.ts
@@ -1,30 +1,31 @@
 /**
- * Program names. A sub-agent's name is its parent's name, a slash and a name of its own, so a
- * program and all its descendants hash to one shard and can be limited and ended together.
+ * Hierarchical program names. A sub-agent's name is its parent's name, a slash and its own name.
+ * Sharding uses the name's root, so a program and its descendants are on one shard and can be
+ * limited and ended together.
  */
 import type { ProgramId } from '../model/identifiers.js';
 
-/** Stands between a parent's name and its child's. */
+/** Separates a parent's name from its child's. */
 export const CHILD_SEPARATOR = '/';
 
-/** The outermost ancestor of a program: itself when it has no parent. */
+/** Returns the outermost ancestor of a program; the program itself if it has no parent. */
 export function rootOf(program: ProgramId): ProgramId {
   const end = program.indexOf(CHILD_SEPARATOR);
   return end < 0 ? program : program.slice(0, end);
 }
 
-/** The parent of a program, or empty. */
+/** Returns the parent of a program, or an empty string. */
 export function parentOf(program: ProgramId): ProgramId {
   const end = program.lastIndexOf(CHILD_SEPARATOR);
   return end < 0 ? '' : program.slice(0, end);
 }
 
-/** How deep a program is nested; 0 for one without a parent. */
+/** Returns the nesting depth of a program; 0 if it has no parent. */
 export function depthOf(program: ProgramId): number {
   return program.split(CHILD_SEPARATOR).length - 1;
 }
 
-/** True when the program is the ancestor itself or one of its descendants. */
+/** True if the program is the ancestor itself or one of its descendants. */
 export function isWithin(program: ProgramId, ancestor: ProgramId): boolean {
   return program === ancestor || program.startsWith(ancestor + CHILD_SEPARATOR);
 }
--- a/src/program/program-requests.ts
+++ b/src/program/program-requests.ts
@@ -1,4 +1,4 @@
-/** Answers requests about one program, at its owner. */
+/** Handles requests to open, read and end programs at the shard owner. */
 import type { GroupName, ProgramId } from '../model/identifiers.js';
 import { notRun } from '../model/verdict.js';
 import type { CallError } from '../model/verdict.js';
@@ -9,16 +9,19 @@
 import type { CallRecord, ProgramRecord } from './program-record.js';
 import type { ShardOwner } from './shard-owner.js';
 
-/** An answer as the gateway passes it on. */
+/** An HTTP response that the gateway forwards to the client. */
 export interface ProgramAnswer {
   readonly status: number;
   readonly body: string;
 }
 
-/** Receives the answer, once; never called when leadership is lost, so that the gateway asks again. */
+/**
+ * Receives the answer, at most once. It is not called if leadership is lost; the gateway retries
+ * then.
+ */
 export type ProgramAnswerListener = (answer: ProgramAnswer) => void;
 
-/** A program as callers and operators see it. */
+/** A program as returned to callers and operators. */
 export interface ProgramView {
   readonly program: ProgramId;
   readonly group: GroupName;
@@ -26,13 +29,15 @@
   readonly turns: number;
   readonly historyTokens: number;
   readonly historyDigest: string;
+  /** Milliseconds since 1970. */
   readonly openedAt: number;
+  /** Milliseconds since 1970. */
   readonly lastActivityAt: number;
   readonly attainedTokens: number;
   readonly calls: readonly CallView[];
 }
 
-/** A call as callers and operators see it. */
+/** A call as returned to callers and operators. */
 export interface CallView {
   readonly call: string;
   readonly sequence: number;
@@ -55,7 +60,6 @@
   };
 }
 
-/** Builds the view of a program. */
 export function viewProgram(program: ProgramRecord): ProgramView {
   return {
     program: program.program,
@@ -75,7 +79,7 @@
   return { status: httpStatusOf(error), body: JSON.stringify({ error }) };
 }
 
-/** Answers one request; the caller has checked that this node leads the shard. */
+/** Handles one request. The caller has checked that this node leads the shard. */
 export function answerProgramRequest(
   host: ShardHost,
   owner: ShardOwner,
@@ -109,7 +113,7 @@
     case 'end':
     case 'stop':
       owner.endProgram(name, action === 'end' ? 'finished' : 'stopped', () => {
-        // Whoever committed the end, the state tells.
+        // The program may have been ended by another proposal, so check the state, not the result.
         if (program.end !== undefined && host.canServe()) {
           answer({ status: 200, body: JSON.stringify(viewProgram(program)) });
         }
--- a/src/program/shard-owner.ts
+++ b/src/program/shard-owner.ts
@@ -1,6 +1,6 @@
 /**
- * Owner of a shard's programs, on the node that leads the shard: takes calls in, keeps each
- * program's order, sends calls to engines and commits their results.
+ * Runs the calls of a shard's programs on the node that leads the shard: admits calls, keeps those
+ * of one program in sequence, sends them to engines and commits their results.
  */
 import type { CallId, NodeId, ProgramId, ServiceName } from '../model/identifiers.js';
 import type { CallEvent, CallRequest, Usage } from '../model/call.js';
@@ -26,10 +26,13 @@
 import { firstUnfinishedCall, hasEnded } from './program-record.js';
 import type { CallRecord, ProgramRecord } from './program-record.js';
 
-/** Time a new owner waits for the caller's gateway before it runs a lost call again, in ms. */
+/**
+ * Time in milliseconds that a new owner waits for a gateway to attach before it reruns a call. The
+ * gateway tells how much of the answer its client has already received.
+ */
 const ATTACH_WAIT_MILLISECONDS = 3_000;
 
-/** What an owner is made with. */
+/** Dependencies of a `ShardOwner`. */
 export interface ShardOwnerOptions {
   readonly host: ShardHost;
   readonly runtime: Runtime;
@@ -38,11 +41,11 @@
   readonly pools: PoolClient;
   readonly slices: SliceClient;
   readonly send: (to: NodeId, message: Message) => void;
-  /** Tells that a program is over, once for each leadership that sees it. */
+  /** Called when a program is found to have ended; may be called more than once per program. */
   readonly onProgramEnded: (program: ProgramId) => void;
 }
 
-/** See the head of this file. */
+/** Runs the calls of one shard while this node leads it. */
 export class ShardOwner {
   private readonly liveCalls = new Map<CallId, LiveCall>();
   private readonly admission: CallAdmission;
@@ -59,27 +62,27 @@
     this.expiry = new ProgramExpiry(options);
   }
 
-  /** Number of calls under way here. */
+  /** Number of calls in progress. */
   get liveCallCount(): number {
     return this.liveCalls.size;
   }
 
-  /** Calls under way here. */
+  /** Lists the calls in progress. */
   listLiveCalls(): LiveCall[] {
     return [...this.liveCalls.values()];
   }
 
-  /** True when this owner can tell what became of a call. */
+  /** True while a call is in progress, being accepted or buffered out of order. */
   isTracking(call: CallId): boolean {
     return this.liveCalls.has(call) || this.admission.isPending(call);
   }
 
-  /** Takes a call in, or attaches to it when it is known. */
+  /** Accepts a call, or attaches the gateway to it if it is already pending or in progress. */
   submit(from: NodeId, request: CallRequest): void {
     this.admission.submit(from, request);
   }
 
-  /** Takes the pool scheduler's decision to start a call. */
+  /** Handles the pool scheduler's assignment of a call to an engine. */
   assign(message: PoolAssignment): void {
     const call = this.liveCalls.get(message.call);
     if (call === undefined || call.phase !== 'waiting') {
@@ -94,7 +97,7 @@
     this.commitIntent(call, message.engine);
   }
 
-  /** Takes the pool scheduler's refusal of a call; final. */
+  /** Handles the pool scheduler's final refusal of a call. */
   refuse(call: CallId, detail: string, retryAfterSeconds: number): void {
     const live = this.liveCalls.get(call);
     if (live?.phase === 'waiting') {
@@ -102,7 +105,7 @@
     }
   }
 
-  /** Ends a program and everything under way in it. */
+  /** Ends a program, its descendants and their calls. */
   endProgram(program: ProgramId, reason: 'finished' | 'stopped', done: () => void): void {
     const { host, runtime } = this.options;
     const at = runtime.wallTime();
@@ -115,7 +118,7 @@
     });
   }
 
-  /** Takes up every call under way; called when this node becomes the leader. */
+  /** Recovers all calls in progress; called when this node becomes the leader. */
   startLeading(): void {
     for (const program of this.options.host.state.programs.values()) {
       for (const record of program.calls.values()) {
@@ -127,7 +130,7 @@
     }
   }
 
-  /** Drops everything held in memory; called when this node stops leading. */
+  /** Drops all in-memory state; called when this node stops leading. */
   stopLeading(): void {
     for (const call of this.liveCalls.values()) {
       this.cancelTimers(call);
@@ -137,7 +140,7 @@
     this.expiry.reset();
   }
 
-  /** Adds this owner's calls to a report to a pool. */
+  /** Adds this owner's calls of a service to a pool report. */
   addToReport(service: ServiceName, content: PoolCalls): void {
     const { host, runtime } = this.options;
     for (const call of this.liveCalls.values()) {
@@ -159,7 +162,7 @@
     }
   }
 
-  /** Ends early calls that waited too long and programs that were left; called once a second. */
+  /** Expires out-of-order calls and programs; called once a second. */
   sweep(): void {
     this.admission.sweep();
     this.expiry.sweep();
@@ -221,7 +224,7 @@
     const { sequence } = call;
     host.propose({ type: 'intendCall', program, sequence, call: name, engine }, (result) => {
       const intended = result.type === 'committed' && result.outcome.type === 'done';
-      // Only a committed intent, held by a proven leader, lets a non-repeatable call go out.
+      // A non-repeatable call is sent only once its intent is committed and leadership confirmed.
       if (intended && !repeatable && this.isCurrent(call, 'intending') && host.canServe()) {
         this.sendToEngine(call);
       }
@@ -323,7 +326,7 @@
     }
   }
 
-  /** Ends a call that no back end answers; what its tries may have done decides the verdict. */
+  /** Fails a call without an answer; the verdict says whether an attempt may have run. */
   private failUnanswered(
     call: LiveCall,
     tag: CallErrorTag,
@@ -351,7 +354,7 @@
     }
   }
 
-  /** What a call that may have run is charged: all that was reserved for it. */
+  /** Usage charged for a call that may have run: its whole reservation. */
   private worstCaseUsage(call: LiveCall): Usage {
     const record = this.recordOf(call);
     return { ...NO_USAGE, promptTokens: record?.reserved ?? 0 };
@@ -421,7 +424,11 @@
     });
   }
 
-  /** A call whose caller may hold part of an answer waits for its gateway before it runs again. */
+  /**
+   * Handles an engine that cannot resume a call. A repeatable call is rerun once a gateway has
+   * attached or the wait for it has ended, since the gateway tells how much of the answer its
+   * client already has. A non-repeatable call fails.
+   */
   private handleFailedRecovery(call: LiveCall, detail: string): void {
     if (!call.request.repeatable) {
       this.fail(call, mayHaveRun('BackEndFailed', detail), this.worstCaseUsage(call));
@@ -462,7 +469,7 @@
 
   private cancelTimers(call: LiveCall): void {
     call.cancelDeadline();
-    // The wait's end is not to be acted on any more.
+    // Keeps `endAttachWait` from resuming the call.
     call.phase = 'ending';
     call.endAttachWait();
   }
@@ -481,7 +488,7 @@
     });
   }
 
-  /** Gives back the place of an assignment that came too late. */
+  /** Frees the slot of an assignment that arrived too late. */
   private refuseAssignment({ service, call, engine }: PoolAssignment): void {
     this.options.pools.reportFinished({
       type: 'poolFinished',
--- a/src/program/shard-state.ts
+++ b/src/program/shard-state.ts
@@ -1,18 +1,18 @@
-/** The replicated state of one shard: its programs, slices and ledgers, with its serialization. */
+/** The replicated state of a shard and its serialization in snapshots. */
 import type { CallId, ProgramId, ShardId } from '../model/identifiers.js';
 import type { HolderState, LedgerTable, SliceState, SliceTable } from '../budget/slices.js';
 import type { CallRecord, ProgramRecord } from './program-record.js';
 
-/** Everything a shard's log has led to. */
+/** The state of a shard after applying its log. */
 export interface ShardState {
   readonly programs: Map<ProgramId, ProgramRecord>;
-  /** Place of each remembered call. */
+  /** Locations of all recorded calls by call id. */
   readonly callIndex: Map<CallId, CallLocation>;
   readonly slices: SliceTable;
   readonly ledgers: LedgerTable;
 }
 
-/** Where a call is recorded. */
+/** Program and sequence under which a call is recorded. */
 export interface CallLocation {
   readonly program: ProgramId;
   readonly sequence: number;
@@ -34,7 +34,7 @@
   readonly ledgers: readonly SerializedLedger[];
 }
 
-/** The state before the first command. */
+/** Returns the state before the first command. */
 export function emptyShardState(): ShardState {
   return { programs: new Map(), callIndex: new Map(), slices: new Map(), ledgers: new Map() };
 }
@@ -56,7 +56,7 @@
   return JSON.stringify(serialized);
 }
 
-/** Reads what `serializeShard` wrote; an empty text is the empty state. */
+/** Parses the output of `serializeShard`; an empty text yields the empty state. */
 export function deserializeShard(text: string): ShardState {
   const state = emptyShardState();
   if (text === '') {
