--- a/src/budget/ledger.ts
+++ b/src/budget/ledger.ts
@@ -1,21 +1,21 @@
-/** The ledger shard's side of budgets: grants slices and books returns, each once. */
+/** The ledger shard's side of group budgets: grants slices and books returned tokens. */
 import type { GroupName, NodeId } from '../model/identifiers.js';
 import type { ShardHost } from '../replication/shard-host.js';
 import type { Message, SliceRequest, SliceReturn } from '../wire/messages.js';
 
-/** What the ledger is made with. */
+/** Dependencies of a `Ledger`. */
 export interface LedgerOptions {
   readonly host: ShardHost;
-  /** The group's budget in tokens; 0 when the group is unknown. */
+  /** Returns a group's budget in tokens; 0 if the group is unknown. */
   readonly budgetOf: (group: GroupName) => number;
   readonly send: (to: NodeId, message: Message) => void;
 }
 
-/** Answers slice messages while its node leads the shard. */
+/** Answers slice messages while this node leads the ledger shard. */
 export class Ledger {
   constructor(private readonly options: LedgerOptions) {}
 
-  /** Grants a slice and answers when the grant is committed. */
+  /** Proposes a grant and replies once it is committed. */
   receiveRequest(from: NodeId, message: SliceRequest): void {
     const { group, holder, number, amount } = message;
     const budget = this.options.budgetOf(group);
@@ -30,7 +30,7 @@
     );
   }
 
-  /** Books a return and answers when it is committed. */
+  /** Proposes a booking of returned tokens and replies once it is committed. */
   receiveReturn(from: NodeId, message: SliceReturn): void {
     const { group, holder, number, amount } = message;
     this.options.host.propose({ type: 'bookReturn', group, holder, number, amount }, (result) => {
--- a/src/budget/slice-client.ts
+++ b/src/budget/slice-client.ts
@@ -1,4 +1,4 @@
-/** A program shard's side of budgets: gets slices when calls need them, returns idle ones. */
+/** The program shard's side of group budgets: acquires slices on demand and returns idle ones. */
 import type { GroupName, NodeId, ShardId } from '../model/identifiers.js';
 import type { LeaderDirectory } from '../replication/leader-directory.js';
 import type { ShardHost } from '../replication/shard-host.js';
@@ -9,12 +9,12 @@
 import type { Message, SliceReply, SliceReturnSettled } from '../wire/messages.js';
 import { chooseSliceAmount } from './slices.js';
 
-/** Time after which an unanswered request is sent again, in milliseconds. */
+/** Time after which an unanswered message is sent again, in milliseconds. */
 const RESEND_MILLISECONDS = 700;
-/** Time a slice may lie idle before it goes back, in milliseconds. */
+/** Time without use after which a slice is returned, in milliseconds. */
 const IDLE_RETURN_MILLISECONDS = 15_000;
 
-/** What the client is made with. */
+/** Dependencies of a `SliceClient`. */
 export interface SliceClientOptions {
   readonly host: ShardHost;
   readonly runtime: Runtime;
@@ -24,23 +24,26 @@
   readonly send: (to: NodeId, message: Message) => void;
 }
 
-/** Called once: true when a new grant has come, false when the budget is used up. */
+/**
+ * Called once: with true after a grant, with false if the budget is used up or leadership is lost.
+ */
 export type SliceWaiter = (granted: boolean) => void;
 
-/** Slices of one shard, while its node leads it. */
+/** Manages the slices of one shard while this node leads it. */
 export class SliceClient {
   private readonly waiters = new Map<GroupName, SliceWaiter[]>();
+  /** Monotonic time in milliseconds at which each unanswered message was last sent. */
   private readonly sentAt = new Map<string, number>();
   private readonly lastUsedAt = new Map<GroupName, number>();
 
   constructor(private readonly options: SliceClientOptions) {}
 
-  /** Notes that a group is active here, so its slice is not idle. */
+  /** Records that a group's slice is in use, which defers its return. */
   recordUse(group: GroupName): void {
     this.lastUsedAt.set(group, this.options.runtime.now());
   }
 
-  /** Asks the ledger for tokens; the waiter hears when the answer is in the log. */
+  /** Requests tokens from the ledger. The waiter is called once the reply is committed. */
   acquire(group: GroupName, needed: number, waiter: SliceWaiter): void {
     const waiters = this.waiters.get(group) ?? [];
     waiters.push(waiter);
@@ -56,7 +59,7 @@
     );
   }
 
-  /** Takes the ledger's answer. */
+  /** Commits the ledger's reply to the pending request and notifies the waiters. */
   receiveReply(message: SliceReply): void {
     const { group, number, granted } = message;
     const slice = sliceOf(this.options.host.state, group);
@@ -70,19 +73,19 @@
     });
   }
 
-  /** Takes the ledger's word that a return is booked. */
+  /** Commits that the ledger has booked a return. */
   receiveSettled(message: SliceReturnSettled): void {
     const { group, number } = message;
     this.options.host.propose({ type: 'settleReturn', group, number }, () => undefined);
   }
 
-  /** Repeats what has not been answered and returns idle slices; called about twice a second. */
+  /** Returns idle slices and resends unanswered messages; called about twice a second. */
   tick(): void {
     this.returnIdleSlices();
     this.sendUnanswered();
   }
 
-  /** Forgets everything of a leadership that is over. */
+  /** Drops pending requests when leadership ends; their waiters are called with false. */
   reset(): void {
     const waiting = [...this.waiters.values()].flat();
     this.waiters.clear();
--- a/src/budget/slices.ts
+++ b/src/budget/slices.ts
@@ -1,45 +1,45 @@
 /**
- * Budgets by escrow: a ledger shard grants slices of a group's budget to program shards, which
- * reserve from them. Both sides are replicated, so no slice is lost with a process; grants and
- * returns carry numbers, so that a repeated message changes nothing.
+ * Group budgets by escrow. A ledger shard grants slices of a group's budget to program shards,
+ * which reserve tokens from them for calls. Both sides are replicated, so a crash loses no slice.
+ * Grants and returns are numbered, so duplicate messages have no effect.
  */
 import type { GroupName, ShardId } from '../model/identifiers.js';
 
-/** A program shard's part of one group's budget. All amounts in tokens. */
+/** A program shard's slice of a group's budget. All amounts are in tokens. */
 export interface SliceState {
-  /** Granted and neither spent nor reserved nor returned. */
+  /** Tokens granted and not yet reserved, spent or returned. */
   available: number;
-  /** Set aside for calls under way. */
+  /** Tokens reserved for calls in progress. */
   reserved: number;
-  /** Used by calls that have ended. */
+  /** Tokens used by calls that have ended. */
   spent: number;
-  /** Number of the newest slice asked for. */
+  /** Number of the latest request. */
   requestNumber: number;
-  /** Amount asked for under that number; 0 when it has been answered. */
+  /** Amount of the pending request; 0 if it has been answered. */
   requestAmount: number;
-  /** Granted amount of the newest answer; 0 tells that the budget is used up. */
+  /** Amount granted by the latest reply; 0 if the budget was used up. */
   lastGranted: number;
-  /** Number of the newest return. */
+  /** Number of the latest return. */
   returnNumber: number;
-  /** Amount on its way back to the ledger; 0 when settled. */
+  /** Amount of the pending return; 0 if the ledger has booked it. */
   returnAmount: number;
 }
 
-/** What a ledger remembers of one holder of slices. */
+/** The numbers of a holder's latest grant and return, for detecting duplicates. */
 export interface HolderState {
   grantNumber: number;
   lastGranted: number;
   returnNumber: number;
 }
 
-/** A ledger shard's account of one group, in tokens. */
+/** A ledger shard's account of one group. */
 export interface LedgerState {
-  /** Sum of all grants less all returns; never above the budget. */
+  /** Granted less returned tokens. A grant never raises the sum above the budget. */
   outstanding: number;
   readonly holders: Map<ShardId, HolderState>;
 }
 
-/** A slice nobody has asked for yet. */
+/** Returns the slice of a group before its first request. */
 export function emptySlice(): SliceState {
   return {
     available: 0,
@@ -53,7 +53,7 @@
   };
 }
 
-/** An account without grants. */
+/** Returns an account without grants. */
 export function emptyLedger(): LedgerState {
   return { outstanding: 0, holders: new Map() };
 }
@@ -67,7 +67,10 @@
   return state;
 }
 
-/** Grants slice `number` to a holder; a repeat returns what was granted the first time. */
+/**
+ * Grants slice `number` to a holder and returns the granted tokens, which may be fewer than asked
+ * for. A duplicate of the latest request returns its first result, an older one 0.
+ */
 export function grantSlice(
   ledger: LedgerState,
   holder: ShardId,
@@ -87,7 +90,7 @@
   return granted;
 }
 
-/** Books return `number` of a holder, once. */
+/** Books return `number` of a holder; duplicates have no effect. */
 export function bookReturn(
   ledger: LedgerState,
   holder: ShardId,
@@ -102,7 +105,7 @@
   ledger.outstanding -= amount;
 }
 
-/** Reserves a call's worst cost; false when the slice does not hold it. */
+/** Reserves tokens for a call; returns false if the slice has fewer available. */
 export function reserveTokens(slice: SliceState, amount: number): boolean {
   if (slice.available < amount) {
     return false;
@@ -112,7 +115,7 @@
   return true;
 }
 
-/** Ends a reservation: what was used is spent, the rest is available again. */
+/** Ends a reservation: used tokens are spent, the rest becomes available again. */
 export function settleReservation(slice: SliceState, reserved: number, used: number): void {
   const spent = Math.min(reserved, used);
   slice.reserved -= reserved;
@@ -120,21 +123,21 @@
   slice.available += reserved - spent;
 }
 
-/** Least tokens asked for at once, so that small calls do not each need a grant. */
+/** Minimum size of a request in tokens, so that small calls do not need a grant each. */
 export const MINIMUM_SLICE_TOKENS = 20_000;
-/** Part of the budget one shard may ask for at once. */
+/** Fraction of a group's budget that a shard requests at once. */
 const SLICE_BUDGET_FRACTION = 1 / 64;
 
 /**
- * How much to ask for when `needed` tokens are missing: enough for a while, little enough that the
- * last part of a budget can be used by any shard.
+ * Returns how many tokens to request when a call needs `needed`: enough for many calls, but a small
+ * part of the budget, so that no shard withholds the remainder from the others.
  */
 export function chooseSliceAmount(needed: number, budget: number): number {
   const defaultAmount = Math.max(MINIMUM_SLICE_TOKENS, Math.floor(budget * SLICE_BUDGET_FRACTION));
   return Math.max(needed, defaultAmount);
 }
 
-/** Group names with their slices, as one shard holds them. */
+/** One shard's slices by group. */
 export type SliceTable = Map<GroupName, SliceState>;
-/** Group names with their ledgers, as one shard holds them. */
+/** One shard's ledgers by group. */
 export type LedgerTable = Map<GroupName, LedgerState>;
