--- a/features/steps/scheduling.steps.ts
+++ b/features/steps/scheduling.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about scheduling decisions and budgets: pure functions over plain data. */
+/** Steps for the scheduling policy, its models and the budget slices, all without a cluster. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
@@ -107,7 +107,7 @@
 );
 
 Given(
-  'engine {string} holds {int} tokens of program {string}',
+  'engine {string} has {int} tokens of program {string} cached',
   function (this: SchedulingWorld, engine: string, tokens: number, program: string) {
     this.pool!.directory.add(engine, { name: program, tokens });
   },
@@ -121,7 +121,7 @@
 );
 
 Given(
-  'engine {string} holds memory up to its last {int} tokens',
+  'engine {string} holds prompts in all but {int} tokens of its cache',
   function (this: SchedulingWorld, engine: string, left: number) {
     engineOf(this, engine).heldTokens = CACHE_TOKENS - left;
   },
@@ -147,7 +147,7 @@
     }
     enqueue(urgentGroup, many, 'urgent');
     this.started = [];
-    // Each round the engines are empty again, so that the order of service is seen.
+    // Placements are not counted as running, so they show the order of service alone.
     for (let round = 0; round < 20; round += 1) {
       const placement = this.policy!.choose(this.pool!, 0);
       if (placement !== undefined) {
@@ -166,12 +166,12 @@
   function (this: SchedulingWorld, first: number, group: string, least: number) {
     const others = this.started!.slice(1, first + 1);
     const count = others.filter(({ ticket }) => ticket.group === group).length;
-    assert.ok(count >= least, `${count} of ${others.length}`);
+    assert.ok(count >= least, `${count} of ${others.length} calls`);
   },
 );
 
 When(
-  'each of {int} calls ends before the next starts, both groups always waiting',
+  'each of {int} calls ends before the next starts and both groups always have a call waiting',
   function (this: SchedulingWorld, calls: number) {
     const served = new Map<string, number>();
     const enqueue = (group: string, index: number): void =>
@@ -218,7 +218,7 @@
 });
 
 Then(
-  'where half return within a second and half never, memory is held about a second',
+  'if half of the programs return within a second and half never, prompts are held about a second',
   function () {
     const model = new PauseModel();
     for (let index = 0; index < 400; index += 1) {
@@ -226,11 +226,11 @@
       model.observeEnd();
     }
     const held = model.optimalHoldMilliseconds(1, 1 / 120_000);
-    assert.ok(held >= 880 && held <= 3_000, `${held}`);
+    assert.ok(held >= 880 && held <= 3_000, `held for ${held} ms`);
   },
 );
 
-Then('a program that never returns is not held', function () {
+Then('if no program returns, prompts are not held', function () {
   const model = new PauseModel();
   for (let index = 0; index < 400; index += 1) {
     model.observeEnd();
@@ -239,7 +239,7 @@
 });
 
 Then(
-  'the cost model finds {float} ms a prompt token and {float} ms a generated one from {int} calls',
+  'the cost model estimates {float} ms per prompt token and {float} ms per generated token from {int} calls',
   function (prefill: number, decode: number, calls: number) {
     const model = new CostModel();
     const random = createRandom(5, 'costs');
@@ -266,24 +266,21 @@
 const HOLDERS = 3;
 const BUDGET = 1_000;
 
-Then(
-  'in any order of grants, repeats, reservations and returns no budget is exceeded',
-  function () {
-    const holder = fc.nat(HOLDERS - 1);
-    const amount = fc.integer({ min: 1, max: 700 });
-    const step: fc.Arbitrary<BudgetStep> = fc.oneof(
-      fc.record({ type: fc.constant('grant' as const), holder, amount }),
-      fc.record({ type: fc.constant('repeat' as const), holder }),
-      fc.record({ type: fc.constant('reserve' as const), holder, amount }),
-      fc.record({ type: fc.constant('settle' as const), holder, used: fc.nat(900) }),
-      fc.record({ type: fc.constant('return' as const), holder, twice: fc.boolean() }),
-    );
-    fc.assert(fc.property(fc.array(step, { maxLength: 60 }), checkBudgetInvariants), {
-      seed: 42,
-      numRuns: 1_000,
-    });
-  },
-);
+Then('no sequence of grants, duplicates, reservations and returns exceeds the budget', function () {
+  const holder = fc.nat(HOLDERS - 1);
+  const amount = fc.integer({ min: 1, max: 700 });
+  const step: fc.Arbitrary<BudgetStep> = fc.oneof(
+    fc.record({ type: fc.constant('grant' as const), holder, amount }),
+    fc.record({ type: fc.constant('repeat' as const), holder }),
+    fc.record({ type: fc.constant('reserve' as const), holder, amount }),
+    fc.record({ type: fc.constant('settle' as const), holder, used: fc.nat(900) }),
+    fc.record({ type: fc.constant('return' as const), holder, twice: fc.boolean() }),
+  );
+  fc.assert(fc.property(fc.array(step, { maxLength: 60 }), checkBudgetInvariants), {
+    seed: 42,
+    numRuns: 1_000,
+  });
+});
 
 function checkBudgetInvariants(steps: readonly BudgetStep[]): void {
   const ledger = emptyLedger();
@@ -334,7 +331,10 @@
       (sum, other) => sum + other.available + other.reserved + other.spent,
       0,
     );
-    assert.ok(ledger.outstanding <= BUDGET, `granted ${ledger.outstanding}`);
-    assert.ok(held <= ledger.outstanding, `held ${held} of ${ledger.outstanding}`);
+    assert.ok(ledger.outstanding <= BUDGET, `granted ${ledger.outstanding} tokens`);
+    assert.ok(
+      held <= ledger.outstanding,
+      `slices hold ${held} of ${ledger.outstanding} granted tokens`,
+    );
   }
 }
