--- a/src/dispatch/hold-manager.ts
+++ b/src/dispatch/hold-manager.ts
@@ -50,7 +50,7 @@
     engine.addHold(program, { tokens, expiresAt: now + decision.milliseconds });
   }
 
-  /** Removes the holds of an ended program and, if the policy says so, frees its cached prompts. */
+  /** Removes the holds of an ended program and, if `releasesMemory` is set, frees its prompts. */
   releaseProgram(program: ProgramId): void {
     const { directory, engines, policy } = this.options;
     policy.programEnded(program);
