--- a/features/steps/completeness.steps.ts
+++ b/features/steps/completeness.steps.ts
@@ -224,13 +224,13 @@
     const { clock, replicas } = this;
     assert.ok(replicas!.activeNames().includes(name));
     replicas!.store.retiring.add(name);
-    const isNamed = (): boolean => {
+    const hasSuccessor = (): boolean => {
       const active = replicas!.activeNames();
       const named = replicas!.namedMembers();
       return named.length === 3 && !named.includes(name) && active.length === 2;
     };
     assert.ok(
-      clock!.runUntil(clock!.now + 10_000, isNamed),
+      clock!.runUntil(clock!.now + 10_000, hasSuccessor),
       'no successor was added to the record',
     );
     const active = replicas!.activeNames();
@@ -247,11 +247,11 @@
 
 When(
   'the model of the rule runs with seeds {int} to {int} and the fault {string}',
-  function (this: World, first: number, last: number, mistake: InjectedFault) {
+  function (this: World, first: number, last: number, fault: InjectedFault) {
     this.missing = [];
     this.steps = {};
     for (let seed = first; seed <= last; seed += 1) {
-      const model = new AcknowledgementModel(createRandom(seed, 'rule'), mistake);
+      const model = new AcknowledgementModel(createRandom(seed, 'rule'), fault);
       const missing = model.run();
       this.missing.push(...(missing === undefined ? [] : [`seed ${seed}: ${missing}`]));
       for (const [kind, count] of Object.entries(model.effectiveSteps)) {
--- a/features/steps/contention-requests.steps.ts
+++ b/features/steps/contention-requests.steps.ts
@@ -181,7 +181,7 @@
     board.ofOthers = (topic) =>
       new Map(
         told
-          .filter((tally) => tally.topic === topic)
+          .filter((aggregate) => aggregate.topic === topic)
           .flatMap(({ rows }) => rows.map(({ key, amounts }) => [key, amounts] as const)),
       );
     assert.ok(!isNewAdmitted());
--- a/features/steps/contention.steps.ts
+++ b/features/steps/contention.steps.ts
@@ -210,7 +210,7 @@
   value: 6.4,
   lateValue: 1.3,
 };
-const LESS: ProgramKind = {
+const LESS_URGENT: ProgramKind = {
   name: 'less',
   rank: 2,
   programsPerSecond: 37,
@@ -232,7 +232,7 @@
       return isIn && (kinds === 'all' || kinds === kind.name) ? burst : 1;
     };
     this.scenario = {
-      kinds: [URGENT, LESS],
+      kinds: [URGENT, LESS_URGENT],
       seed: 11,
       loadAgeMilliseconds: ageMilliseconds,
       factor,
--- a/features/steps/disk.steps.ts
+++ b/features/steps/disk.steps.ts
@@ -215,14 +215,18 @@
         const position = changes.length === 0 ? 0 : drawn % changes.length;
         state.expire(now);
         assert.equal(state.logEnd, whole.logEnd);
-        const told = state.readLog(position);
-        const rest = whole.readLog(position);
-        const living = rest.turns.filter((turn) => state.hasTurn(turn));
-        assert.deepEqual(told.turns, living);
-        const missing = state.missingDigests(unpackDigests(rest.digests));
-        const digests = unpackDigests(rest.digests).filter((digest) => !missing.includes(digest));
-        const toldLiving = unpackDigests(told.digests).filter((each) => !missing.includes(each));
-        assert.deepEqual(toldLiving, digests);
+        const trimmedLog = state.readLog(position);
+        const fullLog = whole.readLog(position);
+        const unexpiredTurns = fullLog.turns.filter((turn) => state.hasTurn(turn));
+        assert.deepEqual(trimmedLog.turns, unexpiredTurns);
+        const missing = state.missingDigests(unpackDigests(fullLog.digests));
+        const expectedDigests = unpackDigests(fullLog.digests).filter(
+          (digest) => !missing.includes(digest),
+        );
+        const unexpiredDigests = unpackDigests(trimmedLog.digests).filter(
+          (each) => !missing.includes(each),
+        );
+        assert.deepEqual(unexpiredDigests, expectedDigests);
       }),
     );
   },
--- a/features/steps/followers.steps.ts
+++ b/features/steps/followers.steps.ts
@@ -167,8 +167,8 @@
   function (this: World, milliseconds: number) {
     const { clock } = this;
     const known = clock.runUntil(clock.now + milliseconds, () => allKnowLoads(this));
-    const told = running(this).map(({ gossip }) => gossip.inFlightOfOthers(RUNNER_HASH));
-    assert.ok(known, `known requests: ${told.join(' ')}`);
+    const inFlightCounts = running(this).map(({ gossip }) => gossip.inFlightOfOthers(RUNNER_HASH));
+    assert.ok(known, `known requests: ${inFlightCounts.join(' ')}`);
   },
 );
 
@@ -210,8 +210,9 @@
   'within {int} milliseconds all others know of the part',
   function (this: World, milliseconds: number) {
     const others = this.gateways.filter((_, index) => index !== 9);
-    const heard = (): boolean => others.every(({ placesHeard }) => placesHeard.has(PLACE.part));
-    assert.ok(this.clock.runUntil(this.clock.now + milliseconds, heard));
+    const allReceived = (): boolean =>
+      others.every(({ receivedPlaces }) => receivedPlaces.has(PLACE.part));
+    assert.ok(this.clock.runUntil(this.clock.now + milliseconds, allReceived));
   },
 );
 
--- a/features/steps/members.steps.ts
+++ b/features/steps/members.steps.ts
@@ -29,7 +29,7 @@
   return { id: name, node: name, host: name, port: 1, zone: name };
 }
 
-function words(text: string): string[] {
+function splitNames(text: string): string[] {
   return text.split(' ').filter((word) => word !== '');
 }
 
@@ -87,7 +87,7 @@
 Given(
   'replicas {string} and this one is {string}',
   function (this: World, members: string, self: string) {
-    this.members = words(members);
+    this.members = splitNames(members);
     this.self = self;
   },
 );
@@ -102,9 +102,9 @@
 
 When(
   'members {string} are silent, it is caught up with {string} and machines {string} are being retired',
-  function (this: World, silent: string, level: string, retiring: string) {
-    const silentIds = new Set(words(silent));
-    const caughtUpIds = new Set(words(level));
+  function (this: World, silent: string, caughtUp: string, retiring: string) {
+    const silentIds = new Set(splitNames(silent));
+    const caughtUpIds = new Set(splitNames(caughtUp));
     const members = this.members!.map(member);
     this.action = decideMembership({
       self: member(this.self!),
@@ -114,7 +114,7 @@
       hasRead: (id) => caughtUpIds.has(id),
       isComplete: () => true,
       silentMilliseconds: (id) => (silentIds.has(id) ? TIMINGS.removalMilliseconds : 0),
-      retiringNodes: new Set(words(retiring)),
+      retiringNodes: new Set(splitNames(retiring)),
       wantedMembers: Infinity,
       presentMembers: members.length - silentIds.size,
       vacantMilliseconds: 0,
@@ -126,8 +126,8 @@
 When(
   '{int} members are wanted and the record has named {string} with zones {string} for {int} milliseconds',
   function (this: World, wanted: number, names: string, zones: string, milliseconds: number) {
-    const zoneNames = words(zones);
-    const members = words(names).map((name, place) => ({
+    const zoneNames = splitNames(zones);
+    const members = splitNames(names).map((name, place) => ({
       ...member(name),
       zone: zoneNames[place]!,
     }));
--- a/features/steps/older-replica.steps.ts
+++ b/features/steps/older-replica.steps.ts
@@ -46,7 +46,7 @@
   olderMember: Member;
   /** Message kinds with which chains were requested on the first connection. */
   requestedKinds: string[];
-  otherReply?: ReplicaReply | undefined;
+  pendingCallReply?: ReplicaReply | undefined;
   servingReplica?: Replica;
   replicaServer?: ReplicaServer;
   servingPort: number;
@@ -127,12 +127,12 @@
 
 Given(
   /^a replica that reads (\d+) kinds, tells (nothing|all) of it and says of chains "(.*)"$/,
-  async function (this: World, kinds: string, told: string, says: ChainState) {
+  async function (this: World, kinds: string, announced: string, chainState: ChainState) {
     this.olderSockets = [];
     this.requestedKinds = [];
     this.replies = [];
-    const older = new OlderReplica(this, Number(kinds), told === 'all', says);
-    const server = createServer((socket) => older.serve(socket));
+    const olderReplica = new OlderReplica(this, Number(kinds), announced === 'all', chainState);
+    const server = createServer((socket) => olderReplica.serve(socket));
     await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
     this.olderServer = server;
     const { port } = server.address() as AddressInfo;
@@ -155,7 +155,7 @@
     const other = ask(this, { type: 'keep', epoch: 1, turn });
     const reply = await ask(this, { type: 'chainUnder', epoch: 1, turn: 't' });
     this.replies.push(reply?.type === 'chained' ? reply.state : String(reply?.type));
-    this.otherReply = await other;
+    this.pendingCallReply = await other;
   },
 );
 
@@ -175,7 +175,7 @@
 Then(
   'the other call is answered, and {int} connection(s) were made',
   function (this: World, connections: number) {
-    assert.equal(this.otherReply?.type, 'taken');
+    assert.equal(this.pendingCallReply?.type, 'taken');
     assert.equal(this.olderSockets!.length, connections);
   },
 );
--- a/features/steps/peers.steps.ts
+++ b/features/steps/peers.steps.ts
@@ -66,7 +66,7 @@
     reachesReplicas: () => place === 0,
     ownPlaces: () => places,
     ownAggregates: () => [],
-    onPlaces: (told) => (world.receivedPlaces ??= []).push(...told),
+    onPlaces: (places) => (world.receivedPlaces ??= []).push(...places),
   });
   world.gossips!.push(gossip);
 }
@@ -251,12 +251,12 @@
     fc.assert(
       fc.property(fc.record(counts), ({ topics, rows }) => {
         const amounts = Array.from({ length: MAXIMUM_AMOUNTS }, () => 1);
-        const told = Array.from({ length: topics }, (_, index) => ({
+        const reported = Array.from({ length: topics }, (_, index) => ({
           topic: 255 - index,
           rows: Array.from({ length: rows }, (_row, key) => ({ key, amounts })),
         }));
         const own = known.map((topic) => ({ topic, rows: [{ key: 1, amounts }] }));
-        const list = toAggregates(sumAggregates([told, own]));
+        const list = toAggregates(sumAggregates([reported, own]));
         const content = encodeAggregates(list);
         assert.ok(content.length <= MAXIMUM_SECTION_BYTES, `${content.length} bytes`);
         const topicsTold = list.map(({ topic }) => topic);
--- a/features/steps/power-loss.steps.ts
+++ b/features/steps/power-loss.steps.ts
@@ -191,7 +191,7 @@
   return new TurnClient({ runtime, directory, caller: callerOf(world), zone: 'a' });
 }
 
-function completeCount(world: World): number {
+function countComplete(world: World): number {
   return [...world.diskReplicas!.values()].filter((replica) => replica.active).length;
 }
 
@@ -206,10 +206,10 @@
     const client = clientOf(this);
     this.acknowledged = Array.from({ length: count }, (_, index) => `t${index}`);
     for (const id of this.acknowledged) {
-      const isKept = await new Promise<boolean>((resolve) =>
+      const isStored = await new Promise<boolean>((resolve) =>
         client.storeTurn(conversationTurn(id), CALL_TIMEOUT_MILLISECONDS, resolve),
       );
-      assert.equal(isKept, true);
+      assert.equal(isStored, true);
     }
   },
 );
@@ -232,12 +232,12 @@
   'two replicas are complete at once and the third within {int} seconds',
   { timeout: 20_000 },
   async function (this: World, seconds: number) {
-    assert.ok(completeCount(this) >= 2, `${completeCount(this)} are complete`);
+    assert.ok(countComplete(this) >= 2, `${countComplete(this)} are complete`);
     const until = performance.now() + seconds * 1_000;
-    while (completeCount(this) < REPLICA_NAMES.length && performance.now() < until) {
+    while (countComplete(this) < REPLICA_NAMES.length && performance.now() < until) {
       await new Promise((resolve) => setTimeout(resolve, POLL_MILLISECONDS));
     }
-    assert.equal(completeCount(this), REPLICA_NAMES.length);
+    assert.equal(countComplete(this), REPLICA_NAMES.length);
   },
 );
 
--- a/features/steps/relay.steps.ts
+++ b/features/steps/relay.steps.ts
@@ -118,7 +118,7 @@
 When(
   'a client sends a {string} request and disconnects',
   async function (this: World, route: string) {
-    await sendAndNote(this, relayOf(this).send(route, { leaveAfter: 200 }));
+    await sendAndNote(this, relayOf(this).send(route, { disconnectAfter: 200 }));
   },
 );
 
@@ -163,13 +163,13 @@
 });
 
 When('its readiness is probed', async function (this: World) {
-  this.readiness = await relayOf(this).askReady();
+  this.readiness = await relayOf(this).probeReadiness();
 });
 
 When(
   'the configuration of version {int} without routes is offered',
   function (this: World, version: number) {
-    relayOf(this).offerEmpty(version);
+    relayOf(this).applyEmptyTable(version);
   },
 );
 
@@ -301,6 +301,6 @@
 );
 
 Then('the gateway is not ready and its answer closed the connection', async function (this: World) {
-  assert.equal(await relayOf(this).askReady(), 503);
+  assert.equal(await relayOf(this).probeReadiness(), 503);
   assert.equal(lastResult(this).headers.connection, 'close');
 });
--- a/features/steps/replicas.steps.ts
+++ b/features/steps/replicas.steps.ts
@@ -81,19 +81,19 @@
   }
   clock.runUntil(clock.now + 6_000);
   const { client } = replicas.client('g', 'z1', 'm2');
-  const kept: string[] = [];
+  const storedTurns: string[] = [];
   let turns = 0;
   const keepNext = (): void => {
     turns += 1;
     const id = `t${turns}`;
     const bytes = Buffer.from(id);
     const turn = { id, previous: '', input: bytes, output: bytes, retentionMilliseconds: 60_000 };
-    client.storeTurn(turn, 700, (done) => done && kept.push(id));
+    client.storeTurn(turn, 700, (done) => done && storedTurns.push(id));
     clock.schedule(1_000 / writesPerSecond, keepNext);
   };
   keepNext();
   clock.runUntil(clock.now + 2_000);
-  Object.assign(world, { clock, replicas, keptTurns: kept });
+  Object.assign(world, { clock, replicas, keptTurns: storedTurns });
 }
 
 Given(
--- a/features/steps/runner-lives.steps.ts
+++ b/features/steps/runner-lives.steps.ts
@@ -13,28 +13,28 @@
 
 const SERVICE = 's';
 const PARTS = parsePromptParts('5c1e07a2:800');
-const LAPSE_MILLISECONDS = 500;
+const REMOVAL_DELAY_MILLISECONDS = 500;
 
 interface World {
   clock: VirtualClock;
   registry: RunnerRegistry;
   /** Requests in flight that other gateways report, by the hash of an incarnation. */
-  others: Map<number, number>;
+  remoteInFlight: Map<number, number>;
   runner: Runner;
   before: RunnerCandidate;
 }
 
-function runnerStartedAt(bornAt: number | undefined): Runner {
+function runnerStartedAt(startedAt: number | undefined): Runner {
   const place = { service: SERVICE, host: '10.0.0.1', port: 80, zone: 'z', slots: 4 };
-  return { id: 'a', startedAt: bornAt, ...place, ready: true };
+  return { id: 'a', startedAt, ...place, ready: true };
 }
 
 function createRegistry(world: World): void {
   world.clock = new VirtualClock();
   const process = new SimulatedProcess('g', world.clock, createRandom(1));
   world.registry = new RunnerRegistry(process.begin());
-  world.others = new Map();
-  world.registry.inFlightOfOthers = (hash) => world.others.get(hash) ?? 0;
+  world.remoteInFlight = new Map();
+  world.registry.inFlightOfOthers = (hash) => world.remoteInFlight.get(hash) ?? 0;
 }
 
 function candidateOf({ registry }: World): RunnerCandidate {
@@ -43,40 +43,40 @@
   return candidate;
 }
 
-const BELIEFS: Record<string, (world: World, record: RunnerCandidate['record']) => void> = {
+const STATE_SETUPS: Record<string, (world: World, record: RunnerCandidate['record']) => void> = {
   'that it has a prompt cached': ({ registry }, record) => {
     registry.noteRequestSent(record, PARTS);
     registry.noteRequestEnded(record, undefined);
   },
   'that it has requests in flight': ({ registry }, record) => registry.noteRequestSent(record, []),
-  'that other gateways have requests in flight there': ({ others, runner }) =>
-    others.set(incarnationHash(runner), 3),
+  'that other gateways have requests in flight there': ({ remoteInFlight, runner }) =>
+    remoteInFlight.set(incarnationHash(runner), 3),
   'that it is unreachable': ({ registry }, record) => registry.markUnreachable(record, 'test'),
   'that peers reported a cached prompt': ({ registry, runner }) =>
     registry.learnCachedPart(incarnationHash(runner), PARTS[0]!.key, PARTS[0]!.tokens),
   'that its removal is scheduled': ({ registry, runner }) =>
-    registry.scheduleRemoval(runner.id, LAPSE_MILLISECONDS),
+    registry.scheduleRemoval(runner.id, REMOVAL_DELAY_MILLISECONDS),
 };
 
 Given(
   /^a runner "a" born at (\d+) of which (.+) is believed$/,
-  function (this: World, bornAt: string, belief: string) {
+  function (this: World, startedAt: string, state: string) {
     createRegistry(this);
-    this.runner = runnerStartedAt(Number(bornAt));
+    this.runner = runnerStartedAt(Number(startedAt));
     this.registry.put(this.runner);
-    BELIEFS[belief]!(this, candidateOf(this).record);
+    STATE_SETUPS[state]!(this, candidateOf(this).record);
     this.before = candidateOf(this);
   },
 );
 
-When('its entry reports a start at {int}', function (this: World, bornAt: number) {
-  this.registry.put(runnerStartedAt(bornAt));
+When('its entry reports a start at {int}', function (this: World, startedAt: number) {
+  this.registry.put(runnerStartedAt(startedAt));
 });
 
 When(
   'its entry reports a start at {int} at another address',
-  function (this: World, bornAt: number) {
-    this.registry.put({ ...runnerStartedAt(bornAt), host: '10.0.0.2' });
+  function (this: World, startedAt: number) {
+    this.registry.put({ ...runnerStartedAt(startedAt), host: '10.0.0.2' });
   },
 );
 
@@ -89,16 +89,16 @@
   assert.deepEqual([candidate.inFlight, candidate.cachedTokens], [0, 0]);
   assert.deepEqual([candidate.record.failures, candidate.record.unreachable], [0, false]);
   assert.equal(candidate.record.unhealthyUntil, 0);
-  this.clock.runUntil(this.clock.now + 2 * LAPSE_MILLISECONDS);
+  this.clock.runUntil(this.clock.now + 2 * REMOVAL_DELAY_MILLISECONDS);
   assert.equal(candidateOf(this).record.removedAt, undefined);
 });
 
 Then(
   'it is still the incarnation started at {int}, with all of its state',
-  function (this: World, bornAt: number) {
+  function (this: World, startedAt: number) {
     const candidate = candidateOf(this);
     assert.equal(candidate.record, this.before.record);
-    assert.deepEqual(candidate.record.runner, runnerStartedAt(bornAt));
+    assert.deepEqual(candidate.record.runner, runnerStartedAt(startedAt));
     assert.equal(candidate.cachedTokens, PARTS[0]!.tokens);
   },
 );
@@ -116,19 +116,19 @@
 Then(
   'of the entries of several incarnations in any order the latest is used, with no state of the others',
   function (this: World) {
-    const births = fc.array(fc.nat(5), { minLength: 1, maxLength: 8 });
+    const startTimes = fc.array(fc.nat(5), { minLength: 1, maxLength: 8 });
     fc.assert(
-      fc.property(births, (each) => {
+      fc.property(startTimes, (each) => {
         createRegistry(this);
-        each.forEach((bornAt) => {
-          this.registry.put(runnerStartedAt(bornAt));
+        each.forEach((startedAt) => {
+          this.registry.put(runnerStartedAt(startedAt));
           const latest = candidateOf(this);
           this.registry.noteRequestSent(latest.record, PARTS);
         });
         const latest = candidateOf(this);
-        const bornAt = Math.max(...each);
-        assert.equal(latest.record.runner.startedAt, bornAt);
-        const since = each.slice(each.indexOf(bornAt));
+        const startedAt = Math.max(...each);
+        assert.equal(latest.record.runner.startedAt, startedAt);
+        const since = each.slice(each.indexOf(startedAt));
         assert.equal(latest.inFlight, since.length);
       }),
     );
--- a/features/steps/slow-readers.steps.ts
+++ b/features/steps/slow-readers.steps.ts
@@ -19,7 +19,7 @@
 const EVENT_BYTES = 16 * 1024;
 const EVENTS = 1_200;
 /** Events of the stream of a stored turn, which is read without backpressure: 8 MB. */
-const KEPT_EVENTS = 512;
+const STORED_TURN_EVENTS = 512;
 /**
  * Streams for hundreds of clients. The kernel buffers about 9 MB for each client that reads nothing, in both
  * directions together. Only one stream in five is longer than that; the others fit into the kernel's buffers.
@@ -40,10 +40,10 @@
 const LONG = { timeout: 60_000 };
 
 interface World {
-  slow: RelayWorld;
+  relayWorld: RelayWorld;
   reader: SlowClient;
   readers: SlowClient[];
-  usual: { result: ClientResult; milliseconds: number }[][];
+  normalResults: { result: ClientResult; milliseconds: number }[][];
   initialResidentBytes: number;
   maximumHeldBytes: number;
   maximumResidentBytes: number;
@@ -51,7 +51,7 @@
   answers: ClientResult[];
   /** Ids of the requests of which any byte reached the runner that reads nothing. */
   reached: string[];
-  others?: MemoryAllocation;
+  otherAllocation?: MemoryAllocation;
   waiting?: Promise<ClientResult>;
   /** Number of events of the stream that is read. */
   expectedEvents: number;
@@ -71,20 +71,20 @@
 }
 
 async function startWorld(world: World, options: RelayWorldOptions): Promise<void> {
-  world.slow = new RelayWorld(options);
+  world.relayWorld = new RelayWorld(options);
   world.readers = [];
-  world.usual = [];
+  world.normalResults = [];
   world.maximumHeldBytes = 0;
   world.maximumResidentBytes = 0;
-  await world.slow.start(true);
+  await world.relayWorld.start(true);
 }
 
 After(async function (this: Partial<World>) {
   this.reader?.disconnect();
   this.readers?.forEach((reader) => reader.disconnect());
   this.nonReadingRunner?.close();
-  await this.slow?.stop();
-  delete this.slow;
+  await this.relayWorld?.stop();
+  delete this.relayWorld;
   delete this.nonReadingRunner;
   delete this.reader;
 });
@@ -112,16 +112,20 @@
 
 Given('the first stream is interrupted in the middle', function (this: World) {
   const shared = ['cutOff' as const];
-  this.slow.runners.forEach((runner) => {
+  this.relayWorld.runners.forEach((runner) => {
     runner.behaviours.shift = () => shared.shift();
   });
 });
 
 When('a client of a {string} route reads nothing', async function (this: World, route: string) {
-  const query = route === 'kept' ? `stream&events=${KEPT_EVENTS}` : route;
-  this.expectedEvents = route === 'kept' ? KEPT_EVENTS : EVENTS;
-  this.reader = new SlowClient(this.slow.frontPort, route, 'slow-1', 'nothing', query);
-  await until('backpressure of the client', 4_000, () => this.slow.gateway.memory.heldBytes > 0);
+  const query = route === 'kept' ? `stream&events=${STORED_TURN_EVENTS}` : route;
+  this.expectedEvents = route === 'kept' ? STORED_TURN_EVENTS : EVENTS;
+  this.reader = new SlowClient(this.relayWorld.frontPort, route, 'slow-1', 'nothing', query);
+  await until(
+    'backpressure of the client',
+    4_000,
+    () => this.relayWorld.gateway.memory.heldBytes > 0,
+  );
 });
 
 When('it resumes reading after {int} milliseconds', async function (this: World, pause: number) {
@@ -136,18 +140,18 @@
 Then(
   'the gateway buffers at most {int} bytes for it, and its runner waits',
   async function (this: World, most: number) {
-    const { memory } = this.slow.gateway;
+    const { memory } = this.relayWorld.gateway;
     const sent = (): number =>
-      this.slow.runners.reduce((sum, { eventsSent }) => sum + eventsSent, 0);
+      this.relayWorld.runners.reduce((sum, { eventsSent }) => sum + eventsSent, 0);
     let before = -1;
-    for (let looks = 0; before !== sent(); looks += 1) {
-      assert.ok(looks < 20, 'the runner never stops sending');
+    for (let checks = 0; before !== sent(); checks += 1) {
+      assert.ok(checks < 20, 'the runner never stops sending');
       before = sent();
       await sleep(STALL_MILLISECONDS);
     }
     assert.ok(before < EVENTS, 'the whole stream was sent');
-    const held = memory.heldBytes;
-    assert.ok(held > 0 && held <= most, `${held} bytes buffered`);
+    const bufferedBytes = memory.heldBytes;
+    assert.ok(bufferedBytes > 0 && bufferedBytes <= most, `${bufferedBytes} bytes buffered`);
   },
 );
 
@@ -170,8 +174,8 @@
 });
 
 Then('no attempt failed, and no latency sample of its runner was taken', function (this: World) {
-  assert.ok(!this.slow.gateway.metrics.render().includes('ivyloom_relay_failed_tries_total'));
-  const paces = this.slow.gateway.registry.candidates('workers', [], new Set());
+  assert.ok(!this.relayWorld.gateway.metrics.render().includes('ivyloom_relay_failed_tries_total'));
+  const paces = this.relayWorld.gateway.registry.candidates('workers', [], new Set());
   // Without samples, the expected latency of a runner is that of its service, which has its default.
   assert.deepEqual(
     paces.map(({ record }) => record.latency.expectedMilliseconds),
@@ -183,7 +187,7 @@
   'it is disconnected within {int} milliseconds without its answer looking complete',
   LONG,
   async function (this: World, most: number) {
-    const { memory } = this.slow.gateway;
+    const { memory } = this.relayWorld.gateway;
     await until('the disconnect', most, () => memory.heldBytes === 0);
     this.reader.resume();
     await until('the close', 3_000, () => this.reader.isClosed);
@@ -193,24 +197,24 @@
 
 Then('its run has ended, and nothing is buffered any more', async function (this: World) {
   await until('the end of the run', 1_000, () =>
-    this.slow.runners.flatMap((runner) => runner.runs).every((run) => run.left),
+    this.relayWorld.runners.flatMap((runner) => runner.runs).every((run) => run.left),
   );
-  assert.equal(this.slow.gateway.memory.heldBytes, 0);
+  assert.equal(this.relayWorld.gateway.memory.heldBytes, 0);
 });
 
 Then('its run ends within {int} milliseconds', async function (this: World, most: number) {
-  const runs = this.slow.runners.flatMap((runner) => runner.runs);
+  const runs = this.relayWorld.runners.flatMap((runner) => runner.runs);
   assert.equal(runs.length, 1);
   await until('the end of the run', most, () => runs[0]!.left);
-  assert.equal(this.slow.gateway.memory.heldBytes, 0);
+  assert.equal(this.relayWorld.gateway.memory.heldBytes, 0);
 });
 
 Then(
   'the turn is stored completely within {int} milliseconds, and the gateway buffers the rest of the answer',
   LONG,
   async function (this: World, most: number) {
-    await until('the stored turn', most, () => this.slow.keptTurns === 1);
-    assert.ok(this.slow.gateway.memory.byAccount().answers > MEGABYTE);
+    await until('the stored turn', most, () => this.relayWorld.storedTurns === 1);
+    assert.ok(this.relayWorld.gateway.memory.byAccount().answers > MEGABYTE);
     assert.ok(!this.reader.isClosed);
   },
 );
@@ -218,43 +222,43 @@
 Then(
   'the gateway buffers the rest of the answer, and the run is over',
   async function (this: World) {
-    const { memory } = this.slow.gateway;
+    const { memory } = this.relayWorld.gateway;
     await until('the whole answer', 3_000, () => memory.byAccount().answers > MEGABYTE);
     await until('the end of the run', 1_000, () =>
-      this.slow.runners.some((runner) => runner.runs[0]?.isAnswered === true),
+      this.relayWorld.runners.some((runner) => runner.runs[0]?.isAnswered === true),
     );
   },
 );
 
 /** Sends `count` requests in ten concurrent sequences; each gets a short plain answer. */
-async function sendUsualRequests(world: World, count: number): Promise<void> {
+async function sendNormalRequests(world: World, count: number): Promise<void> {
   const LINES = 10;
   const done: { result: ClientResult; milliseconds: number }[] = [];
   const line = async (): Promise<void> => {
     for (let asked = 0; asked < count / LINES; asked += 1) {
       const before = performance.now();
-      const result = await world.slow.send('repeatable', { body: 'usual' });
+      const result = await world.relayWorld.send('repeatable', { body: 'usual' });
       done.push({ result, milliseconds: performance.now() - before });
     }
   };
   await Promise.all(Array.from({ length: LINES }, line));
-  world.usual.push(done);
+  world.normalResults.push(done);
 }
 
 When(
   '{int} normal clients send requests, ten at a time',
   LONG,
   async function (this: World, count: number) {
-    await sendUsualRequests(this, count);
-    this.maximumHeldBytes = this.slow.gateway.memory.heldBytes;
+    await sendNormalRequests(this, count);
+    this.maximumHeldBytes = this.relayWorld.gateway.memory.heldBytes;
     this.maximumResidentBytes = process.memoryUsage.rss();
   },
 );
 
-async function startReaders(world: World, nothing: number, sips: number): Promise<void> {
+async function startReaders(world: World, nothing: number, trickling: number): Promise<void> {
   world.initialResidentBytes = process.memoryUsage.rss();
-  const { frontPort } = world.slow;
-  for (let index = 0; index < sips; index += 1) {
+  const { frontPort } = world.relayWorld;
+  for (let index = 0; index < trickling; index += 1) {
     world.readers.push(new SlowClient(frontPort, 'repeatable', `trickle-${index}`, 'trickle'));
   }
   for (let index = 0; index < nothing; index += 1) {
@@ -266,9 +270,9 @@
 When(
   '{int} clients read nothing, and {int} read a few bytes a second',
   LONG,
-  async function (this: World, nothing: number, sips: number) {
-    await startReaders(this, nothing, sips);
-    const { memory } = this.slow.gateway;
+  async function (this: World, nothing: number, trickling: number) {
+    await startReaders(this, nothing, trickling);
+    const { memory } = this.relayWorld.gateway;
     const slow = (): number => Number(/slow_readers (\d+)/.exec(memory.render())?.[1]);
     const endless = nothing / ENDLESS_INTERVAL;
     await until('backpressure of all clients', 20_000, () => slow() + memory.cutCount >= endless);
@@ -276,19 +280,19 @@
 );
 
 When('the gateway buffers {int} bytes for others', function (this: World, bytes: number) {
-  this.others ??= this.slow.gateway.memory.allocate('bodies');
-  this.others.set(bytes);
+  this.otherAllocation ??= this.relayWorld.gateway.memory.allocate('bodies');
+  this.otherAllocation.set(bytes);
 });
 
 Then(
   'a new request without a body is answered, and one with a body waits',
   LONG,
   async function (this: World) {
-    const result = await this.slow.send('repeatable', { id: 'bodiless' });
+    const result = await this.relayWorld.send('repeatable', { id: 'bodiless' });
     assert.equal(result.status, 200);
-    this.waiting = this.slow.send('repeatable', { body: 'waits', id: 'waits' });
+    this.waiting = this.relayWorld.send('repeatable', { body: 'waits', id: 'waits' });
     await sleep(WAIT_MILLISECONDS);
-    const runs = this.slow.runners.flatMap((runner) => runner.runs);
+    const runs = this.relayWorld.runners.flatMap((runner) => runner.runs);
     assert.deepEqual(
       runs.map(({ requestId }) => requestId),
       ['bodiless'],
@@ -301,9 +305,9 @@
   LONG,
   async function (this: World) {
     assert.equal((await this.waiting!).status, 200);
-    const result = await this.slow.send('repeatable', { body: 'later' });
+    const result = await this.relayWorld.send('repeatable', { body: 'later' });
     assert.equal(result.status, 200);
-    delete this.others;
+    delete this.otherAllocation;
   },
 );
 
@@ -318,10 +322,10 @@
 Then(
   'all normal clients got complete answers, the later ones as fast as the earlier ones',
   function (this: World) {
-    const [before, after] = this.usual.map((asked) =>
+    const [before, after] = this.normalResults.map((asked) =>
       asked.map(({ milliseconds }) => milliseconds),
     );
-    this.usual.flat().forEach(({ result }) => {
+    this.normalResults.flat().forEach(({ result }) => {
       assert.equal(result.status, 200);
       assert.ok(result.complete);
     });
@@ -346,9 +350,9 @@
   'those that read nothing are disconnected within {int} milliseconds, and nothing is buffered for them any more',
   LONG,
   async function (this: World, most: number) {
-    const { memory } = this.slow.gateway;
+    const { memory } = this.relayWorld.gateway;
     await until('all disconnects', most, () => memory.byAccount().answers === 0);
-    const streams = this.slow.runners.flatMap((runner) => runner.runs);
+    const streams = this.relayWorld.runners.flatMap((runner) => runner.runs);
     const unread = streams.filter(({ requestId }) => requestId.startsWith('none-'));
     assert.equal(unread.length, 300);
     const endless = unread.filter(({ path }) => path.includes(ENDLESS_QUERY));
@@ -360,10 +364,10 @@
   'a new request is refused with 503 and a retry delay, and is not run',
   LONG,
   async function (this: World) {
-    const result = await this.slow.send('repeatable', { body: 'late', id: 'refused' });
+    const result = await this.relayWorld.send('repeatable', { body: 'late', id: 'refused' });
     assert.equal(result.status, 503);
     assert.ok(Number(result.headers['retry-after']) > 0);
-    const runs = this.slow.runners.flatMap((runner) => runner.runs);
+    const runs = this.relayWorld.runners.flatMap((runner) => runner.runs);
     assert.ok(runs.every(({ requestId }) => requestId !== 'refused'));
   },
 );
@@ -372,7 +376,7 @@
   await startWorld(this, { maximumConnections: 200 });
   this.nonReadingRunner = new NonReadingRunner();
   const port = await this.nonReadingRunner.listen();
-  this.slow.listRunner(0, true, port);
+  this.relayWorld.listRunner(0, true, port);
 });
 
 When(
@@ -381,13 +385,13 @@
   async function (this: World, count: number, bytes: number, route: string) {
     const body = 'x'.repeat(bytes);
     const asked = Array.from({ length: count }, async (_, index) =>
-      this.slow.send(route, { body, id: `body-${index}` }),
+      this.relayWorld.send(route, { body, id: `body-${index}` }),
     );
-    const { backpressure: intake } = this.slow.gateway;
+    const { backpressure } = this.relayWorld.gateway;
     const watch = setInterval(() => {
       this.maximumHeldBytes = Math.max(
         this.maximumHeldBytes,
-        intake.unsentBytes('one' as RunnerIncarnation),
+        backpressure.unsentBytes('one' as RunnerIncarnation),
       );
     }, 1);
     this.answers = await Promise.all(asked);
@@ -422,7 +426,8 @@
 
 /** Starts an attempt over a connection that the runner closes after its answer, and pauses reading the answer. */
 function startUnread(world: World, bytes: number, ended: (outcome: string) => void): Attempt {
-  const { runner } = world.slow.gateway.registry.candidates('workers', [], new Set())[0]!.record;
+  const { runner } = world.relayWorld.gateway.registry.candidates('workers', [], new Set())[0]!
+    .record;
   let read = 0;
   const attempt = startAttempt(
     runner,
@@ -454,7 +459,7 @@
     const outcomes: string[] = [];
     const attempt = startUnread(this, bytes, (outcome) => outcomes.push(outcome));
     const runs = (): boolean[] =>
-      this.slow.runners.flatMap((runner) => runner.runs.map(({ isAnswered }) => isAnswered));
+      this.relayWorld.runners.flatMap((runner) => runner.runs.map(({ isAnswered }) => isAnswered));
     await until('the answer', WAIT_MILLISECONDS, () => runs().includes(true));
     await sleep(pause);
     assert.deepEqual(outcomes, []);
@@ -467,7 +472,7 @@
 When(
   'a client sends {int} pipelined requests with bodies and disconnects after {int} milliseconds',
   async function (this: World, count: number, pause: number) {
-    const socket = connect(this.slow.frontPort, '127.0.0.1');
+    const socket = connect(this.relayWorld.frontPort, '127.0.0.1');
     for (let index = 0; index < count; index += 1) {
       const head = [
         'POST /stream/work?stream HTTP/1.1',
@@ -479,7 +484,7 @@
       socket.write(`${head.join('\r\n')}\r\n\r\nbody`);
     }
     const runs = (): number =>
-      this.slow.runners.reduce((sum, runner) => sum + runner.runs.length, 0);
+      this.relayWorld.runners.reduce((sum, runner) => sum + runner.runs.length, 0);
     await until('all runs', 2_000, () => runs() === count);
     await sleep(pause);
     socket.destroy();
@@ -489,7 +494,7 @@
 Then(
   'all requests and all runs have ended within {int} milliseconds, and nothing is buffered',
   async function (this: World, most: number) {
-    const { gateway, runners } = this.slow;
+    const { gateway, runners } = this.relayWorld;
     await until('the end of all requests', most, () => gateway.activeRequests === 0);
     const runs = runners.flatMap((runner) => runner.runs);
     await until('the end of all runs', most, () => runs.every(({ left }) => left));
@@ -508,10 +513,14 @@
   'one with a body whose deadline passes before it is read is refused with 503 and a retry delay, and is not run',
   async function (this: World) {
     const headers = { [DEFAULT_HEADER_NAMES.timeout]: '200' };
-    const result = await this.slow.send('repeatable', { body: 'unread', id: 'unread', headers });
+    const result = await this.relayWorld.send('repeatable', {
+      body: 'unread',
+      id: 'unread',
+      headers,
+    });
     assert.equal(result.status, 503);
     assert.ok(Number(result.headers['retry-after']) > 0);
-    const runs = this.slow.runners.flatMap((runner) => runner.runs);
+    const runs = this.relayWorld.runners.flatMap((runner) => runner.runs);
     assert.ok(runs.every(({ requestId }) => requestId !== 'unread'));
   },
 );
--- a/features/steps/stale-loads.steps.ts
+++ b/features/steps/stale-loads.steps.ts
@@ -17,7 +17,7 @@
 
 const GATEWAYS = 57;
 const RUNNERS = 32;
-const PLACES = 12;
+const SLOTS = 12;
 const REQUESTS_PER_SECOND = 640;
 const REQUEST_MILLISECONDS = 500;
 const AGE_MILLISECONDS = 300;
@@ -38,7 +38,7 @@
 /** Requests on each runner, by the gateway that sent them. */
 type Loads = number[][];
 
-class StaleLoads {
+class StaleLoadSimulation {
   private readonly clock = new VirtualClock();
   private readonly random = createRandom(17);
   private readonly charges = chargesWithout(new Set());
@@ -73,7 +73,7 @@
     const byGateway = this.loads[Number(chosen.id)]!;
     byGateway[gateway]! += 1;
     this.sent += 1;
-    this.excess += Math.max(0, byGateway.reduce((sum, count) => sum + count, 0) - PLACES);
+    this.excess += Math.max(0, byGateway.reduce((sum, count) => sum + count, 0) - SLOTS);
     this.clock.schedule(this.random.exponential(REQUEST_MILLISECONDS), () => {
       byGateway[gateway]! -= 1;
     });
@@ -92,7 +92,7 @@
       id: String(index),
       hash: index,
       zone: 'z',
-      slots: PLACES,
+      slots: SLOTS,
       inFlight: now[gateway]! + others,
       inFlightOfOthers: others,
       meanMilliseconds: REQUEST_MILLISECONDS,
@@ -105,8 +105,8 @@
 Then(
   'with loads reported 0.3 s late, sampling runners causes less than a sixth of the queueing that comparing all of them causes',
   function () {
-    const all = new StaleLoads((views) => views).run();
-    const drawn = new StaleLoads((views, random) =>
+    const all = new StaleLoadSimulation((views) => views).run();
+    const drawn = new StaleLoadSimulation((views, random) =>
       sampleCandidates(views, AGE_MILLISECONDS, random),
     ).run();
     const [excessOfAll, excess] = [all.excess / all.sent, drawn.excess / drawn.sent];
@@ -125,7 +125,7 @@
     id: String(index),
     hash: index,
     zone: 'z',
-    slots: PLACES,
+    slots: SLOTS,
     inFlight: inFlightOfOthers,
     inFlightOfOthers,
     meanMilliseconds: REQUEST_MILLISECONDS,
@@ -135,15 +135,15 @@
 }
 
 Then('a runner with the most cached tokens is always among those compared', function () {
-  const kept = fc.array(fc.nat(20_000), { minLength: 1, maxLength: 80 });
+  const cachedTokens = fc.array(fc.nat(20_000), { minLength: 1, maxLength: 80 });
   fc.assert(
-    fc.property(kept, fc.nat(), (tokens, seed) => {
-      const views = tokens.map((kept, index) => viewWith(index, kept, PLACES));
-      const weighed = sampleCandidates(views, AGE_MILLISECONDS, createRandom(seed + 1));
+    fc.property(cachedTokens, fc.nat(), (tokens, seed) => {
+      const views = tokens.map((cachedTokens, index) => viewWith(index, cachedTokens, SLOTS));
+      const compared = sampleCandidates(views, AGE_MILLISECONDS, createRandom(seed + 1));
       const most = Math.max(...tokens);
-      assert.ok(weighed.some(({ cachedTokens }) => cachedTokens === most));
-      assert.equal(new Set(weighed).size, weighed.length);
-      assert.ok(weighed.length <= 3);
+      assert.ok(compared.some(({ cachedTokens }) => cachedTokens === most));
+      assert.equal(new Set(compared).size, compared.length);
+      assert.ok(compared.length <= 3);
     }),
   );
 });
--- a/features/steps/tenants.steps.ts
+++ b/features/steps/tenants.steps.ts
@@ -44,7 +44,7 @@
     const { RelayWorld } = await import('../support/relay-world.js');
     this.relay = new RelayWorld();
     await this.relay.start(true);
-    this.relay.offerTenants(CONFIGURED_VERSION, [tenantOf(one), tenantOf(other)]);
+    this.relay.applyTenants(CONFIGURED_VERSION, [tenantOf(one), tenantOf(other)]);
   },
 );
 
@@ -65,7 +65,7 @@
     await new Promise((resolve) => setTimeout(resolve, 1_100));
     const quotaOf = (name: string) => (name === limited ? { ratePerSecond, burst } : undefined);
     const tenants = [one, other].map((name) => tenantOf(name, { quota: quotaOf(name) }));
-    this.relay.offerTenants(CONFIGURED_VERSION, tenants);
+    this.relay.applyTenants(CONFIGURED_VERSION, tenants);
   },
 );
 
@@ -125,7 +125,7 @@
     const headers = authorizationOf(tenant);
     const sent = relay.send('single', { headers, body: 'a body in two parts', pauseHalfway: 200 });
     await new Promise((resolve) => setTimeout(resolve, 100));
-    relay.offerTenants(CONFIGURED_VERSION + 1, [tenantOf('south')]);
+    relay.applyTenants(CONFIGURED_VERSION + 1, [tenantOf('south')]);
     relay.results.push(await sent);
   },
 );
@@ -195,7 +195,7 @@
 });
 
 Then('the gateway says that it is not ready', async function (this: World) {
-  assert.equal(await this.relay!.askReady(), 503);
+  assert.equal(await this.relay!.probeReadiness(), 503);
 });
 
 Then(
--- a/features/steps/two-builds.steps.ts
+++ b/features/steps/two-builds.steps.ts
@@ -65,7 +65,7 @@
   return samples;
 }
 
-function plainOf(value: unknown): unknown {
+function toPlain(value: unknown): unknown {
   return JSON.parse(JSON.stringify(value));
 }
 
@@ -87,7 +87,7 @@
   return { sent, take: (bytes) => take(bytes, 'h') };
 }
 
-function checkProof({ value, hex }: Sample, questions: readonly string[]): void {
+function checkProofSample({ value, hex }: Sample, questions: readonly string[]): void {
   if (value.type === 'question') {
     const { sent, take } = proofExchange();
     take(Buffer.from(hex, 'hex'));
@@ -104,29 +104,29 @@
   {
     message: ({ value, hex }) => {
       const message = decodeReplicaMessage(Buffer.from(hex, 'hex'));
-      assert.deepEqual(plainOf(message), plainOf(value));
+      assert.deepEqual(toPlain(message), toPlain(value));
       const encoded = encodeReplicaMessage(message as ReplicaMessage);
       assert.equal(Buffer.from(encoded).toString('hex'), hex);
     },
     record: ({ value, hex }) => {
       const found: WrittenChange[] = [];
       decodeSegment(Buffer.from(hex, 'hex'), (change) => found.push(change));
-      assert.deepEqual(plainOf(found), plainOf([value]));
+      assert.deepEqual(toPlain(found), toPlain([value]));
       assert.equal(encodeRecord(found[0]!).toString('hex'), hex);
     },
     load: ({ value, hex }) => {
       const message = decodeLoadMessage(Buffer.from(hex, 'hex'));
-      assert.deepEqual(plainOf(message), plainOf({ ...value, aggregates: [] }));
+      assert.deepEqual(toPlain(message), toPlain({ ...value, aggregates: [] }));
       const encoded = encodeLoadMessage(message as LoadMessage);
       assert.equal(Buffer.from(encoded).toString('hex'), hex);
     },
     members: ({ value, hex }) => {
       const text = Buffer.from(hex, 'hex').toString('utf8');
-      assert.deepEqual(plainOf(decodeMemberRecord(text)), plainOf(value));
+      assert.deepEqual(toPlain(decodeMemberRecord(text)), toPlain(value));
       assert.equal(encodeMemberRecord(decodeMemberRecord(text)!), text);
     },
     proof: (sample, all) =>
-      checkProof(
+      checkProofSample(
         sample,
         all.filter(({ value }) => value.type === 'question').map(({ hex }) => hex),
       ),
@@ -208,12 +208,12 @@
   'any record is decoded alike with any sections appended and unknown records in between',
   function () {
     const kinds = fc.integer({ min: UNKNOWN_RECORD_KIND, max: 0xff });
-    const strange = fc
+    const unknownRecord = fc
       .tuple(kinds, fc.uint8Array())
       .map(([kind, rest]) => recordOf(Uint8Array.of(kind, ...rest)));
     const known = fc.tuple(anyChange, fc.option(anySections, { nil: Buffer.alloc(0) }));
     fc.assert(
-      fc.property(fc.array(known), fc.array(strange), (changes, others) => {
+      fc.property(fc.array(known), fc.array(unknownRecord), (changes, others) => {
         const records = changes.map(([change, sections]) => {
           const content = encodeRecord(change).subarray(RECORD_HEADER_BYTES);
           return recordOf(Buffer.concat([content, sections]));
--- a/features/support/contention-scenario.ts
+++ b/features/support/contention-scenario.ts
@@ -48,7 +48,7 @@
   tooLate: number;
   refused: number;
   refusals: number;
-  refusalsUnderWay: number;
+  refusalsInProgress: number;
   /** Value earned by the programs, as a share of the possible value. */
   earned: number;
 }
--- a/features/support/contention-simulation.ts
+++ b/features/support/contention-simulation.ts
@@ -54,7 +54,7 @@
   readonly plan: PlannedSequence;
   gateway: number;
   turnsDone: number;
-  readonly over: () => void;
+  readonly onEnd: () => void;
 }
 
 /** Runs one scenario under an admission policy. */
@@ -99,7 +99,7 @@
         tooLate: 0,
         refused: 0,
         refusals: 0,
-        refusalsUnderWay: 0,
+        refusalsInProgress: 0,
         earned: 0,
       });
       this.scheduleNextArrival(kind);
@@ -171,14 +171,14 @@
       began: false,
       failed: false,
     };
-    const over = (): void => this.endProgram(program);
+    const onEnd = (): void => this.endProgram(program);
     this.nextTurn({
       program,
       isSubAgent: false,
       gateway: this.randomGateway(),
       plan,
       turnsDone: 0,
-      over,
+      onEnd: onEnd,
     });
   }
 
@@ -204,7 +204,7 @@
 
   private nextTurn(sequence: TurnSequence): void {
     if (sequence.turnsDone === sequence.plan.length || sequence.program.failed) {
-      sequence.over();
+      sequence.onEnd();
       return;
     }
     if (this.random.uniform() < OTHER_GATEWAY_SHARE) {
@@ -235,7 +235,7 @@
   private failSend(sequence: TurnSequence, send: number): void {
     if (send === SENDS) {
       sequence.program.failed = true;
-      sequence.over();
+      sequence.onEnd();
       return;
     }
     this.clock.schedule(this.random.integer(100, 400), () => this.send(sequence, send + 1));
@@ -262,7 +262,7 @@
     const outcome = this.outcomes.get(kind.name)!;
     if (refusal !== undefined) {
       outcome.refusals += 1;
-      outcome.refusalsUnderWay += program.began ? 1 : 0;
+      outcome.refusalsInProgress += program.began ? 1 : 0;
       return refusal;
     }
     program.began = true;
@@ -330,7 +330,7 @@
 
   private fanOut(line: TurnSequence, agents: readonly PlannedSequence[]): void {
     let open = agents.length;
-    const over = (): void => {
+    const onEnd = (): void => {
       open -= 1;
       if (open === 0) {
         this.nextTurn(line);
@@ -339,7 +339,7 @@
     const { program } = line;
     for (const plan of agents) {
       const gateway = this.randomGateway();
-      this.nextTurn({ program, isSubAgent: true, plan, gateway, turnsDone: 0, over });
+      this.nextTurn({ program, isSubAgent: true, plan, gateway, turnsDone: 0, onEnd: onEnd });
     }
   }
 
--- a/features/support/faulty-gateway.ts
+++ b/features/support/faulty-gateway.ts
@@ -49,7 +49,7 @@
 };
 /** Number of requests of the limited tenant that are accepted. */
 const LIMITED_REQUESTS = 100;
-const MOST_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
+const MAXIMUM_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
 
 /** HTTP server that answers like a gateway and runs requests in memory, with the given fault. */
 export class FaultyGateway {
@@ -116,8 +116,8 @@
     const program = String(request.headers[NAMES.program]);
     const budget = Number(request.headers[NAMES.tokenBudget]);
     const previous = request.headers[NAMES.previousTurn];
-    const handed = this.deliveredTokens.get(program) ?? 0;
-    if (handed + MOST_TOKENS > budget && this.fault !== 'ignoresBudget') {
+    const delivered = this.deliveredTokens.get(program) ?? 0;
+    if (delivered + MAXIMUM_TOKENS > budget && this.fault !== 'ignoresBudget') {
       response.writeHead(402).end();
       return;
     }
@@ -128,7 +128,7 @@
     const chain = this.fault === 'mixesChains' ? 'of nobody;' : this.chains.get(String(previous));
     this.run(request, id, (chain ?? '') + input);
     const events = this.events(request.url ?? '');
-    this.deliveredTokens.set(program, handed + events.length * SOAK_TOKENS_PER_EVENT);
+    this.deliveredTokens.set(program, delivered + events.length * SOAK_TOKENS_PER_EVENT);
     const output = events.map((event) => `event ${event}\n`).join('');
     this.chains.set(id, (chain ?? '') + input + output);
     response.writeHead(200, { ...this.signature, 'content-type': 'text/event-stream' });
--- a/features/support/gateway-fleet.ts
+++ b/features/support/gateway-fleet.ts
@@ -39,7 +39,7 @@
   readonly freshness: StoreFreshness;
   readonly loads: Map<string, number>;
   /** Prompt parts whose places other gateways have reported to it. */
-  readonly placesHeard: Set<number>;
+  readonly receivedPlaces: Set<number>;
   places: readonly PromptPlace[];
   aggregates: readonly Aggregate[];
   /**
@@ -150,7 +150,7 @@
   const store = new SimulatedKeySpace(world.clock);
   store.put(CHANGED_KEY, 'first');
   const loads = new Map<string, number>();
-  const placesHeard = new Set<number>();
+  const receivedPlaces = new Set<number>();
   const isSeed = index < 3;
   const storeSync: StoreSync = startStoreSync({
     runtime,
@@ -168,7 +168,7 @@
       reachesReplicas: () => true,
       ownPlaces: () => world.gateways[index]?.places ?? [],
       ownAggregates: () => world.gateways[index]?.aggregates ?? [],
-      onPlaces: (places) => places.forEach(({ part }) => placesHeard.add(part)),
+      onPlaces: (places) => places.forEach(({ part }) => receivedPlaces.add(part)),
     },
     fetch: (target, done) => fetchFrom(world, storeSync.mirror, target, done),
     startDelayMilliseconds: isSeed
@@ -178,7 +178,7 @@
   const counts = { fetchesServed: 0, messagesSent: 0, bytesSent: 0, places: [] };
   const build = { aggregates: [], isOlderBuild: false, extensionsRefused: 0 };
   const { mirror, gossip, freshness } = storeSync;
-  const parts = { mirror, gossip, freshness, loads, placesHeard };
+  const parts = { mirror, gossip, freshness, loads, receivedPlaces };
   world.gateways.push({ host, process, store, ...parts, ...counts, ...build });
 }
 
--- a/features/support/relay-world.ts
+++ b/features/support/relay-world.ts
@@ -47,7 +47,7 @@
   readonly body?: string;
   readonly headers?: Record<string, string | string[]>;
   /** Disconnects after this time, in milliseconds. */
-  readonly leaveAfter?: number;
+  readonly disconnectAfter?: number;
   /** Sends only the head and half of the body. */
   readonly stopHalfway?: boolean;
   /** Sends the second half of the body after this time, in milliseconds. */
@@ -133,7 +133,7 @@
   }
 
   /** Number of turns that the replica has stored. */
-  get keptTurns(): number {
+  get storedTurns(): number {
     return this.replica?.state.counts.turns ?? 0;
   }
 
@@ -193,12 +193,12 @@
   }
 
   /** Applies a configuration without routes. */
-  offerEmpty(version: number): void {
+  applyEmptyTable(version: number): void {
     this.gateway.applyTable(createRoutingTable(version, [], [], LIMITS), 'test');
   }
 
   /** Applies a configuration with tenants; throws if it is invalid. */
-  offerTenants(version: number, tenants: readonly TenantSettings[]): void {
+  applyTenants(version: number, tenants: readonly TenantSettings[]): void {
     const byKey = createTenantsByKey(tenants);
     if (isLeft(byKey)) {
       throw new Error(byKey.left);
@@ -275,14 +275,14 @@
       } else {
         client.end(body);
       }
-      if (options.leaveAfter !== undefined) {
-        setTimeout(() => client.destroy(), options.leaveAfter);
+      if (options.disconnectAfter !== undefined) {
+        setTimeout(() => client.destroy(), options.disconnectAfter);
       }
     });
   }
 
   /** Returns the status of the gateway's readiness probe. */
-  askReady(): Promise<number> {
+  probeReadiness(): Promise<number> {
     return new Promise((resolve, reject) => {
       const target = { host: HOST, port: this.ports[1]!, path: '/', agent: false as const };
       const client = httpRequest(target, (response) => {
--- a/features/support/wire-arbitraries.ts
+++ b/features/support/wire-arbitraries.ts
@@ -29,7 +29,10 @@
   { tenant: text, version: amount, ratePerSecond: amount, burst: amount },
   plain,
 );
-const word = fc.record({ member: text, milliseconds: amount, wasHeard: fc.boolean() }, plain);
+const silenceReport = fc.record(
+  { member: text, milliseconds: amount, wasHeard: fc.boolean() },
+  plain,
+);
 
 const pulled = {
   call: whole,
@@ -64,7 +67,7 @@
   spent: { call: whole, outcome, granted: fc.boolean(), waitMilliseconds: amount },
   pulledFresh: pulled,
   askSilences: { call: whole },
-  silencesTold: { call: whole, from: text, words: fc.array(word) },
+  silencesTold: { call: whole, from: text, words: fc.array(silenceReport) },
   chainUnder: { call: whole, epoch: whole, turn: text },
   notKnown: { call: whole },
 };
--- a/src/configuration/configuration-change-log.ts
+++ b/src/configuration/configuration-change-log.ts
@@ -53,8 +53,13 @@
   }
   // A replaced key has the same name but another hash, so it is not reported as removed.
   const kept = new Set(documents.map(documentId));
-  const gone = removed.filter(({ kind, name }) => !kept.has(`${kind}/${name}`));
-  return { fromRevision: before.revision, revision: after.revision, documents, removed: gone };
+  const removedForGood = removed.filter(({ kind, name }) => !kept.has(`${kind}/${name}`));
+  return {
+    fromRevision: before.revision,
+    revision: after.revision,
+    documents,
+    removed: removedForGood,
+  };
 }
 
 type DocumentMap = ReadonlyMap<string, ConfigurationDocument['document']>;
@@ -127,9 +132,9 @@
         documents.set(documentId(entry), entry);
         removed.delete(documentId(entry));
       }
-      for (const gone of diff.removed) {
-        documents.delete(`${gone.kind}/${gone.name}`);
-        removed.set(`${gone.kind}/${gone.name}`, gone);
+      for (const reference of diff.removed) {
+        documents.delete(`${reference.kind}/${reference.name}`);
+        removed.set(`${reference.kind}/${reference.name}`, reference);
       }
     }
     return {
--- a/src/dispatch/hold-manager.ts
+++ b/src/dispatch/hold-manager.ts
@@ -54,7 +54,7 @@
   releaseProgram(program: ProgramId): void {
     const { directory, engines, policy } = this.options;
     policy.programEnded(program);
-    const holders = new Set(directory.forget(program));
+    const holders = new Set(directory.removeEverywhere(program));
     for (const engine of engines.values()) {
       const held = engine.removeHold(program);
       if (policy.releasesMemory && (held || holders.has(engine.view.engine))) {
--- a/src/dispatch/pool-client.ts
+++ b/src/dispatch/pool-client.ts
@@ -53,9 +53,9 @@
   }
 
   /** Sends a complete report; the scheduler drops the shard's calls that are not listed. */
-  reportAll(service: ServiceName, from: ShardId, content: PoolCalls): void {
+  reportAll(service: ServiceName, from: ShardId, calls: PoolCalls): void {
     this.suspectSilentScheduler(shardOfPool(this.options.map, service));
-    this.sendReport(service, from, true, content);
+    this.sendReport(service, from, true, calls);
   }
 
   private suspectSilentScheduler(shard: ShardId): void {
@@ -92,10 +92,10 @@
     service: ServiceName,
     from: ShardId,
     complete: boolean,
-    content: PoolCalls,
+    calls: PoolCalls,
   ): void {
     const shard = shardOfPool(this.options.map, service);
-    const report: PoolReport = { type: 'poolReport', service, shard, from, complete, ...content };
+    const report: PoolReport = { type: 'poolReport', service, shard, from, complete, ...calls };
     this.options.send(this.options.leaders.targetOf(shard), report);
   }
 }
--- a/src/dispatch/pool-scheduler.ts
+++ b/src/dispatch/pool-scheduler.ts
@@ -94,7 +94,7 @@
 /** Queues the calls of one service and assigns them to engines. */
 export class PoolScheduler {
   private readonly engines: EngineSet;
-  private readonly holds: HoldManager;
+  private readonly holdManager: HoldManager;
   private readonly calls = new Map<CallId, TrackedCall>();
   /** End times of recent calls, kept so that late reports do not add these calls again. */
   private readonly endedAt = new Map<CallId, number>();
@@ -122,7 +122,7 @@
       costs: new CostModel(),
       shareOf: (group) => options.configuration().groups.get(group)?.share ?? 1,
     };
-    this.holds = new HoldManager({ ...options, engines, directory });
+    this.holdManager = new HoldManager({ ...options, engines, directory });
     this.configure();
   }
 
@@ -168,7 +168,7 @@
 
   /** Releases the cached prompts of an ended program. */
   receiveProgramGone(program: ProgramId): void {
-    this.holds.releaseProgram(program);
+    this.holdManager.releaseProgram(program);
   }
 
   /** Applies configuration changes and timeouts and starts calls; called a few times a second. */
@@ -178,7 +178,7 @@
     for (const engine of this.engines.values()) {
       engine.updateAvailability(now);
     }
-    this.holds.removeExpired(now);
+    this.holdManager.removeExpired(now);
     this.dropCallsOfSilentShards(now);
     this.forgetOldEndedCalls(now);
     this.refuseUnmeetableDeadlines(now);
@@ -361,7 +361,7 @@
       return;
     }
     const turn = { ticket, engine: engine.view, usage, serviceMilliseconds };
-    this.holds.finishTurn(this.pool, engine, turn, now);
+    this.holdManager.finishTurn(this.pool, engine, turn, now);
   }
 
   /** Refuses waiting calls whose deadline is closer than their expected service time. */
@@ -441,7 +441,7 @@
       const { engine: name } = engine.view;
       this.options.backEnds.report(name, (report) => this.receiveBackEndReport(name, report));
     }
-    this.holds.checkAllHolds();
+    this.holdManager.checkAllHolds();
   }
 
   private receiveBackEndReport(name: EngineId, report: BackEndReport): void {
@@ -453,7 +453,7 @@
     if (report.unreachable) {
       engine.recordFailure(now);
     } else {
-      this.holds.receiveReport(engine, report, now);
+      this.holdManager.receiveReport(engine, report, now);
     }
   }
 }
--- a/src/peers/load-gossip.ts
+++ b/src/peers/load-gossip.ts
@@ -172,12 +172,12 @@
   /** Whether a gateway heard from recently, or one counted in its sums, reaches the replicas. */
   get somePeerReachesReplicas(): boolean {
     const { gateway, zone, all } = this.received;
-    const heard = [
+    const recent = [
       ...gateway.since(this.since(this.staleMilliseconds)),
       ...zone.since(this.since(STALE_MILLISECONDS)),
       ...all.since(this.since(STALE_MILLISECONDS)),
     ];
-    return heard.some((message) => message.reachesReplicas);
+    return recent.some((message) => message.reachesReplicas);
   }
 
   /** Number of other gateways, whether known directly or counted in the global sum. */
@@ -368,8 +368,8 @@
    */
   private shouldAggregate(): boolean {
     const rank = this.table.rankInZone();
-    const heard = this.received.all.since(this.since(TAKEOVER_MILLISECONDS));
-    return rank === 0 || (rank < AGGREGATORS_PER_ZONE && heard.length === 0);
+    const recentSums = this.received.all.since(this.since(TAKEOVER_MILLISECONDS));
+    return rank === 0 || (rank < AGGREGATORS_PER_ZONE && recentSums.length === 0);
   }
 
   /** Reports that this gateway received as an aggregator of its zone. */
@@ -422,7 +422,7 @@
 
   /** Mean interval between two messages to the same gateway, in milliseconds. */
   private get messageMilliseconds(): number {
-    const told = this.usesAggregation ? 1 : this.table.size / FAN_OUT;
-    return GOSSIP_PERIOD_MILLISECONDS * Math.max(1, told);
+    const periodsPerMessage = this.usesAggregation ? 1 : this.table.size / FAN_OUT;
+    return GOSSIP_PERIOD_MILLISECONDS * Math.max(1, periodsPerMessage);
   }
 }
--- a/src/peers/load-sums.ts
+++ b/src/peers/load-sums.ts
@@ -8,7 +8,7 @@
 export interface ReceivedMessage {
   readonly message: LoadMessage;
   /** Local time of receipt, in milliseconds. */
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /** Sums loads by runner. */
@@ -43,28 +43,28 @@
    * Stores a message; returns false if a message of the same life with the same or a higher
    * sequence number was stored before.
    */
-  accept(sender: string, message: LoadMessage, heardAt: number): boolean {
+  accept(sender: string, message: LoadMessage, receivedAt: number): boolean {
     const known = this.bySender.get(sender)?.message;
     if (known?.life === message.life && message.sequence <= known.sequence) {
       return false;
     }
     // Reinserting the entry keeps the map in order of receipt.
     this.bySender.delete(sender);
-    this.bySender.set(sender, { message, heardAt });
-    this.forgetBefore(heardAt - RETENTION_MILLISECONDS);
+    this.bySender.set(sender, { message, receivedAt });
+    this.forgetBefore(receivedAt - RETENTION_MILLISECONDS);
     return true;
   }
 
   /** Returns the messages received since a local time, newest last. */
   since(time: number): LoadMessage[] {
-    return [...this.bySender.values()].flatMap(({ message, heardAt }) =>
-      heardAt >= time ? [message] : [],
+    return [...this.bySender.values()].flatMap(({ message, receivedAt }) =>
+      receivedAt >= time ? [message] : [],
     );
   }
 
   private forgetBefore(time: number): void {
-    for (const [sender, { heardAt }] of this.bySender) {
-      if (heardAt >= time) {
+    for (const [sender, { receivedAt }] of this.bySender) {
+      if (receivedAt >= time) {
         return;
       }
       this.bySender.delete(sender);
--- a/src/peers/message-writer.ts
+++ b/src/peers/message-writer.ts
@@ -129,10 +129,10 @@
    * agree on the ranking, and one random peer.
    */
   private namedPeers(): NamedPeer[] {
-    const heard = this.table.heardWithin(NAMED_PEER_MILLISECONDS);
-    const zonePeers = heard.filter((peer) => peer.zoneHash === this.zoneHash);
+    const recentPeers = this.table.heardWithin(NAMED_PEER_MILLISECONDS);
+    const zonePeers = recentPeers.filter((peer) => peer.zoneHash === this.zoneHash);
     const first = zonePeers.sort((left, right) => left.hash - right.hash).slice(0, NAMED_PEERS - 1);
-    const anyPeer = heard.length > 0 ? [this.ownState.runtime.random.pick(heard)] : [];
+    const anyPeer = recentPeers.length > 0 ? [this.ownState.runtime.random.pick(recentPeers)] : [];
     return [...new Set([...first, ...anyPeer])];
   }
 
--- a/src/program/shard-owner.ts
+++ b/src/program/shard-owner.ts
@@ -141,7 +141,7 @@
   }
 
   /** Adds this owner's calls of a service to a pool report. */
-  addToReport(service: ServiceName, content: PoolCalls): void {
+  addToReport(service: ServiceName, poolCalls: PoolCalls): void {
     const { host, runtime } = this.options;
     for (const call of this.liveCalls.values()) {
       const program = host.state.programs.get(call.request.program);
@@ -150,9 +150,9 @@
       }
       if (call.phase === 'waiting') {
         const now = runtime.now();
-        content.waiting.push(createTicket(host.state, program, call, now, runtime.wallTime()));
+        poolCalls.waiting.push(createTicket(host.state, program, call, now, runtime.wallTime()));
       } else if (call.phase !== 'behind') {
-        content.running.push({
+        poolCalls.running.push({
           call: call.request.call,
           engine: call.engine,
           program: program.program,
--- a/src/relay/admission/service-demand.ts
+++ b/src/relay/admission/service-demand.ts
@@ -26,10 +26,10 @@
   private readonly byService = new Map<string, number[]>();
 
   constructor(
-    private readonly tallies: AggregateRegistry,
+    private readonly aggregates: AggregateRegistry,
     private readonly topic: AggregateTopic,
   ) {
-    tallies.register(topic, () => this.tallyRows());
+    aggregates.register(topic, () => this.aggregateRows());
   }
 
   begin(service: string, rank: number): () => void {
@@ -44,7 +44,7 @@
 
   countBetween(service: string, firstBucket: number, lastBucket: number): number {
     const own = this.byService.get(service) ?? [];
-    const others = this.tallies.ofOthers(this.topic).get(hashToNumber(service));
+    const others = this.aggregates.ofOthers(this.topic).get(hashToNumber(service));
     let sum = 0;
     for (let bucket = firstBucket; bucket <= lastBucket; bucket += 1) {
       sum += (own[bucket] ?? 0) + Math.max(0, others?.[bucket] ?? 0);
@@ -52,7 +52,7 @@
     return sum;
   }
 
-  private tallyRows(): AggregateRow[] {
+  private aggregateRows(): AggregateRow[] {
     const rows: AggregateRow[] = [];
     for (const [service, amounts] of this.byService) {
       if (amounts.some((amount) => amount > 0)) {
@@ -68,9 +68,9 @@
   private readonly allRequests: RankedRequestCounts;
   private readonly lateRequests: RankedRequestCounts;
 
-  constructor(tallies: AggregateRegistry) {
-    this.allRequests = new RankedRequestCounts(tallies, AGGREGATE_TOPICS.serviceDemand);
-    this.lateRequests = new RankedRequestCounts(tallies, AGGREGATE_TOPICS.lateDemand);
+  constructor(aggregates: AggregateRegistry) {
+    this.allRequests = new RankedRequestCounts(aggregates, AGGREGATE_TOPICS.serviceDemand);
+    this.lateRequests = new RankedRequestCounts(aggregates, AGGREGATE_TOPICS.lateDemand);
   }
 
   /**
--- a/src/relay/answers/stream-answer.ts
+++ b/src/relay/answers/stream-answer.ts
@@ -133,8 +133,8 @@
       retentionMilliseconds: request.route.retentionSeconds * MILLISECONDS_IN_SECOND,
     };
     const timeout = Math.min(STORE_TIMEOUT_MILLISECONDS, this.call.remainingMilliseconds);
-    context.turns.storeTurn(turn, timeout, (kept) => {
-      if (kept) {
+    context.turns.storeTurn(turn, timeout, (stored) => {
+      if (stored) {
         this.call.answer.end();
         this.call.finishAnswered(status);
       } else {
--- a/src/relay/front/relay-front.ts
+++ b/src/relay/front/relay-front.ts
@@ -140,7 +140,7 @@
   private refuse(
     request: IncomingMessage,
     answer: ClientAnswer,
-    { stage, answer: ownAnswer }: StageRefusal,
+    { stage, answer: localAnswer }: StageRefusal,
     id: string | undefined,
   ): void {
     const version = this.context.currentTable()?.version ?? -1;
@@ -150,13 +150,16 @@
       host: request.headers.host ?? '',
       path: request.url ?? '',
       stage,
-      status: ownAnswer.status,
-      reason: ownAnswer.detail,
+      status: localAnswer.status,
+      reason: localAnswer.detail,
       version,
     });
-    this.context.metrics.count('ivyloom_relay_door_refusals_total', `status="${ownAnswer.status}"`);
+    this.context.metrics.count(
+      'ivyloom_relay_door_refusals_total',
+      `status="${localAnswer.status}"`,
+    );
     request.resume();
-    answer.sendLocal(ownAnswer, id);
+    answer.sendLocal(localAnswer, id);
   }
 
   private readRequestBody(
--- a/src/relay/front/request-parser.ts
+++ b/src/relay/front/request-parser.ts
@@ -60,7 +60,7 @@
     deadlineAt: arrivedAt + clientTimeoutMilliseconds(ingress),
     route: ingress.route!,
     tenant,
-    hidesKey: table.tenants !== undefined,
+    stripsKey: table.tenants !== undefined,
     configurationVersion: table.version,
     program: parseProgram(ingress),
     programDeadlineAt: Number.isFinite(programRemaining) ? arrivedAt + programRemaining : undefined,
--- a/src/relay/placement/place-request.ts
+++ b/src/relay/placement/place-request.ts
@@ -50,8 +50,8 @@
   const available = accepting.length > 0 ? accepting : allowed;
   const untried = available.filter((candidate) => !failedAt.has(candidate.id));
   const usable = untried.length > 0 ? untried : available;
-  const weighed = context.samplesCandidates
+  const compared = context.samplesCandidates
     ? sampleCandidates(usable, context.registry.loadAgeMilliseconds(), context.runtime.random)
     : usable;
-  return chooseRunner(weighed, needOf(context, requestState, service), context.charges);
+  return chooseRunner(compared, needOf(context, requestState, service), context.charges);
 }
--- a/src/relay/relay-gateway.ts
+++ b/src/relay/relay-gateway.ts
@@ -65,7 +65,7 @@
   readonly registry: RunnerRegistry;
   readonly metrics = new RelayMetrics();
   /** Counts that are added up over all gateways by gossip. */
-  readonly tallies = new AggregateRegistry();
+  readonly aggregates = new AggregateRegistry();
   /** Memory budget of this process. */
   readonly memory: MemoryBudget;
   readonly backpressure = new RunnerBackpressure();
@@ -99,7 +99,7 @@
       connections,
       admission: new ProgramAdmission(runtime.random),
       kindStats: new ProgramStats(),
-      demand: new ServiceDemand(this.tallies),
+      demand: new ServiceDemand(this.aggregates),
       split: new TrafficSplit(),
       samplesCandidates: options.policiesOff?.has(CANDIDATE_SAMPLING_POLICY) !== true,
       charges: chargesWithout(options.policiesOff ?? new Set()),
--- a/src/relay/request/forwarded-headers.ts
+++ b/src/relay/request/forwarded-headers.ts
@@ -68,7 +68,7 @@
   instructions: RunnerInstructions,
 ): string[] {
   const replaced = new Set([names.timeout, names.priority, names.lastEventId]);
-  if (request.hidesKey) {
+  if (request.stripsKey) {
     // Drops what the client sent: only the gateway names the tenant to runners.
     [names.key, names.tenant].forEach((name) => replaced.add(name));
   }
--- a/src/relay/request/relay-request.ts
+++ b/src/relay/request/relay-request.ts
@@ -40,7 +40,7 @@
   /** Tenant of the request; undefined if no key was required. */
   readonly tenant: Tenant | undefined;
   /** Whether keys identify tenants, so that none may be forwarded to a runner. */
-  readonly hidesKey: boolean;
+  readonly stripsKey: boolean;
   readonly configurationVersion: number;
   readonly program: ProgramReference | undefined;
   /** Deadline of the program as a local time, in milliseconds; undefined if it has none. */
--- a/src/relay/runners/prompt-cache-estimate.ts
+++ b/src/relay/runners/prompt-cache-estimate.ts
@@ -22,9 +22,9 @@
   leadingTokens(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
-      const kept = this.tokensByPart.get(part.key) ?? 0;
-      tokens += Math.min(kept, part.tokens);
-      if (kept < part.tokens) {
+      const cachedTokens = this.tokensByPart.get(part.key) ?? 0;
+      tokens += Math.min(cachedTokens, part.tokens);
+      if (cachedTokens < part.tokens) {
         return tokens;
       }
     }
--- a/src/relay/tries/relay-call.ts
+++ b/src/relay/tries/relay-call.ts
@@ -116,13 +116,13 @@
       current.inactivity.noteAnswerComplete();
       const totalMilliseconds = runtime.now() - current.startedAt;
       const eventCount = this.stream?.eventCount ?? 0;
-      const isWhole = status < FIRST_REDIRECT;
-      const pace =
-        isWhole && !this.flowControl.wasPaused ? { totalMilliseconds, eventCount } : undefined;
+      const isSuccess = status < FIRST_REDIRECT;
+      const latencySample =
+        isSuccess && !this.flowControl.wasPaused ? { totalMilliseconds, eventCount } : undefined;
       registry.noteRequestEnded(
         current.record,
-        pace,
-        isWhole ? this.engineSampleOf(current) : undefined,
+        latencySample,
+        isSuccess ? this.engineSampleOf(current) : undefined,
       );
     }
     this.finish('answered', { status, runner: current?.record.runner.id ?? '' });
@@ -340,8 +340,8 @@
   }
 
   private giveUp(reason: string): void {
-    const timeIsOver = this.remainingMilliseconds <= 0;
-    this.refuse(this.mayHaveRun ? answerLost(reason, timeIsOver) : noRunnerAvailable(reason));
+    const isPastDeadline = this.remainingMilliseconds <= 0;
+    this.refuse(this.mayHaveRun ? answerLost(reason, isPastDeadline) : noRunnerAvailable(reason));
   }
 
   private handleDeadline(): void {
--- a/src/scheduling/cache-directory.ts
+++ b/src/scheduling/cache-directory.ts
@@ -35,7 +35,7 @@
   }
 
   /** Removes a prefix from all engines and returns the engines that had it. */
-  forget(name: string): EngineId[] {
+  removeEverywhere(name: string): EngineId[] {
     const engines = [...(this.enginesByPrefix.get(name)?.keys() ?? [])];
     this.enginesByPrefix.delete(name);
     return engines;
--- a/src/scheduling/placement-cost.ts
+++ b/src/scheduling/placement-cost.ts
@@ -41,8 +41,8 @@
   if (ticket.callClass === 'urgent') {
     return withRunning <= usable;
   }
-  const ownHold = pool.directory.cachedTokens(engine.engine, ticket.prefixes);
-  return withRunning + engine.heldTokens - ownHold <= usable;
+  const ownCachedTokens = pool.directory.cachedTokens(engine.engine, ticket.prefixes);
+  return withRunning + engine.heldTokens - ownCachedTokens <= usable;
 }
 
 /** True if the call can start on the engine now. */
--- a/src/turns/completeness-check.ts
+++ b/src/turns/completeness-check.ts
@@ -63,11 +63,11 @@
     if (isDeclared || replica.ready || record === undefined || !hasMember(record, id)) {
       return;
     }
-    const progress = this.progressUnder(record);
+    const progress = this.readProgress(record);
     const others = [...progress.values()];
     const read = others.filter((each) => each === 'read').length;
     const fresh = others.filter((each) => each === 'fresh').length;
-    const needed = this.neededUnder(record, others.length - fresh);
+    const needed = this.requiredReads(record, others.length - fresh);
     if (read < needed) {
       this.logIncomplete(record, needed, progress);
       return;
@@ -76,13 +76,13 @@
     replica.markReady(`read ${read} of ${others.length} others, ${fresh} of them fresh`);
   }
 
-  private progressUnder(record: MemberRecord): ReadonlyMap<string, ReadProgress> {
+  private readProgress(record: MemberRecord): ReadonlyMap<string, ReadProgress> {
     const { id: own, viewOf } = this.options;
     const others = record.members.filter((member) => member.id !== own);
     return new Map(others.map(({ id }) => [id, progressOf(viewOf(id), record.epoch)]));
   }
 
-  private neededUnder(record: MemberRecord, otherAcknowledgers: number): number {
+  private requiredReads(record: MemberRecord, otherAcknowledgers: number): number {
     if (record.members.length === 1) {
       return 0;
     }
--- a/src/turns/replica-sync.ts
+++ b/src/turns/replica-sync.ts
@@ -136,10 +136,10 @@
 
   /** Number of members whose silence is below the removal threshold, including this replica. */
   get presentMembers(): number {
-    return this.membersHeardWithin(this.options.timings.removalMilliseconds);
+    return this.countMembersHeardWithin(this.options.timings.removalMilliseconds);
   }
 
-  private membersHeardWithin(milliseconds: number): number {
+  private countMembersHeardWithin(milliseconds: number): number {
     const members = this.options.directory.current?.members ?? [];
     const own = this.options.id;
     return members.filter(
@@ -186,7 +186,7 @@
 
   private get isMemberSuspected(): boolean {
     const { wantedMembers, timings } = this.options;
-    return this.membersHeardWithin(timings.suspicionMilliseconds) < wantedMembers;
+    return this.countMembersHeardWithin(timings.suspicionMilliseconds) < wantedMembers;
   }
 
   /** Pulls from the members, unless idle; as a non-member, also asks the members for each other's silences. */
--- a/src/turns/silence-tracker.ts
+++ b/src/turns/silence-tracker.ts
@@ -58,7 +58,7 @@
 
   /** Records a member's reports on other members, replacing its earlier ones. */
   recordReports(reporter: string, reports: readonly SilenceReport[]): void {
-    const byMember = new Map(reports.map((word) => [word.member, word]));
+    const byMember = new Map(reports.map((report) => [report.member, report]));
     this.receivedReports.set(reporter, { at: this.runtime.now(), byMember });
   }
 
@@ -87,6 +87,6 @@
     const since = this.runtime.now() - REPORT_TTL_MILLISECONDS;
     return [...this.receivedReports.values()]
       .filter(({ at }) => at >= since)
-      .flatMap(({ byMember: words }) => words.get(member) ?? []);
+      .flatMap(({ byMember }) => byMember.get(member) ?? []);
   }
 }
--- a/src/turns/tcp-replica-caller.ts
+++ b/src/turns/tcp-replica-caller.ts
@@ -76,11 +76,11 @@
     );
     const pending = { listener, cancelTimer };
     this.pending.set(request.call, pending);
-    this.protocol.checkSupport(request, (isRead) => {
+    this.protocol.checkSupport(request, (isSupported) => {
       if (this.pending.get(request.call) !== pending) {
         return;
       }
-      if (isRead) {
+      if (isSupported) {
         this.sendRequest(request);
       } else {
         this.sendFallback(request, pending);
