--- a/features/steps/entries.steps.ts
+++ b/features/steps/entries.steps.ts
@@ -5,9 +5,9 @@
 import fc from 'fast-check';
 import { isLeft, isRight } from 'fp-ts/lib/Either.js';
 import { decodeRunner } from '../../platform/configuration-codec.js';
-import { takeItem } from '../../platform/take-item.js';
-import type { ItemTakers } from '../../platform/take-item.js';
-import { RefusedItems } from '../../platform/refused-items.js';
+import { applyItem } from '../../platform/apply-item.js';
+import type { ItemTargets } from '../../platform/apply-item.js';
+import { RefusedItemLog } from '../../platform/refused-item-log.js';
 import { RUNNER_PREFIX } from '../../platform/store-keys.js';
 import { RunnerRegistry } from '../../src/relay/runners/runner-registry.js';
 import { createRandom } from '../../src/runtime/random.js';
@@ -20,10 +20,10 @@
 
 interface World {
   entry?: string;
-  takers?: ItemTakers;
-  lines?: string[];
+  itemTargets?: ItemTargets;
+  loggedEvents?: string[];
   /** Signs of the longest line. */
-  longestLine?: number;
+  longestLineLength?: number;
 }
 
 When(/^the entry of a runner reads (.*)$/, function (this: World, entry: string) {
@@ -35,13 +35,13 @@
 });
 
 Then('any drawn entry is refused or names an address and places', function () {
-  const drawn = fc.oneof(fc.string(), fc.json(), fc.integer(), fc.constant('10.0.0.1:80'));
+  const arbitraryValue = fc.oneof(fc.string(), fc.json(), fc.integer(), fc.constant('10.0.0.1:80'));
   const entry = fc.record(
     {
-      Service: fc.oneof(fc.constant(SERVICE), drawn),
-      Address: drawn,
-      State: fc.oneof(fc.constant('ready'), fc.constant('draining'), drawn),
-      Zone: drawn,
+      Service: fc.oneof(fc.constant(SERVICE), arbitraryValue),
+      Address: arbitraryValue,
+      State: fc.oneof(fc.constant('ready'), fc.constant('draining'), arbitraryValue),
+      Zone: arbitraryValue,
       Slots: fc.oneof(fc.integer(), fc.double()),
     },
     { requiredKeys: [] },
@@ -51,12 +51,12 @@
     fc.json(),
     entry.map((value) => JSON.stringify(value)),
   );
-  let taken = 0;
+  let decodedCount = 0;
   fc.assert(
     fc.property(text, (value) => {
       const runner = decodeRunner('r', value);
       if (isRight(runner)) {
-        taken += 1;
+        decodedCount += 1;
         const { host, port, slots } = runner.right;
         assert.ok(isIPv4(host) && port >= 1 && port <= 65_535 && Number.isInteger(port));
         assert.ok(Number.isInteger(slots) && slots >= 1);
@@ -64,40 +64,43 @@
     }),
     { numRuns: NUMBER_OF_RUNS },
   );
-  assert.ok(taken > 0, 'no drawn entry named a runner');
+  assert.ok(decodedCount > 0, 'no drawn entry named a runner');
 });
 
-function entryOf(place: number): string {
-  return JSON.stringify({ Service: SERVICE, Address: `10.0.0.${place}:80`, State: 'ready' });
+function entryOf(hostNumber: number): string {
+  return JSON.stringify({ Service: SERVICE, Address: `10.0.0.${hostNumber}:80`, State: 'ready' });
 }
 
-function put(world: World, name: string, value: string): void {
-  takeItem({ key: RUNNER_PREFIX + name, value, revision: 1 }, world.takers!);
+function putEntry(world: World, name: string, value: string): void {
+  applyItem({ key: RUNNER_PREFIX + name, value, revision: 1 }, world.itemTargets!);
 }
 
 Given(
   'gateways know the runners {string} and {string}',
-  function (this: World, a: string, b: string) {
-    const lines: string[] = [];
+  function (this: World, first: string, second: string) {
+    const events: string[] = [];
     const process = new SimulatedProcess(
       'g',
       new VirtualClock(),
       createRandom(1),
       (_level, _, fields) => {
-        lines.push(String(fields?.event));
-        this.longestLine = Math.max(this.longestLine ?? 0, JSON.stringify(fields).length);
+        events.push(String(fields?.event));
+        this.longestLineLength = Math.max(
+          this.longestLineLength ?? 0,
+          JSON.stringify(fields).length,
+        );
       },
     );
     const runtime = process.begin();
-    this.lines = lines;
-    this.takers = {
+    this.loggedEvents = events;
+    this.itemTargets = {
       registry: new RunnerRegistry(runtime),
       directory: new MemberDirectory(runtime),
-      refused: new RefusedItems(runtime),
+      refusedItems: new RefusedItemLog(runtime),
       applyTable: () => undefined,
     };
-    put(this, a, entryOf(1));
-    put(this, b, entryOf(2));
+    putEntry(this, first, entryOf(1));
+    putEntry(this, second, entryOf(2));
   },
 );
 
@@ -105,49 +108,49 @@
   "the entry of {string} is written over with bytes that can't be read, {int} times",
   function (this: World, name: string, times: number) {
     for (let time = 0; time < times; time += 1) {
-      put(this, name, '\uFFFD{');
+      putEntry(this, name, '\uFFFD{');
     }
   },
 );
 
 When('the entry of {string} is written as before', function (this: World, name: string) {
-  put(this, name, entryOf(1));
+  putEntry(this, name, entryOf(1));
 });
 
-function inUse(world: World): string[] {
+function runnersInUse(world: World): string[] {
   return world
-    .takers!.registry.candidates(SERVICE, [], new Set())
+    .itemTargets!.registry.candidates(SERVICE, [], new Set())
     .map(({ record }) => record.runner.id)
     .sort();
 }
 
 Then('only {string} is in use', function (this: World, name: string) {
-  assert.deepEqual(inUse(this), [name]);
+  assert.deepEqual(runnersInUse(this), [name]);
 });
 
-Then('{string} and {string} are in use', function (this: World, a: string, b: string) {
-  assert.deepEqual(inUse(this), [a, b]);
+Then('{string} and {string} are in use', function (this: World, first: string, second: string) {
+  assert.deepEqual(runnersInUse(this), [first, second]);
 });
 
 When(
   '{int} entries of strangers are written, each {int} signs long, twice',
-  function (this: World, count: number, signs: number) {
-    const entry = JSON.stringify({ Service: SERVICE, Address: { text: 'x'.repeat(signs) } });
-    for (let place = 0; place < 2 * count; place += 1) {
-      put(this, `stranger-${place % count}`, entry);
+  function (this: World, count: number, length: number) {
+    const entry = JSON.stringify({ Service: SERVICE, Address: { text: 'x'.repeat(length) } });
+    for (let index = 0; index < 2 * count; index += 1) {
+      putEntry(this, `stranger-${index % count}`, entry);
     }
   },
 );
 
 Then(
   'at most {int} lines of at most {int} signs tell of them',
-  function (this: World, lines: number, signs: number) {
-    const told = this.lines!.filter((event) => event === 'item.refused').length;
-    assert.ok(told > 0 && told <= lines, `${told} lines`);
-    assert.ok(this.longestLine! <= signs, `${this.longestLine} signs`);
+  function (this: World, maximumLines: number, maximumLength: number) {
+    const lineCount = this.loggedEvents!.filter((event) => event === 'item.refused').length;
+    assert.ok(lineCount > 0 && lineCount <= maximumLines, `${lineCount} lines`);
+    assert.ok(this.longestLineLength! <= maximumLength, `${this.longestLineLength} signs`);
   },
 );
 
 Then('one line tells of it', function (this: World) {
-  assert.equal(this.lines!.filter((event) => event === 'item.refused').length, 1);
+  assert.equal(this.loggedEvents!.filter((event) => event === 'item.refused').length, 1);
 });
--- a/features/steps/memory.steps.ts
+++ b/features/steps/memory.steps.ts
@@ -3,7 +3,7 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import * as E from 'fp-ts/lib/Either.js';
-import { decodeKeptParts } from '../../platform/kept-parts.js';
+import { decodeCachedParts } from '../../platform/cached-parts.js';
 import { EngineCacheDiscovery } from '../../src/relay/runners/engine-cache-discovery.js';
 import type { CachedPart } from '../../src/relay/runners/engine-cache-discovery.js';
 import { parsePromptParts, promptKeyOf } from '../../src/relay/request/relay-request.js';
@@ -123,7 +123,7 @@
   );
   fc.assert(
     fc.property(text, (body) => {
-      const result = decodeKeptParts(body);
+      const result = decodeCachedParts(body);
       if (E.isRight(result)) {
         result.right.forEach(({ tokens }) => assert.ok(tokens > 0 && Number.isFinite(tokens)));
       }
@@ -134,7 +134,7 @@
     ['', 'b', -1, 'm'],
   ];
   assert.deepEqual(
-    decodeKeptParts(JSON.stringify({ held })),
+    decodeCachedParts(JSON.stringify({ held })),
     E.right([{ key: promptKeyOf('a'), tokens: 300 }]),
   );
 });
--- a/features/steps/store-client.steps.ts
+++ b/features/steps/store-client.steps.ts
@@ -15,16 +15,16 @@
 
 interface World {
   listServer?: Server;
-  listed?: ListResult;
+  listResult?: ListResult;
 }
 
 /** Serves one body after another, whatever is asked. */
 async function serveBodies(world: World, bodies: readonly string[]): Promise<void> {
-  const waiting = [...bodies];
+  const remainingBodies = [...bodies];
   world.listServer = createServer((request, response) => {
     request.resume();
     response.writeHead(200, { 'content-type': 'application/json' });
-    response.end(waiting.shift() ?? '');
+    response.end(remainingBodies.shift() ?? '');
   });
   await new Promise<void>((resolve) => world.listServer!.listen(0, HOST, resolve));
 }
@@ -56,21 +56,21 @@
 When('the stale list is read', async function (this: World) {
   const { port } = this.listServer!.address() as AddressInfo;
   const client = new PlatformStoreClient(HOST, port, createRealRuntime({ logLevel: 'error' }));
-  this.listed = await new Promise((resolve) => client.listStale('', resolve));
+  this.listResult = await new Promise((resolve) => client.listStale('', resolve));
 });
 
 Then(
   'it has the items of {int} pages and stands at revision {int}',
   function (this: World, pages: number, revision: number) {
-    assert.ok(E.isRight(this.listed!));
+    assert.ok(E.isRight(this.listResult!));
     assert.deepEqual(
-      this.listed.right.items.map(({ key }) => key),
+      this.listResult.right.items.map(({ key }) => key),
       Array.from({ length: pages }, (_unused, page) => `k${page}`),
     );
-    assert.equal(this.listed.right.revision, revision);
+    assert.equal(this.listResult.right.revision, revision);
   },
 );
 
 Then('it is refused', function (this: World) {
-  assert.ok(E.isLeft(this.listed!));
+  assert.ok(E.isLeft(this.listResult!));
 });
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -277,7 +277,7 @@
         return this.troubleStore('losingAnswers', pause);
       case 'storeForgets':
         this.changeConfiguration();
-        this.world.store.forget();
+        this.world.store.compact();
         return;
       case 'storePath':
         return this.troublePath(this.world.storeProxies.get(machine.machine.name)!, pause);
