--- a/features/steps/replication.steps.ts
+++ b/features/steps/replication.steps.ts
@@ -19,7 +19,7 @@
 
 function openPrograms(world: ReplicationWorld, count: number): void {
   const cluster = world.simulated!;
-  for (let made = 0; made < count;) {
+  for (let openedCount = 0; openedCount < count;) {
     const leader = cluster
       .livingNodes()
       .flatMap((node) => node.listShards())
@@ -28,13 +28,13 @@
       cluster.clock.runUntil(cluster.clock.now + STEP_MILLISECONDS);
       continue;
     }
-    const batch = Math.min(PROGRAMS_AT_ONCE, count - made);
+    const batch = Math.min(PROGRAMS_AT_ONCE, count - openedCount);
     for (let index = 0; index < batch; index += 1) {
-      const number = world.opened! + made + index;
+      const number = world.opened! + openedCount + index;
       const command = { type: 'openProgram', at: 0, program: `p${number}`, group: 'g' } as const;
       leader.host.propose(command, () => undefined);
     }
-    made += batch;
+    openedCount += batch;
     cluster.clock.runUntil(cluster.clock.now + STEP_MILLISECONDS);
   }
   world.opened! += count;
@@ -57,7 +57,7 @@
   },
 );
 
-function nameOf(world: ReplicationWorld, number: number): string {
+function nodeNameOf(world: ReplicationWorld, number: number): string {
   return world.simulated!.nodeNames[number - 1]!;
 }
 
@@ -75,11 +75,11 @@
 );
 
 When('node {int} dies', function (this: ReplicationWorld, number: number) {
-  this.simulated!.killNode(nameOf(this, number));
+  this.simulated!.killNode(nodeNameOf(this, number));
 });
 
 When('node {int} starts again', function (this: ReplicationWorld, number: number) {
-  this.simulated!.startNode(nameOf(this, number));
+  this.simulated!.startNode(nodeNameOf(this, number));
 });
 
 When('every node dies and starts again', function (this: ReplicationWorld) {
--- a/features/steps/storage.steps.ts
+++ b/features/steps/storage.steps.ts
@@ -69,7 +69,7 @@
 );
 
 /** Times that a folder was synced, as the ledger tells. */
-function syncsOf(world: StorageWorld, folder: string): number {
+function countSyncs(world: StorageWorld, folder: string): number {
   const lines = readFileSync(world.ledger!, 'utf8').trim().split('\n');
   return lines
     .map((line) => JSON.parse(line) as LedgerLine)
@@ -80,14 +80,14 @@
   'its name and those of its files were synced before the replica was acknowledged',
   function (this: StorageWorld) {
     const root = join(this.folder!, 'data');
-    assert.equal(syncsOf(this, root), 1);
-    this.syncCount = syncsOf(this, join(root, 'replicas'));
+    assert.equal(countSyncs(this, root), 1);
+    this.syncCount = countSyncs(this, join(root, 'replicas'));
     assert.equal(this.syncCount, 2);
   },
 );
 
 Then('those of its files were synced once more', function (this: StorageWorld) {
-  assert.equal(syncsOf(this, join(this.folder!, 'data', 'replicas')), this.syncCount! + 1);
+  assert.equal(countSyncs(this, join(this.folder!, 'data', 'replicas')), this.syncCount! + 1);
 });
 
 Given(
--- a/src/gateway/call-parsing.ts
+++ b/src/gateway/call-parsing.ts
@@ -20,7 +20,7 @@
 /** Patience of a caller that names none, in seconds. */
 const DEFAULT_TIMEOUT_SECONDS = 120;
 /** Longest patience, in seconds. */
-const LONGEST_TIMEOUT_SECONDS = 3_600;
+const MAXIMUM_TIMEOUT_SECONDS = 3_600;
 /** What programs, keys and calls may be named. */
 const NAME = /^[A-Za-z0-9][A-Za-z0-9._:/-]{0,199}$/;
 
@@ -55,7 +55,7 @@
   readonly headers: IncomingHttpHeaders;
   readonly newName: () => string;
   /** Makes the name of a call of a program. */
-  readonly nameCall: (program: string) => string;
+  readonly createCallId: (program: string) => string;
 }
 
 type Checked<Value> = E.Either<CallError, Value>;
@@ -90,9 +90,9 @@
     : E.right(found);
 }
 
-function checkFlag(value: string, header: string, missing: boolean): Checked<boolean> {
+function checkFlag(value: string, header: string, defaultValue: boolean): Checked<boolean> {
   if (value === '') {
-    return E.right(missing);
+    return E.right(defaultValue);
   }
   return value === 'true' || value === 'false'
     ? E.right(value === 'true')
@@ -101,9 +101,9 @@
 
 function checkTimeout(value: string): Checked<number> {
   const seconds = value === '' ? DEFAULT_TIMEOUT_SECONDS : Number(value);
-  return seconds > 0 && seconds <= LONGEST_TIMEOUT_SECONDS
+  return seconds > 0 && seconds <= MAXIMUM_TIMEOUT_SECONDS
     ? E.right(seconds * 1_000)
-    : E.left(malformed(`ivyloom-timeout: expected seconds up to ${LONGEST_TIMEOUT_SECONDS}`));
+    : E.left(malformed(`ivyloom-timeout: expected seconds up to ${MAXIMUM_TIMEOUT_SECONDS}`));
 }
 
 function checkService(
@@ -138,8 +138,9 @@
   const { headers } = context;
   const read = (name: string): string => headerOf(headers, name);
   const parent = read('ivyloom-parent');
-  const named = read('ivyloom-program');
-  const program = parent === '' || named === '' ? named : `${parent}/${named}`;
+  const programHeader = read('ivyloom-program');
+  const program =
+    parent === '' || programHeader === '' ? programHeader : `${parent}/${programHeader}`;
   return pipe(
     E.Do,
     E.bind('program', () => checkName(program, 'ivyloom-program')),
@@ -174,7 +175,7 @@
   return {
     ...headers,
     ...content,
-    call: context.nameCall(program),
+    call: context.createCallId(program),
     program,
     group: context.key.group,
     receivedText: '',
--- a/src/gateway/chat-answer.ts
+++ b/src/gateway/chat-answer.ts
@@ -14,7 +14,7 @@
 }
 
 /** Headers that name the call, its program and its place. */
-function identify(response: ServerResponse, request: CallRequest, answer?: Answer): void {
+function setCallHeaders(response: ServerResponse, request: CallRequest, answer?: Answer): void {
   // A repeat is answered by the first call, and that is the one that can be looked up.
   response.setHeader('ivyloom-call', answer?.call ?? request.call);
   response.setHeader('ivyloom-program', request.program);
@@ -30,7 +30,7 @@
   created: number,
   answer: Answer,
 ): void {
-  identify(response, request, answer);
+  setCallHeaders(response, request, answer);
   const message = { role: 'assistant', content: answer.text, refusal: null };
   response.writeHead(200, { 'content-type': 'application/json' });
   response.end(
@@ -51,7 +51,7 @@
   request: CallRequest,
   answer: Answer,
 ): void {
-  identify(response, request, answer);
+  setCallHeaders(response, request, answer);
   response.writeHead(200, { 'content-type': 'application/json' });
   response.end(answer.text);
 }
@@ -62,15 +62,15 @@
   request: CallRequest,
   created: number,
 ): (event: CallEvent) => void {
-  let open = false;
-  const start = (): void => {
-    if (!open) {
-      open = true;
-      identify(response, request);
+  let headersSent = false;
+  const sendHeaders = (): void => {
+    if (!headersSent) {
+      headersSent = true;
+      setCallHeaders(response, request);
       response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-cache' });
     }
   };
-  const head = {
+  const chunkFields = {
     id: request.call,
     object: 'chat.completion.chunk',
     created,
@@ -81,15 +81,15 @@
   };
   return (event) => {
     if (event.type === 'piece') {
-      start();
+      sendHeaders();
       const delta = { role: 'assistant', content: event.text };
-      write({ ...head, choices: [{ index: 0, delta, finish_reason: null }] });
+      write({ ...chunkFields, choices: [{ index: 0, delta, finish_reason: null }] });
     } else if (event.type === 'answered') {
-      start();
+      sendHeaders();
       const choices = [{ index: 0, delta: {}, finish_reason: 'stop' }];
-      write({ ...head, choices, usage: usageBody(event.answer) });
+      write({ ...chunkFields, choices, usage: usageBody(event.answer) });
       response.end('data: [DONE]\n\n');
-    } else if (open) {
+    } else if (headersSent) {
       // The status is sent already: the error travels as an event, as OpenAI's own does.
       write(problemOf(event.error, request.call));
       response.end();
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -20,17 +20,17 @@
 } from '../wire/messages.js';
 
 /** Time between probes of owners, in milliseconds. */
-export const PROBE_MILLISECONDS = 1_000;
+export const PROBE_INTERVAL_MILLISECONDS = 1_000;
 /** Silence after which an owner is believed lost, in milliseconds. */
-const OWNER_SILENCE_MILLISECONDS = 2_700;
+const OWNER_TIMEOUT_MILLISECONDS = 2_700;
 /** Pause before a shard without a known leader is asked again, in milliseconds. */
-const RETRY_PAUSE_MILLISECONDS = 100;
+const RETRY_DELAY_MILLISECONDS = 100;
 /** Time added to a caller's patience for the owner's own final answer to arrive, in milliseconds. */
 const DEADLINE_GRACE_MILLISECONDS = 1_500;
 /** Time a program request may take, in milliseconds. */
-const PROGRAM_REQUEST_MILLISECONDS = 8_000;
+const PROGRAM_REQUEST_TIMEOUT_MILLISECONDS = 8_000;
 /** Time after which a program request is sent again, in milliseconds. */
-const PROGRAM_RESEND_MILLISECONDS = 700;
+const PROGRAM_RESEND_INTERVAL_MILLISECONDS = 700;
 
 /** What a gateway is made with. */
 export interface GatewayOptions {
@@ -45,12 +45,12 @@
   readonly listener: CallListener;
   readonly streaming: boolean;
   /** Text the caller has been sent. */
-  received: string;
+  deliveredText: string;
   owner: NodeId;
   /** Times it was sent to an owner and not turned away for want of leadership. */
-  openSends: number;
+  outstandingSends: number;
   /** When the owner last proved to know the call. */
-  heardAt: number;
+  lastContactAt: number;
   cancelDeadline: CancelTimer;
 }
 
@@ -85,15 +85,17 @@
       request,
       listener,
       streaming,
-      received: '',
+      deliveredText: '',
       owner: '',
-      openSends: 0,
-      heardAt: runtime.now(),
+      outstandingSends: 0,
+      lastContactAt: runtime.now(),
       cancelDeadline: () => undefined,
     };
     this.calls.set(request.call, pending);
-    const patience = request.timeoutMilliseconds + DEADLINE_GRACE_MILLISECONDS;
-    pending.cancelDeadline = runtime.setTimer(patience, () => this.passDeadline(pending));
+    const timeoutMilliseconds = request.timeoutMilliseconds + DEADLINE_GRACE_MILLISECONDS;
+    pending.cancelDeadline = runtime.setTimer(timeoutMilliseconds, () =>
+      this.failOnDeadline(pending),
+    );
     this.sendToOwner(pending);
   }
 
@@ -136,9 +138,9 @@
       const message = { type: 'programRequest', shard, call: id, action, program, group } as const;
       this.options.send(target, message);
       cancelTimer();
-      cancelTimer = runtime.setTimer(PROGRAM_RESEND_MILLISECONDS, () => {
+      cancelTimer = runtime.setTimer(PROGRAM_RESEND_INTERVAL_MILLISECONDS, () => {
         leaders.suspect(shard, target);
-        if (runtime.now() - started < PROGRAM_REQUEST_MILLISECONDS) {
+        if (runtime.now() - started < PROGRAM_REQUEST_TIMEOUT_MILLISECONDS) {
           send();
         } else {
           this.finishProgramRequest(id, unavailableResult(action));
@@ -156,7 +158,7 @@
       return;
     }
     pending.owner = from;
-    pending.heardAt = this.options.runtime.now();
+    pending.lastContactAt = this.options.runtime.now();
     this.options.leaders.confirm(this.shardOf(pending), from);
     switch (message.event.type) {
       case 'piece':
@@ -164,7 +166,7 @@
       case 'answered':
         return this.receiveAnswer(pending, message.event);
       case 'failed':
-        return this.finish(pending, withCertainty(pending, message.event));
+        return this.finish(pending, adjustVerdict(pending, message.event));
     }
   }
 
@@ -174,10 +176,10 @@
     leaders.learn(message.shard, message.hint, from);
     const pending = this.calls.get(message.call);
     const request = this.programRequests.get(message.call);
-    const pause = message.hint === '' ? RETRY_PAUSE_MILLISECONDS : 0;
-    runtime.setTimer(pause, () => {
+    const delayMilliseconds = message.hint === '' ? RETRY_DELAY_MILLISECONDS : 0;
+    runtime.setTimer(delayMilliseconds, () => {
       if (pending !== undefined && this.calls.get(message.call) === pending) {
-        pending.openSends -= 1;
+        pending.outstandingSends -= 1;
         this.sendToOwner(pending);
       }
       if (request !== undefined && this.programRequests.get(message.call) === request) {
@@ -203,7 +205,7 @@
       if (unknown.has(call)) {
         this.sendToOwner(pending);
       } else {
-        pending.heardAt = now;
+        pending.lastContactAt = now;
       }
     }
   }
@@ -213,12 +215,12 @@
     const now = this.options.runtime.now();
     const byOwner = new Map<NodeId, CallId[]>();
     for (const pending of this.calls.values()) {
-      if (now - pending.heardAt > OWNER_SILENCE_MILLISECONDS) {
+      if (now - pending.lastContactAt > OWNER_TIMEOUT_MILLISECONDS) {
         this.options.leaders.suspect(this.shardOf(pending), pending.owner);
         this.sendToOwner(pending);
         continue;
       }
-      if (now - pending.heardAt < PROBE_MILLISECONDS) {
+      if (now - pending.lastContactAt < PROBE_INTERVAL_MILLISECONDS) {
         // Its stream shows that the owner knows it.
         continue;
       }
@@ -238,9 +240,9 @@
   private sendToOwner(pending: PendingCall): void {
     const shard = this.shardOf(pending);
     pending.owner = this.options.leaders.targetOf(shard);
-    pending.heardAt = this.options.runtime.now();
-    pending.openSends += 1;
-    const request = { ...pending.request, receivedText: pending.received };
+    pending.lastContactAt = this.options.runtime.now();
+    pending.outstandingSends += 1;
+    const request = { ...pending.request, receivedText: pending.deliveredText };
     this.options.send(pending.owner, { type: 'submitCall', shard, request });
   }
 
@@ -248,27 +250,27 @@
     if (!pending.streaming) {
       return;
     }
-    const { received } = pending;
-    if (event.offset > received.length) {
+    const { deliveredText } = pending;
+    if (event.offset > deliveredText.length) {
       // A piece before this one was lost: the owner is asked for the stream from here on.
       this.sendToOwner(pending);
       return;
     }
-    const fresh = event.text.slice(received.length - event.offset);
-    if (fresh === '') {
+    const newText = event.text.slice(deliveredText.length - event.offset);
+    if (newText === '') {
       return;
     }
-    pending.received += fresh;
-    pending.listener({ type: 'piece', offset: received.length, text: fresh });
+    pending.deliveredText += newText;
+    pending.listener({ type: 'piece', offset: deliveredText.length, text: newText });
   }
 
   private receiveAnswer(
     pending: PendingCall,
     event: Extract<CallEvent, { type: 'answered' }>,
   ): void {
-    const { received } = pending;
+    const { deliveredText } = pending;
     const { text, call } = event.answer;
-    if (!text.startsWith(received)) {
+    if (!text.startsWith(deliveredText)) {
       const detail = `The stream broke; the whole answer is at /v1/calls/${call}.`;
       this.finish(pending, {
         type: 'failed',
@@ -276,9 +278,9 @@
       });
       return;
     }
-    const rest = text.slice(received.length);
-    if (pending.streaming && rest !== '') {
-      pending.listener({ type: 'piece', offset: received.length, text: rest });
+    const remainingText = text.slice(deliveredText.length);
+    if (pending.streaming && remainingText !== '') {
+      pending.listener({ type: 'piece', offset: deliveredText.length, text: remainingText });
     }
     this.finish(pending, event);
   }
@@ -288,7 +290,7 @@
     pending.listener(event);
   }
 
-  private passDeadline(pending: PendingCall): void {
+  private failOnDeadline(pending: PendingCall): void {
     // The owner may have run it; only the owner could say that it did not.
     const detail = 'The call was not answered in time; ask again with the same sequence or key.';
     const error: CallError = { ...mayHaveRun('DeadlinePassed', detail), retryAfterSeconds: 1 };
@@ -310,11 +312,11 @@
  * A refusal proves that a call did not run only when no other copy of it can still be on its way:
  * one that was sent twice may be taken by the owner that hears of it last.
  */
-function withCertainty(
+function adjustVerdict(
   pending: PendingCall,
   event: Extract<CallEvent, { type: 'failed' }>,
 ): CallEvent {
-  if (event.error.verdict !== 'NotRun' || pending.openSends <= 1) {
+  if (event.error.verdict !== 'NotRun' || pending.outstandingSends <= 1) {
     return event;
   }
   return { type: 'failed', error: { ...event.error, verdict: 'MayHaveRun' } };
@@ -322,7 +324,7 @@
 
 function unavailableResult(action: ProgramAction): ProgramResult {
   const detail = 'The program has no reachable owner at the moment.';
-  const reads = action === 'describe' || action === 'history' || action === 'findCall';
-  const error = reads ? notRun('Unavailable', detail, 2) : mayHaveRun('Unavailable', detail);
+  const isReadOnly = action === 'describe' || action === 'history' || action === 'findCall';
+  const error = isReadOnly ? notRun('Unavailable', detail, 2) : mayHaveRun('Unavailable', detail);
   return { status: 503, body: JSON.stringify({ error }) };
 }
--- a/src/gateway/http-body.ts
+++ b/src/gateway/http-body.ts
@@ -19,17 +19,17 @@
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let length = 0;
-    const keep = (chunk: Buffer): void => {
+    const onData = (chunk: Buffer): void => {
       length += chunk.length;
       if (length > MAXIMUM_BODY_BYTES) {
-        request.off('data', keep);
+        request.off('data', onData);
         request.resume();
         resolve(E.left(tooLarge()));
         return;
       }
       chunks.push(chunk);
     };
-    request.on('data', keep);
+    request.on('data', onData);
     request.once('end', () => resolve(E.right(Buffer.concat(chunks).toString('utf8'))));
     request.once('error', () => resolve(E.left(notRun('Malformed', 'The body broke off.'))));
   });
--- a/src/gateway/http-front.ts
+++ b/src/gateway/http-front.ts
@@ -14,7 +14,7 @@
 import { runStatement } from '../language/run-statement.js';
 import { renderMetrics } from '../telemetry/metrics.js';
 import { authenticate, requireRole } from './authentication.js';
-import { nameCall, shardOfCallName } from './call-name.js';
+import { createCallId, shardOfCallId } from './call-id.js';
 import { parseChat, parseToolCall } from './call-parsing.js';
 import type { ParsedCall, ParsingContext } from './call-parsing.js';
 import { sendChatAnswer, sendToolAnswer, streamChat } from './chat-answer.js';
@@ -25,13 +25,13 @@
 /** Most bytes of a request's headers. */
 const MAXIMUM_HEADER_BYTES = 16 * 1024;
 /** Time a client may take to send its headers, in milliseconds. */
-const HEADERS_MILLISECONDS = 10_000;
+const HEADERS_TIMEOUT_MILLISECONDS = 10_000;
 /** Time a client may take to send its whole request, in milliseconds. */
-const REQUEST_MILLISECONDS = 60_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 60_000;
 /** Most connections at a time. */
 const MAXIMUM_CONNECTIONS = 20_000;
 /** Time between closings of idle connections while the front drains, in milliseconds. */
-const IDLE_CLOSE_MILLISECONDS = 100;
+const IDLE_CLOSE_INTERVAL_MILLISECONDS = 100;
 /** Bytes of randomness in a name made here. */
 const NAME_BYTES = 12;
 const FIRST_ERROR_STATUS = 400;
@@ -62,8 +62,8 @@
     this.server = createServer({ maxHeaderSize: MAXIMUM_HEADER_BYTES }, (request, response) => {
       this.serve(request, response).catch((cause: unknown) => this.fail(response, cause));
     });
-    this.server.headersTimeout = HEADERS_MILLISECONDS;
-    this.server.requestTimeout = REQUEST_MILLISECONDS;
+    this.server.headersTimeout = HEADERS_TIMEOUT_MILLISECONDS;
+    this.server.requestTimeout = REQUEST_TIMEOUT_MILLISECONDS;
     this.server.maxConnections = MAXIMUM_CONNECTIONS;
   }
 
@@ -76,7 +76,7 @@
   drain(done: () => void): void {
     const { runtime } = this.node.options;
     // A connection becomes idle only when its answer is out, so this is done again and again.
-    const cancel = setRepeatingTimer(runtime, IDLE_CLOSE_MILLISECONDS, () =>
+    const cancel = setRepeatingTimer(runtime, IDLE_CLOSE_INTERVAL_MILLISECONDS, () =>
       this.server.closeIdleConnections(),
     );
     this.server.close(() => {
@@ -143,13 +143,13 @@
     const [version, kind, name, action] = path;
     const route = `${request.method} /${version ?? ''}/${kind ?? ''}`;
     if (route === 'POST /v1/chat' && name === 'completions') {
-      return this.chat(exchange);
+      return this.completeChat(exchange);
     }
     if (route === 'POST /v1/services' && name !== undefined && action === 'calls') {
       return this.callTool(exchange, name);
     }
     if (route === 'POST /v1/operator' && name === 'statements') {
-      return this.operate(exchange);
+      return this.runOperatorStatement(exchange);
     }
     if (route === 'POST /v1/programs') {
       return this.openProgram(exchange);
@@ -173,11 +173,11 @@
       configuration: this.node.configuration.current,
       headers: exchange.request.headers,
       newName,
-      nameCall: (program) => nameCall(this.node.options.map, program, newName()),
+      createCallId: (program) => createCallId(this.node.options.map, program, newName()),
     };
   }
 
-  private async chat(exchange: Exchange): Promise<void> {
+  private async completeChat(exchange: Exchange): Promise<void> {
     const body = await readJsonBody(exchange.request);
     const parsed = pipe(
       requireRole(exchange.key, ['caller']),
@@ -253,7 +253,7 @@
   private lookUpCall(exchange: Exchange): void {
     const { request, response, path, key } = exchange;
     const call = path[2] ?? '';
-    const shard = shardOfCallName(this.node.options.map, call);
+    const shard = shardOfCallId(this.node.options.map, call);
     request.resume();
     if (shard === undefined) {
       sendProblem(response, notRun('NotFound', `${call} is not the name of a call.`));
@@ -271,7 +271,7 @@
     sendJson(response, 200, { object: 'list', data });
   }
 
-  private async operate(exchange: Exchange): Promise<void> {
+  private async runOperatorStatement(exchange: Exchange): Promise<void> {
     const { response, key } = exchange;
     const body = await readJsonBody(exchange.request);
     const statement = E.isRight(body) ? (body.right as { statement?: unknown })?.statement : '';
@@ -308,8 +308,8 @@
 }
 
 function sendProgramResult(response: ServerResponse, result: ProgramResult): void {
-  const refused = result.status >= FIRST_ERROR_STATUS;
-  const { error } = refused ? (JSON.parse(result.body) as { error?: CallError }) : {};
+  const isError = result.status >= FIRST_ERROR_STATUS;
+  const { error } = isError ? (JSON.parse(result.body) as { error?: CallError }) : {};
   if (error !== undefined) {
     sendProblem(response, error);
   } else {
--- a/src/histories/history-caller.ts
+++ b/src/histories/history-caller.ts
@@ -111,7 +111,7 @@
       () => {
         this.watchConnection(node, call, answering, broken);
         // A leaving node has closed its listening socket after a while.
-        if (cluster.node(node)?.takesConnections === false) {
+        if (cluster.node(node)?.acceptsConnections === false) {
           settle({ type: 'failed', error: refusedConnection() });
           return;
         }
--- a/src/node/daemon.ts
+++ b/src/node/daemon.ts
@@ -62,7 +62,7 @@
 }
 
 /** Listens for nodes and then for callers; resolves with the callers' port. */
-async function openDoors(
+async function startListeners(
   transport: TcpTransport,
   front: HttpFront,
   settings: Settings,
@@ -102,7 +102,7 @@
     createPolicy: () => createPolicy(policy),
   });
   const front = new HttpFront(node);
-  const httpPort = await openDoors(transport, front, settings);
+  const httpPort = await startListeners(transport, front, settings);
   node.start();
   runtime.log('info', 'listening', { httpPort });
   let closed = false;
@@ -122,7 +122,7 @@
         done();
         return;
       }
-      node.beginLeaving(() => front.drain(() => node.awaitQuiet(() => closeAll(done))));
+      node.beginLeaving(() => front.drain(() => node.awaitIdle(() => closeAll(done))));
     },
     abort: () => {
       front.close();
--- a/src/node/node-options.ts
+++ b/src/node/node-options.ts
@@ -17,7 +17,7 @@
   /** Storage of one replica. */
   replica(shard: ShardId): ReplicaStorage;
   readonly configuration?: ConfigurationStore;
-  readonly keptConfiguration?: { readonly revision: number; readonly documents: string };
+  readonly storedConfiguration?: { readonly revision: number; readonly documents: string };
 }
 
 /** Everything a node needs from outside. */
--- a/src/node/node-rows.ts
+++ b/src/node/node-rows.ts
@@ -13,13 +13,13 @@
   'holds',
 ] as const;
 
-function ledRoles(node: IvyloomNode): ShardRoles[] {
+function listLedShards(node: IvyloomNode): ShardRoles[] {
   return node.listShards().filter((roles) => roles.host.canServe());
 }
 
 function listCalls(node: IvyloomNode): Row[] {
   const now = node.options.runtime.now();
-  return ledRoles(node).flatMap((roles) =>
+  return listLedShards(node).flatMap((roles) =>
     roles.owner.listLiveCalls().map((call) => ({
       call: call.request.call,
       program: call.request.program,
@@ -38,7 +38,7 @@
 
 function listPrograms(node: IvyloomNode): Row[] {
   const now = node.options.runtime.wallTime();
-  return ledRoles(node).flatMap((roles) =>
+  return listLedShards(node).flatMap((roles) =>
     [...roles.host.state.programs.values()].map((program) => ({
       program: program.program,
       group: program.group,
@@ -54,7 +54,7 @@
 }
 
 function listEngines(node: IvyloomNode): Row[] {
-  return ledRoles(node).flatMap((roles) =>
+  return listLedShards(node).flatMap((roles) =>
     roles.listSchedulers().flatMap((scheduler) =>
       scheduler.listEngines().map((row) => ({
         engine: row.engine,
@@ -94,7 +94,7 @@
     let reserved = 0;
     let granted = 0;
     let running = 0;
-    for (const roles of ledRoles(node)) {
+    for (const roles of listLedShards(node)) {
       const slice = roles.host.state.slices.get(group.name);
       spent += slice?.spent ?? 0;
       reserved += slice?.reserved ?? 0;
@@ -110,7 +110,7 @@
 }
 
 function listHolds(node: IvyloomNode): Row[] {
-  return ledRoles(node).flatMap((roles) =>
+  return listLedShards(node).flatMap((roles) =>
     roles.listSchedulers().flatMap((scheduler) => scheduler.listHolds()),
   );
 }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -4,11 +4,11 @@
 import { ConfigurationWriter } from '../configuration/configuration-writer.js';
 import type { ClusterConfiguration } from '../configuration/documents.js';
 import { PoolClient } from '../dispatch/pool-client.js';
-import { Gateway, PROBE_MILLISECONDS } from '../gateway/gateway.js';
+import { Gateway, PROBE_INTERVAL_MILLISECONDS } from '../gateway/gateway.js';
 import { answerProgramRequest } from '../program/program-requests.js';
 import { LeaderDirectory } from '../replication/leader-directory.js';
 import { shardOfProgram } from '../replication/shard-map.js';
-import { HEARTBEAT_MILLISECONDS } from '../replication/raft-replica.js';
+import { HEARTBEAT_INTERVAL_MILLISECONDS } from '../replication/raft-replica.js';
 import { setRepeatingTimer } from '../runtime/runtime.js';
 import type { CancelTimer } from '../runtime/runtime.js';
 import type {
@@ -30,21 +30,21 @@
 import { ShardRoles } from './shard-roles.js';
 
 /** Time between ticks of the replicas, in milliseconds. */
-const REPLICA_TICK_MILLISECONDS = HEARTBEAT_MILLISECONDS / 3;
+const REPLICA_TICK_INTERVAL_MILLISECONDS = HEARTBEAT_INTERVAL_MILLISECONDS / 3;
 /** Time between ticks of the leader's roles, in milliseconds. */
-const ROLE_TICK_MILLISECONDS = 250;
+const ROLE_TICK_INTERVAL_MILLISECONDS = 250;
 /** Time between whole reports of an owner to the pools, in milliseconds. */
-const REPORT_MILLISECONDS = 1_000;
+const REPORT_INTERVAL_MILLISECONDS = 1_000;
 /** Time a planned stop waits for calls whose callers are connected here, in milliseconds. */
-export const STOP_PATIENCE_MILLISECONDS = 60_000;
+export const STOP_TIMEOUT_MILLISECONDS = 60_000;
 /** Time for which a leaving node still takes connections, in milliseconds. */
 const LEAVING_GRACE_MILLISECONDS = 500;
 /** Time left at the end of it for connections that wait to be taken, in milliseconds. */
-const LAST_CONNECTIONS_MILLISECONDS = 20;
+const PENDING_ACCEPT_MILLISECONDS = 20;
 /** Time between sweeps of left programs and early calls, in milliseconds. */
-const SWEEP_MILLISECONDS = 1_000;
+const SWEEP_INTERVAL_MILLISECONDS = 1_000;
 /** Nodes that read the key-value service themselves; the rest hear from peers. */
-const SERVICE_READERS = 3;
+const KEY_VALUE_READER_COUNT = 3;
 
 /** See the head of this file. */
 export class IvyloomNode {
@@ -57,7 +57,7 @@
   private readonly pools: PoolClient;
   private readonly timers: CancelTimer[] = [];
   private leaving = false;
-  private doorsClosed = false;
+  private refusesConnections = false;
 
   constructor(readonly options: NodeOptions) {
     const { self, map, runtime, keyValue } = options;
@@ -71,7 +71,7 @@
       self,
       peers: () => options.nodes.map((node) => node.node),
       send,
-      listOwn: (table) => listRows(this, table),
+      listLocalRows: (table) => listRows(this, table),
     });
     this.configuration = new ConfigurationFollower({
       self,
@@ -81,7 +81,7 @@
       peers: () => options.nodes.map((node) => node.node),
       send,
       ...(options.storage.configuration ? { store: options.storage.configuration } : {}),
-      onChange: (configuration) => this.noteConfiguration(configuration),
+      onChange: (configuration) => this.onConfigurationChange(configuration),
     });
     map.voters.forEach((voters, shard) => {
       if (voters.includes(self)) {
@@ -108,70 +108,70 @@
   /** Begins to work. */
   start(): void {
     const { runtime, storage } = this.options;
-    this.configuration.start(storage.keptConfiguration);
-    this.every(REPLICA_TICK_MILLISECONDS, () => {
+    this.configuration.start(storage.storedConfiguration);
+    this.every(REPLICA_TICK_INTERVAL_MILLISECONDS, () => {
       this.shards.forEach((roles) => roles.host.tick());
     });
-    this.every(ROLE_TICK_MILLISECONDS, () => {
+    this.every(ROLE_TICK_INTERVAL_MILLISECONDS, () => {
       this.shards.forEach((roles) => roles.tickRoles());
     });
-    this.every(REPORT_MILLISECONDS, () => this.report());
-    this.every(SWEEP_MILLISECONDS, () => this.shards.forEach((roles) => roles.sweep()));
-    this.every(PROBE_MILLISECONDS, () => this.gateway.probe());
+    this.every(REPORT_INTERVAL_MILLISECONDS, () => this.report());
+    this.every(SWEEP_INTERVAL_MILLISECONDS, () => this.shards.forEach((roles) => roles.sweep()));
+    this.every(PROBE_INTERVAL_MILLISECONDS, () => this.gateway.probe());
     runtime.log('info', 'node started', { node: this.options.self, zone: this.options.zone });
   }
 
   /** False once a planned stop has closed the doors: new connections are refused. */
-  get takesConnections(): boolean {
-    return !this.doorsClosed;
+  get acceptsConnections(): boolean {
+    return !this.refusesConnections;
   }
 
   /**
    * First part of a planned stop: leadership goes to other nodes. Connections that callers have
    * made before they could know are still served for a moment; then the doors close.
    */
-  beginLeaving(closeDoors: () => void): void {
+  beginLeaving(stopAccepting: () => void): void {
     if (this.leaving) {
       return;
     }
     this.leaving = true;
-    this.handLeadershipOver();
-    this.every(ROLE_TICK_MILLISECONDS, () => this.handLeadershipOver());
+    this.transferAllLeaderships();
+    this.every(ROLE_TICK_INTERVAL_MILLISECONDS, () => this.transferAllLeaderships());
     const { runtime } = this.options;
     const close = (): void => {
-      this.doorsClosed = true;
-      closeDoors();
+      this.refusesConnections = true;
+      stopAccepting();
     };
     // A process that stood still finds its timers due before the connections made meanwhile: those
     // are taken in between the two timers.
     runtime.setTimer(LEAVING_GRACE_MILLISECONDS, () =>
-      runtime.setTimer(LAST_CONNECTIONS_MILLISECONDS, close),
+      runtime.setTimer(PENDING_ACCEPT_MILLISECONDS, close),
     );
   }
 
   /** Planned stop: calls back when this node leads nothing and relays no call any more. */
   leave(done: () => void): void {
-    this.beginLeaving(() => this.awaitQuiet(done));
+    this.beginLeaving(() => this.awaitIdle(done));
   }
 
   /** Last part of a planned stop, after the doors are closed. */
-  awaitQuiet(done: () => void): void {
+  awaitIdle(done: () => void): void {
     const { runtime } = this.options;
     const started = runtime.now();
     const check = (): void => {
       const leads = this.listShards().some((roles) => roles.host.role === 'leader');
-      const late = runtime.now() - started > STOP_PATIENCE_MILLISECONDS;
-      if ((!leads && this.gateway.pendingCount === 0) || late) {
+      const timedOut = runtime.now() - started > STOP_TIMEOUT_MILLISECONDS;
+      if ((!leads && this.gateway.pendingCount === 0) || timedOut) {
         this.stop();
         done();
         return;
       }
-      runtime.setTimer(ROLE_TICK_MILLISECONDS, check);
+      runtime.setTimer(ROLE_TICK_INTERVAL_MILLISECONDS, check);
     };
     check();
   }
 
-  private handLeadershipOver(): void {
+  private transferAllLeaderships(): void {
     for (const roles of this.shards.values()) {
       roles.host.transferLeadership();
     }
@@ -195,7 +195,7 @@
       case 'timeoutNow':
         return this.receiveReplication(from, message);
       case 'submitCall':
-        return this.withLeader(from, message.shard, message.request.call, (roles) =>
+        return this.runAsLeader(from, message.shard, message.request.call, (roles) =>
           roles.owner.submit(from, message.request),
         );
       case 'callEvent':
@@ -245,11 +245,11 @@
       case 'holdCheck':
         return this.receiveHoldCheck(from, message);
       case 'sliceRequest':
-        return this.withLeader(from, message.ledgerShard, '', (roles) =>
+        return this.runAsLeader(from, message.ledgerShard, '', (roles) =>
           roles.ledger.receiveRequest(from, message),
         );
       case 'sliceReturn':
-        return this.withLeader(from, message.ledgerShard, '', (roles) =>
+        return this.runAsLeader(from, message.ledgerShard, '', (roles) =>
           roles.ledger.receiveReturn(from, message),
         );
       case 'sliceReply':
@@ -284,14 +284,14 @@
   }
 
   private readsService(): boolean {
-    const readers = this.options.nodes.map((node) => node.node).sort();
-    return readers.slice(0, SERVICE_READERS).includes(this.options.self);
+    const nodeNames = this.options.nodes.map((node) => node.node).sort();
+    return nodeNames.slice(0, KEY_VALUE_READER_COUNT).includes(this.options.self);
   }
 
-  private noteConfiguration(configuration: ClusterConfiguration): void {
+  private onConfigurationChange(configuration: ClusterConfiguration): void {
     const { revision } = configuration;
     this.options.runtime.log('info', 'configuration in force', { revision });
-    this.shards.forEach((roles) => roles.followConfiguration());
+    this.shards.forEach((roles) => roles.applyConfiguration());
   }
 
   private report(): void {
@@ -306,8 +306,12 @@
       const shard = shardOfProgram(this.options.map, program);
       byShard.set(shard, [...(byShard.get(shard) ?? []), program]);
     }
-    for (const [shard, group] of byShard) {
-      this.send(this.leaders.targetOf(shard), { type: 'holdCheck', shard, programs: group });
+    for (const [shard, shardPrograms] of byShard) {
+      this.send(this.leaders.targetOf(shard), {
+        type: 'holdCheck',
+        shard,
+        programs: shardPrograms,
+      });
     }
   }
 
@@ -319,7 +323,7 @@
     }
   }
 
-  private withLeader(
+  private runAsLeader(
     from: NodeId,
     shard: ShardId,
     call: string,
@@ -356,7 +360,7 @@
   }
 
   private receiveProgramRequest(from: NodeId, message: ProgramRequest): void {
-    this.withLeader(from, message.shard, message.call, (roles) => {
+    this.runAsLeader(from, message.shard, message.call, (roles) => {
       const { runtime } = this.options;
       answerProgramRequest(roles.host, roles.owner, runtime, message, ({ status, body }) => {
         this.send(from, { type: 'programReply', call: message.call, status, body });
@@ -365,7 +369,7 @@
   }
 
   private receivePoolReport(from: NodeId, message: PoolReport): void {
-    this.withLeader(from, message.shard, '', (roles) => {
+    this.runAsLeader(from, message.shard, '', (roles) => {
       roles.schedulerOf(message.service)?.receiveReport(from, message);
       if (message.complete) {
         this.send(from, { type: 'poolAcknowledgement', shard: message.shard });
@@ -399,7 +403,7 @@
   }
 
   private receiveHoldCheck(from: NodeId, message: HoldCheck): void {
-    this.withLeader(from, message.shard, '', (roles) => {
+    this.runAsLeader(from, message.shard, '', (roles) => {
       for (const program of message.programs) {
         const record = roles.host.state.programs.get(program);
         if (record === undefined || record.end !== undefined) {
--- a/src/node/row-collector.ts
+++ b/src/node/row-collector.ts
@@ -23,7 +23,7 @@
   readonly self: NodeId;
   readonly peers: () => readonly NodeId[];
   readonly send: (to: NodeId, message: Message) => void;
-  readonly listOwn: (table: string) => Row[];
+  readonly listLocalRows: (table: string) => Row[];
 }
 
 interface Collection {
@@ -41,11 +41,11 @@
 
   /** Collects a table from all nodes. */
   collect(table: string, listener: (result: CollectedRows) => void): void {
-    const { runtime, self, peers, send, listOwn } = this.options;
+    const { runtime, self, peers, send, listLocalRows } = this.options;
     this.queryCount += 1;
     const query = `${self}:${this.queryCount}`;
     const others = peers().filter((peer) => peer !== self);
-    const rows = listOwn(table);
+    const rows = listLocalRows(table);
     const missing = new Set(others);
     const finish = (): void => {
       if (this.collections.delete(query)) {
@@ -63,7 +63,7 @@
 
   /** Answers another node's collection. */
   receiveRequest(from: NodeId, message: RowsRequest): void {
-    const rows = JSON.stringify(this.options.listOwn(message.table));
+    const rows = JSON.stringify(this.options.listLocalRows(message.table));
     this.options.send(from, { type: 'rowsReply', query: message.query, rows });
   }
 
--- a/src/node/shard-roles.ts
+++ b/src/node/shard-roles.ts
@@ -14,7 +14,7 @@
 import type { NodeOptions } from './node-options.js';
 
 /** Empty reports sent to a pool before a shard falls silent there. */
-const QUIET_REPORTS = 5;
+const MAXIMUM_EMPTY_REPORTS = 5;
 
 /** What the roles of a shard share with their node. */
 export interface ShardRolesContext {
@@ -33,7 +33,7 @@
   readonly owner: ShardOwner;
   readonly slices: SliceClient;
   readonly ledger: Ledger;
-  private readonly quietReports = new Map<ServiceName, number>();
+  private readonly emptyReportCounts = new Map<ServiceName, number>();
   private readonly schedulers = new Map<ServiceName, PoolScheduler>();
 
   constructor(private readonly context: ShardRolesContext) {
@@ -67,9 +67,9 @@
   /** The scheduler of a service's pool, made when first needed; only while this node leads. */
   schedulerOf(service: ServiceName): PoolScheduler | undefined {
     const { options, shard, configuration, send, checkHolds } = this.context;
-    const known = this.schedulers.get(service);
-    if (known !== undefined || !this.host.canServe()) {
-      return known;
+    const existing = this.schedulers.get(service);
+    if (existing !== undefined || !this.host.canServe()) {
+      return existing;
     }
     if (shardOfPool(options.map, service) !== shard || !configuration().services.has(service)) {
       return undefined;
@@ -105,16 +105,19 @@
     const content: PoolCalls = { waiting: [], running: [] };
     this.owner.addToReport(service, content);
     const empty = content.waiting.length === 0 && content.running.length === 0;
-    const silent = empty && this.quietReports.get(service) === QUIET_REPORTS;
+    const isSuppressed = empty && this.emptyReportCounts.get(service) === MAXIMUM_EMPTY_REPORTS;
     // A few empty reports tell that nothing is left; more would only be traffic.
-    this.quietReports.set(service, empty ? Math.min(QUIET_REPORTS, this.quietOf(service) + 1) : 0);
-    if (!silent) {
+    this.emptyReportCounts.set(
+      service,
+      empty ? Math.min(MAXIMUM_EMPTY_REPORTS, this.emptyReportCountOf(service) + 1) : 0,
+    );
+    if (!isSuppressed) {
       this.context.pools.reportAll(service, this.host.shard, content);
     }
   }
 
   /** Takes up a new configuration without waiting for the next tick. */
-  followConfiguration(): void {
+  applyConfiguration(): void {
     this.schedulers.forEach((scheduler) => scheduler.tick());
   }
 
@@ -136,8 +139,8 @@
     }
   }
 
-  private quietOf(service: ServiceName): number {
-    return this.quietReports.get(service) ?? 0;
+  private emptyReportCountOf(service: ServiceName): number {
+    return this.emptyReportCounts.get(service) ?? 0;
   }
 
   private allServices(): ServiceName[] {
@@ -159,7 +162,7 @@
       this.owner.stopLeading();
       this.slices.reset();
       this.schedulers.clear();
-      this.quietReports.clear();
+      this.emptyReportCounts.clear();
     }
   }
 }
--- a/src/peers/load-message.ts
+++ b/src/peers/load-message.ts
@@ -1,14 +1,14 @@
 /** The datagram in which gateways report their load and what they know of the store. */
 import * as r from 'restructure';
 import {
-  count,
+  uint32,
   encodeField,
-  flag,
+  bool,
   listOf,
   oneOf,
-  real,
+  float64,
   record,
-  shortCount,
+  uint16,
   shortText,
 } from '../wire/fields.js';
 import { decodeSections, encodeSections } from '../wire/sections.js';
@@ -76,25 +76,25 @@
 /** Largest proof age that fits a message, in milliseconds; older proofs are left out. */
 export const MAXIMUM_PROOF_AGE_MILLISECONDS = 0xffff;
 
-const load = record({ runnerHash: count, inFlight: shortCount });
-const place = record({ runnerHash: count, part: count, tokens: count });
-const peer = record({ host: shortText, zoneHash: count });
+const load = record({ runnerHash: uint32, inFlight: uint16 });
+const place = record({ runnerHash: uint32, part: uint32, tokens: uint32 });
+const peer = record({ host: shortText, zoneHash: uint32 });
 const message = record({
-  sequence: count,
-  life: count,
+  sequence: uint32,
+  life: uint32,
   scope: oneOf(LOAD_SCOPES),
-  zoneHash: count,
-  gateways: shortCount,
+  zoneHash: uint32,
+  gateways: uint16,
   loads: listOf(load),
   peers: listOf(peer),
-  revision: real,
+  revision: float64,
   places: listOf(place),
-  reachesReplicas: flag,
+  reachesReplicas: bool,
   proof: record({
-    life: count,
-    number: count,
-    revision: real,
-    ageMilliseconds: shortCount,
+    life: uint32,
+    number: uint32,
+    revision: float64,
+    ageMilliseconds: uint16,
   }),
 });
 
--- a/src/peers/proof-exchange.ts
+++ b/src/peers/proof-exchange.ts
@@ -8,8 +8,8 @@
 import type { ConfigurationProof } from '../mirror/configuration-proof.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import { setRepeatingTimer } from '../runtime/runtime.js';
-import { count, encodeField, real, TaggedUnion } from '../wire/fields.js';
-import { decodeGrown } from '../wire/sections.js';
+import { uint32, encodeField, float64, TaggedUnion } from '../wire/fields.js';
+import { decodeExtended } from '../wire/sections.js';
 import type { DatagramPort } from './datagram-port.js';
 
 /** A question; the answer echoes the asker's life and local time. */
@@ -30,10 +30,10 @@
 }
 
 const message = new TaggedUnion([
-  { type: 'question', fields: { life: count, askedAt: real } },
+  { type: 'question', fields: { life: uint32, askedAt: float64 } },
   {
     type: 'answer',
-    fields: { life: count, askedAt: real, revision: real, ageMilliseconds: real },
+    fields: { life: uint32, askedAt: float64, revision: float64, ageMilliseconds: float64 },
   },
 ]);
 
@@ -118,7 +118,7 @@
 /** Decodes a message and ignores sections behind it; returns undefined for malformed input. */
 function decode(bytes: Uint8Array): ProofQuestion | ProofAnswer | undefined {
   try {
-    const decoded = decodeGrown(message, bytes).value as ProofQuestion | ProofAnswer;
+    const decoded = decodeExtended(message, bytes).value as ProofQuestion | ProofAnswer;
     const numbers = Object.values(decoded).filter((value) => typeof value === 'number');
     return numbers.every(Number.isFinite) ? decoded : undefined;
   } catch {
--- a/src/replication/leader-directory.ts
+++ b/src/replication/leader-directory.ts
@@ -5,7 +5,7 @@
 /** Leader guesses of one node. */
 export class LeaderDirectory {
   private readonly hints = new Map<ShardId, NodeId>();
-  private readonly tries = new Map<ShardId, number>();
+  private readonly attempts = new Map<ShardId, number>();
 
   constructor(private readonly map: ShardMap) {}
 
@@ -16,7 +16,7 @@
       return hint;
     }
     const voters = this.map.voters[shard] ?? [];
-    return voters[(this.tries.get(shard) ?? 0) % Math.max(1, voters.length)] ?? '';
+    return voters[(this.attempts.get(shard) ?? 0) % Math.max(1, voters.length)] ?? '';
   }
 
   /** Takes a hint from a node that does not lead; an empty one tells only that it does not. */
@@ -34,7 +34,7 @@
       return;
     }
     this.hints.delete(shard);
-    this.tries.set(shard, (this.tries.get(shard) ?? 0) + 1);
+    this.attempts.set(shard, (this.attempts.get(shard) ?? 0) + 1);
   }
 
   /** Notes a node that has acted as the leader. */
--- a/src/replication/level-storage.ts
+++ b/src/replication/level-storage.ts
@@ -27,7 +27,7 @@
   readonly lastIndex: number;
 }
 
-interface ReplicaBook {
+interface StoredReplicaState {
   meta: ReplicaMeta;
   snapshotIndex: number;
   lastIndex: number;
@@ -53,13 +53,13 @@
 }
 
 /** An entry with its checksum, as stored. */
-function sealEntry(entry: LogEntry): string {
+function encodeStoredEntry(entry: LogEntry): string {
   const text = Buffer.from(encodeEntry(entry)).toString('base64');
   return hashText(text) + text;
 }
 
 /** The entry of a stored value; undefined when it is damaged. */
-function openEntry(value: string): LogEntry | undefined {
+function decodeStoredEntry(value: string): LogEntry | undefined {
   const text = value.slice(CHECKSUM_DIGITS);
   if (hashText(text) !== value.slice(0, CHECKSUM_DIGITS)) {
     return undefined;
@@ -80,8 +80,8 @@
 
 /** See the head of this file. */
 export class LevelStorage implements NodeStorage {
-  keptConfiguration?: { readonly revision: number; readonly documents: string };
-  private readonly books = new Map<ShardId, ReplicaBook>();
+  storedConfiguration?: { readonly revision: number; readonly documents: string };
+  private readonly replicaStates = new Map<ShardId, StoredReplicaState>();
   private readonly loaded = new Map<ShardId, PersistedReplica>();
   private queue: PendingWrite[] = [];
   private writing = false;
@@ -107,9 +107,12 @@
         tornShards.push(shard);
       }
     }
-    const kept = await database.get(CONFIGURATION_KEY);
-    if (kept !== undefined) {
-      storage.keptConfiguration = JSON.parse(kept) as { revision: number; documents: string };
+    const configurationText = await database.get(CONFIGURATION_KEY);
+    if (configurationText !== undefined) {
+      storage.storedConfiguration = JSON.parse(configurationText) as {
+        revision: number;
+        documents: string;
+      };
     }
     return { storage, tornShards };
   }
@@ -136,36 +139,36 @@
     await this.database.close();
   }
 
-  private bookOf(shard: ShardId): ReplicaBook {
-    let book = this.books.get(shard);
-    if (book === undefined) {
-      book = { meta: { term: 0, votedFor: '', lastIndex: 0 }, snapshotIndex: 0, lastIndex: 0 };
-      this.books.set(shard, book);
+  private replicaStateOf(shard: ShardId): StoredReplicaState {
+    let state = this.replicaStates.get(shard);
+    if (state === undefined) {
+      state = { meta: { term: 0, votedFor: '', lastIndex: 0 }, snapshotIndex: 0, lastIndex: 0 };
+      this.replicaStates.set(shard, state);
     }
-    return book;
+    return state;
   }
 
   private operationsOf(shard: ShardId, change: PersistChange): Operation[] {
-    const book = this.bookOf(shard);
+    const state = this.replicaStateOf(shard);
     const operations: Operation[] = [];
     if (change.append !== undefined) {
       const { fromIndex, entries } = change.append;
       entries.forEach((entry, offset) => {
         const key = entryKey(shard, fromIndex + offset);
-        operations.push({ type: 'put', key, value: sealEntry(entry) });
+        operations.push({ type: 'put', key, value: encodeStoredEntry(entry) });
       });
       const lastIndex = fromIndex + entries.length - 1;
-      for (let index = lastIndex + 1; index <= book.lastIndex; index += 1) {
+      for (let index = lastIndex + 1; index <= state.lastIndex; index += 1) {
         operations.push({ type: 'del', key: entryKey(shard, index) });
       }
-      book.lastIndex = lastIndex;
+      state.lastIndex = lastIndex;
     }
     if (change.snapshot !== undefined) {
-      this.addSnapshot(shard, book, change.snapshot, operations);
+      this.addSnapshot(shard, state, change.snapshot, operations);
     }
     if (operations.length > 0 || change.vote !== undefined) {
-      book.meta = { ...book.meta, ...change.vote, lastIndex: book.lastIndex };
-      const value = JSON.stringify(book.meta);
+      state.meta = { ...state.meta, ...change.vote, lastIndex: state.lastIndex };
+      const value = JSON.stringify(state.meta);
       operations.push({ type: 'put', key: metaKey(shard), value });
     }
     return operations;
@@ -173,17 +176,17 @@
 
   private addSnapshot(
     shard: ShardId,
-    book: ReplicaBook,
+    state: StoredReplicaState,
     snapshot: Snapshot,
     operations: Operation[],
   ): void {
     const value = JSON.stringify(snapshot);
     operations.push({ type: 'put', key: snapshotKey(shard), value });
-    for (let index = book.snapshotIndex + 1; index <= snapshot.lastIndex; index += 1) {
+    for (let index = state.snapshotIndex + 1; index <= snapshot.lastIndex; index += 1) {
       operations.push({ type: 'del', key: entryKey(shard, index) });
     }
-    book.snapshotIndex = snapshot.lastIndex;
-    book.lastIndex = Math.max(book.lastIndex, snapshot.lastIndex);
+    state.snapshotIndex = snapshot.lastIndex;
+    state.lastIndex = Math.max(state.lastIndex, snapshot.lastIndex);
   }
 
   private enqueue(operations: readonly Operation[], done: () => void): void {
@@ -236,9 +239,13 @@
     const entries = await this.readEntries(shard, snapshot.lastIndex);
     const lastIndex = snapshot.lastIndex + entries.length;
     const { term, votedFor } = meta;
-    const promise = lastIndex < meta.lastIndex ? { promisedIndex: meta.lastIndex } : {};
-    this.loaded.set(shard, { term, votedFor, snapshot, entries, ...promise });
-    this.books.set(shard, { meta, snapshotIndex: snapshot.lastIndex, lastIndex: meta.lastIndex });
+    const acknowledged = lastIndex < meta.lastIndex ? { acknowledgedIndex: meta.lastIndex } : {};
+    this.loaded.set(shard, { term, votedFor, snapshot, entries, ...acknowledged });
+    this.replicaStates.set(shard, {
+      meta,
+      snapshotIndex: snapshot.lastIndex,
+      lastIndex: meta.lastIndex,
+    });
     return lastIndex < meta.lastIndex;
   }
 
@@ -251,7 +258,7 @@
     };
     for await (const [key, value] of this.database.iterator(range)) {
       const expected = entryKey(shard, snapshotIndex + entries.length + 1);
-      const entry = key === expected ? openEntry(value) : undefined;
+      const entry = key === expected ? decodeStoredEntry(value) : undefined;
       if (entry === undefined) {
         break;
       }
--- a/src/replication/log-entry.ts
+++ b/src/replication/log-entry.ts
@@ -28,7 +28,7 @@
    * Newest index the replica has acknowledged, when its disk has lost the end of the log. Until it
    * has caught up it must not help to elect a leader: that could miss what was committed.
    */
-  readonly promisedIndex?: number;
+  readonly acknowledgedIndex?: number;
 }
 
 /** One change to a replica's persisted part; its parts take effect together. */
--- a/src/replication/proposals.ts
+++ b/src/replication/proposals.ts
@@ -33,8 +33,8 @@
     }
     this.byIndex.delete(index);
     // An entry of another term took the place of the one that was proposed.
-    const isOwn = proposal.term === term;
-    proposal.listener(isOwn ? { type: 'committed', outcome } : { type: 'unknown' });
+    const isSameTerm = proposal.term === term;
+    proposal.listener(isSameTerm ? { type: 'committed', outcome } : { type: 'unknown' });
   }
 
   /** Ends all proposals as unknown. */
--- a/src/replication/raft-replica.ts
+++ b/src/replication/raft-replica.ts
@@ -28,7 +28,7 @@
 /** Shortest time without a leader before an election, in milliseconds. */
 export const ELECTION_TIMEOUT_MILLISECONDS = 600;
 /** Time between heartbeats of a leader, in milliseconds. */
-export const HEARTBEAT_MILLISECONDS = 120;
+export const HEARTBEAT_INTERVAL_MILLISECONDS = 120;
 /** Part of the election timeout a lease lasts; the rest covers clocks running at unequal rates. */
 const LEASE_FRACTION = 0.8;
 
@@ -59,9 +59,9 @@
   private readonly applied: AppliedLog<Outcome>;
   private durableIndex: number;
   private leader: NodeId = '';
-  private lastHeardFromLeader: number;
+  private lastLeaderContactAt: number;
   private electionDeadline = 0;
-  private lastHeartbeat = 0;
+  private lastHeartbeatAt = 0;
   /** The election or poll under way; undefined when none is. */
   private ballot: Ballot | undefined;
   private progress: LeaderProgress;
@@ -71,8 +71,8 @@
   private serving = false;
   private transferring = false;
   private transferStartedAt = 0;
-  private promisedIndex: number;
-  private standing = true;
+  private acknowledgedIndex: number;
+  private candidacyEnabled = true;
   private stopped = false;
 
   constructor(private readonly options: RaftReplicaOptions<Outcome>) {
@@ -84,9 +84,9 @@
     this.log = new ReplicaLog(persisted.snapshot, persisted.entries);
     this.commitIndex = persisted.snapshot.lastIndex;
     this.durableIndex = this.log.lastIndex;
-    this.promisedIndex = persisted.promisedIndex ?? 0;
+    this.acknowledgedIndex = persisted.acknowledgedIndex ?? 0;
     // A restarted voter has forgotten whose lease it supports: it waits one timeout out.
-    this.lastHeardFromLeader = runtime.now();
+    this.lastLeaderContactAt = runtime.now();
     const { storage, stateMachine } = options;
     this.applied = new AppliedLog({ log: this.log, storage, stateMachine, pending: this.pending });
     this.resetElectionDeadline();
@@ -176,8 +176,8 @@
       // A second try would put off the time at which the first one is given up.
       return this.transferring;
     }
-    const recently = this.options.runtime.now() - ELECTION_TIMEOUT_MILLISECONDS;
-    const target = this.progress.mostAdvanced(recently);
+    const activeSince = this.options.runtime.now() - ELECTION_TIMEOUT_MILLISECONDS;
+    const target = this.progress.mostAdvanced(activeSince);
     if (target === undefined) {
       return false;
     }
@@ -193,8 +193,8 @@
   }
 
   /** From now on this replica votes and replicates but does not stand for election. */
-  standDown(): void {
-    this.standing = false;
+  disableCandidacy(): void {
+    this.candidacyEnabled = false;
   }
 
   /** Ends all activity; pending proposals end as unknown. */
@@ -204,12 +204,12 @@
   }
 
   /** False while the log ends before what this replica has acknowledged. */
-  private get mayElect(): boolean {
-    if (this.log.lastIndex >= this.promisedIndex) {
+  private get canTakePartInElections(): boolean {
+    if (this.log.lastIndex >= this.acknowledgedIndex) {
       // Caught up once, it may well be shortened again by a leader: nothing is lost by that.
-      this.promisedIndex = 0;
+      this.acknowledgedIndex = 0;
     }
-    return this.promisedIndex === 0;
+    return this.acknowledgedIndex === 0;
   }
 
   private get otherVoters(): NodeId[] {
@@ -217,8 +217,8 @@
   }
 
   private tickLeader(now: number): void {
-    if (now - this.lastHeartbeat >= HEARTBEAT_MILLISECONDS) {
-      this.lastHeartbeat = now;
+    if (now - this.lastHeartbeatAt >= HEARTBEAT_INTERVAL_MILLISECONDS) {
+      this.lastHeartbeatAt = now;
       this.broadcastAppend();
     }
     // A leader that no quorum answers steps down, so that its callers look elsewhere.
@@ -239,7 +239,11 @@
   }
 
   private startElection(preVote: boolean, transfer: boolean): void {
-    if (!this.standing || !this.mayElect || !this.voters.includes(this.options.self)) {
+    if (
+      !this.candidacyEnabled ||
+      !this.canTakePartInElections ||
+      !this.voters.includes(this.options.self)
+    ) {
       return;
     }
     this.resetElectionDeadline();
@@ -251,7 +255,7 @@
     }
     const term = preVote ? this.term + 1 : this.term;
     this.ballot = new Ballot(this.options.self, preVote, term);
-    const ask = (): void => {
+    const requestVotes = (): void => {
       if (this.stopped || this.role === 'leader' || (!preVote && this.term !== term)) {
         return;
       }
@@ -259,9 +263,9 @@
       this.countVotes();
     };
     if (preVote) {
-      ask();
+      requestVotes();
     } else {
-      this.persistVote(ask);
+      this.persistVote(requestVotes);
     }
   }
 
@@ -285,11 +289,11 @@
   }
 
   private receiveVoteRequest(from: NodeId, message: VoteRequest): void {
-    const supportsLeader =
-      this.options.runtime.now() - this.lastHeardFromLeader < ELECTION_TIMEOUT_MILLISECONDS;
-    const bound = this.role === 'leader' ? this.holdsLease() : supportsLeader;
+    const heardFromLeaderRecently =
+      this.options.runtime.now() - this.lastLeaderContactAt < ELECTION_TIMEOUT_MILLISECONDS;
+    const isLeaderProtected = this.role === 'leader' ? this.holdsLease() : heardFromLeaderRecently;
     // Supporting a lease means electing nobody else while it may still be in use.
-    if ((bound && !message.transfer) || !this.mayElect) {
+    if ((isLeaderProtected && !message.transfer) || !this.canTakePartInElections) {
       this.replyToVote(from, message, false);
       return;
     }
@@ -300,8 +304,8 @@
     if (message.term > this.term) {
       this.becomeFollower(message.term, '');
     }
-    const free = this.votedFor === '' || this.votedFor === from;
-    const granted = message.term === this.term && free && this.isUpToDate(message);
+    const canVote = this.votedFor === '' || this.votedFor === from;
+    const granted = message.term === this.term && canVote && this.isUpToDate(message);
     if (!granted) {
       this.replyToVote(from, message, false);
       return;
@@ -368,7 +372,7 @@
       now - ELECTION_TIMEOUT_MILLISECONDS,
     );
     this.firstIndexOfTerm = this.log.lastIndex + 1;
-    this.lastHeartbeat = now;
+    this.lastHeartbeatAt = now;
     this.appendAsLeader({ type: 'noop' }, () => undefined);
   }
 
@@ -484,7 +488,7 @@
     }
     this.leader = from;
     this.ballot = undefined;
-    this.lastHeardFromLeader = this.options.runtime.now();
+    this.lastLeaderContactAt = this.options.runtime.now();
     this.resetElectionDeadline();
     return true;
   }
--- a/src/replication/replica-log.ts
+++ b/src/replication/replica-log.ts
@@ -59,9 +59,9 @@
 
   /** Drops the entries a snapshot covers. */
   compact(snapshot: Snapshot): void {
-    const agrees = this.termAt(snapshot.lastIndex) === snapshot.lastTerm;
+    const matchesSnapshot = this.termAt(snapshot.lastIndex) === snapshot.lastTerm;
     const dropped = snapshot.lastIndex - this.base.lastIndex;
-    this.entries = agrees ? this.entries.slice(dropped) : [];
+    this.entries = matchesSnapshot ? this.entries.slice(dropped) : [];
     this.base = snapshot;
   }
 }
--- a/src/replication/shard-host.ts
+++ b/src/replication/shard-host.ts
@@ -90,7 +90,7 @@
 
   /** Hands leadership over and does not take it again. */
   transferLeadership(): boolean {
-    this.replica.standDown();
+    this.replica.disableCandidacy();
     return this.replica.transferLeadership();
   }
 
--- a/src/simulation/simulated-disk.ts
+++ b/src/simulation/simulated-disk.ts
@@ -28,7 +28,7 @@
           this.configuration = { revision, documents };
         },
       },
-      ...(this.configuration === undefined ? {} : { keptConfiguration: this.configuration }),
+      ...(this.configuration === undefined ? {} : { storedConfiguration: this.configuration }),
     };
   }
 
@@ -37,7 +37,7 @@
     for (const [shard, replica] of this.replicas) {
       const promisedIndex = replica.snapshot.lastIndex + replica.entries.length;
       const entries = replica.entries.slice(0, Math.max(0, replica.entries.length - count));
-      this.replicas.set(shard, { ...replica, entries, promisedIndex });
+      this.replicas.set(shard, { ...replica, entries, acknowledgedIndex: promisedIndex });
     }
   }
 
--- a/src/turns/messages.ts
+++ b/src/turns/messages.ts
@@ -1,19 +1,19 @@
 /** Messages between gateways and replicas, and among replicas, sent over framed TCP connections. */
 import * as r from 'restructure';
 import {
-  count,
+  uint32,
   encodeField,
-  flag,
+  bool,
   listOf,
   longText,
   oneOf,
-  real,
+  float64,
   record,
   shortText,
   TaggedUnion,
   UnknownKindError,
 } from '../wire/fields.js';
-import { decodeGrown } from '../wire/sections.js';
+import { decodeExtended } from '../wire/sections.js';
 import type { UnionBranch } from '../wire/fields.js';
 import type { Reservation } from './account.js';
 import type { ConversationTurn } from './conversation-turn.js';
@@ -135,7 +135,12 @@
 
 /** Codec of an account entry; `usedTokens` is encoded as -1 while the reservation is open. */
 class ReservationField implements r.Field {
-  private readonly inner = record({ program: shortText, turn: shortText, most: real, used: real });
+  private readonly inner = record({
+    program: shortText,
+    turn: shortText,
+    most: float64,
+    used: float64,
+  });
 
   decode(stream: r.DecodeStream): AccountEntry {
     const raw = this.inner.decode(stream) as {
@@ -170,25 +175,25 @@
   previous: shortText,
   input: bytes,
   output: bytes,
-  retentionMilliseconds: real,
+  retentionMilliseconds: float64,
 });
 const outcome = oneOf(REPLICA_OUTCOMES);
 const tenantQuotaField = record({
   tenant: shortText,
-  version: real,
-  ratePerSecond: real,
-  burst: real,
+  version: float64,
+  ratePerSecond: float64,
+  burst: float64,
 });
 
-const silenceReportField = record({ member: shortText, milliseconds: real, wasHeard: flag });
+const silenceReportField = record({ member: shortText, milliseconds: float64, wasHeard: bool });
 
 const pulledFields = {
-  call: count,
-  active: flag,
-  epoch: count,
+  call: uint32,
+  active: bool,
+  epoch: uint32,
   log: shortText,
-  next: real,
-  end: real,
+  next: float64,
+  end: float64,
   digests: bytes,
   turns: listOf(shortText),
 };
@@ -199,42 +204,42 @@
  * message goes into sections appended to it.
  */
 const BRANCHES: readonly UnionBranch[] = [
-  { type: 'reserve', fields: { call: count, epoch: count, entry: accountEntryField } },
+  { type: 'reserve', fields: { call: uint32, epoch: uint32, entry: accountEntryField } },
   { type: 'settle', fields: { entry: accountEntryField } },
-  { type: 'keep', fields: { call: count, epoch: count, turn: conversationTurnField } },
-  { type: 'chain', fields: { call: count, turn: shortText } },
+  { type: 'keep', fields: { call: uint32, epoch: uint32, turn: conversationTurnField } },
+  { type: 'chain', fields: { call: uint32, turn: shortText } },
   {
     type: 'pull',
-    fields: { call: count, from: shortText, members: longText, log: shortText, after: real },
+    fields: { call: uint32, from: shortText, members: longText, log: shortText, after: float64 },
   },
-  { type: 'fetch', fields: { call: count, turns: listOf(shortText) } },
-  { type: 'taken', fields: { call: count, outcome } },
-  { type: 'account', fields: { call: count, outcome, entries: listOf(accountEntryField) } },
-  { type: 'chained', fields: { call: count, state: oneOf(CHAIN_STATES), body: bytes } },
+  { type: 'fetch', fields: { call: uint32, turns: listOf(shortText) } },
+  { type: 'taken', fields: { call: uint32, outcome } },
+  { type: 'account', fields: { call: uint32, outcome, entries: listOf(accountEntryField) } },
+  { type: 'chained', fields: { call: uint32, state: oneOf(CHAIN_STATES), body: bytes } },
   { type: 'pulled', fields: pulledFields },
-  { type: 'fetched', fields: { call: count, turns: listOf(conversationTurnField) } },
+  { type: 'fetched', fields: { call: uint32, turns: listOf(conversationTurnField) } },
   { type: 'members', fields: { record: longText } },
-  { type: 'readEntries', fields: { call: count, digests: bytes } },
-  { type: 'entriesRead', fields: { call: count, entries: listOf(accountEntryField) } },
+  { type: 'readEntries', fields: { call: uint32, digests: bytes } },
+  { type: 'entriesRead', fields: { call: uint32, entries: listOf(accountEntryField) } },
   {
     type: 'spend',
     fields: {
-      call: count,
-      epoch: count,
+      call: uint32,
+      epoch: uint32,
       quota: tenantQuotaField,
-      beginsRequests: real,
-      patienceMilliseconds: real,
+      beginsRequests: float64,
+      patienceMilliseconds: float64,
     },
   },
-  { type: 'spent', fields: { call: count, outcome, granted: flag, waitMilliseconds: real } },
+  { type: 'spent', fields: { call: uint32, outcome, granted: bool, waitMilliseconds: float64 } },
   { type: 'pulledFresh', fields: pulledFields },
-  { type: 'askSilences', fields: { call: count } },
+  { type: 'askSilences', fields: { call: uint32 } },
   {
     type: 'silencesTold',
-    fields: { call: count, from: shortText, words: listOf(silenceReportField) },
+    fields: { call: uint32, from: shortText, words: listOf(silenceReportField) },
   },
-  { type: 'chainUnder', fields: { call: count, epoch: count, turn: shortText } },
-  { type: 'notKnown', fields: { call: count } },
+  { type: 'chainUnder', fields: { call: uint32, epoch: uint32, turn: shortText } },
+  { type: 'notKnown', fields: { call: uint32 } },
 ];
 const message = new TaggedUnion(BRANCHES);
 
@@ -265,7 +270,7 @@
 /** Decodes the content of a frame. Throws if the bytes are not a valid message. */
 export function decodeReplicaMessage(content: Buffer): ReplicaMessage | UnknownMessage {
   try {
-    return decodeGrown(message, content).value as ReplicaMessage;
+    return decodeExtended(message, content).value as ReplicaMessage;
   } catch (cause) {
     if (cause instanceof UnknownKindError && content.length >= KIND_BYTES + CALL_BYTES) {
       return { type: 'unknown', kind: cause.kind, call: content.readUInt32BE(KIND_BYTES) };
--- a/src/turns/segment-codec.ts
+++ b/src/turns/segment-codec.ts
@@ -6,14 +6,14 @@
 import * as r from 'restructure';
 import {
   encodeField,
-  flag,
+  bool,
   longText,
-  real,
+  float64,
   shortText,
   TaggedUnion,
   UnknownKindError,
 } from '../wire/fields.js';
-import { decodeGrown } from '../wire/sections.js';
+import { decodeExtended } from '../wire/sections.js';
 import type { JoinToken } from './membership.js';
 import { accountEntryField, conversationTurnField } from './messages.js';
 import type { WrittenChange } from './turn-storage.js';
@@ -28,9 +28,9 @@
  * record goes into sections appended to it.
  */
 const recordField: r.Field = new TaggedUnion([
-  { type: 'meta', fields: { ready: flag, members: longText } },
-  { type: 'entry', fields: { entry: accountEntryField, storedAt: real } },
-  { type: 'turn', fields: { turn: conversationTurnField, storedAt: real } },
+  { type: 'meta', fields: { ready: bool, members: longText } },
+  { type: 'entry', fields: { entry: accountEntryField, storedAt: float64 } },
+  { type: 'turn', fields: { turn: conversationTurnField, storedAt: float64 } },
   { type: 'joining', fields: { token: shortText } },
 ]);
 
@@ -97,7 +97,7 @@
 /** Decodes the change of a record; undefined when this build does not know its kind. */
 function decodeChange(content: Buffer): WrittenChange | undefined {
   try {
-    return toChange(decodeGrown(recordField, content).value as RecordValue);
+    return toChange(decodeExtended(recordField, content).value as RecordValue);
   } catch (cause) {
     if (cause instanceof UnknownKindError) {
       return undefined;
--- a/src/wire/call-fields.ts
+++ b/src/wire/call-fields.ts
@@ -2,12 +2,12 @@
 import { CALL_CLASSES } from '../model/call.js';
 import { CALL_ERROR_TAGS, VERDICTS } from '../model/verdict.js';
 import {
-  count,
-  flag,
+  uint32,
+  bool,
   listOf,
   longText,
   oneOf,
-  real,
+  float64,
   record,
   shortText,
   TaggedUnion,
@@ -20,14 +20,18 @@
 export const chatMessage = record({ role: oneOf(CHAT_ROLES), content: longText });
 
 /** `Usage`. */
-export const usage = record({ promptTokens: real, cachedTokens: real, completionTokens: real });
+export const usage = record({
+  promptTokens: float64,
+  cachedTokens: float64,
+  completionTokens: float64,
+});
 
 /** `CallError`. */
 export const callError = record({
   tag: oneOf(CALL_ERROR_TAGS),
   verdict: oneOf(VERDICTS),
   detail: longText,
-  retryAfterSeconds: real,
+  retryAfterSeconds: float64,
 });
 
 /** `CallRequest`. */
@@ -37,23 +41,23 @@
   group: shortText,
   service: shortText,
   callClass: oneOf(CALL_CLASSES),
-  sequence: count,
+  sequence: uint32,
   idempotencyKey: shortText,
-  repeatable: flag,
+  repeatable: bool,
   messages: listOf(chatMessage),
   payload: longText,
-  maximumTokens: real,
-  timeoutMilliseconds: real,
-  endsProgram: flag,
+  maximumTokens: float64,
+  timeoutMilliseconds: float64,
+  endsProgram: bool,
   receivedText: longText,
 });
 
 /** `Answer`. */
-export const answer = record({ call: shortText, sequence: count, text: longText, usage });
+export const answer = record({ call: shortText, sequence: uint32, text: longText, usage });
 
 /** `CallEvent`. */
 export const callEvent = new TaggedUnion([
-  { type: 'piece', fields: { offset: count, text: longText } },
+  { type: 'piece', fields: { offset: uint32, text: longText } },
   { type: 'answered', fields: { answer } },
   { type: 'failed', fields: { error: callError } },
 ]);
--- a/src/wire/command-codec.ts
+++ b/src/wire/command-codec.ts
@@ -3,50 +3,50 @@
 import type { LogEntry } from '../replication/log-entry.js';
 import { callError, callRequest, usage } from './call-fields.js';
 import {
-  count,
+  uint32,
   decodeField,
   encodeField,
   listOf,
   longText,
   oneOf,
-  real,
+  float64,
   record,
   shortText,
   TaggedUnion,
 } from './fields.js';
 
 const limits = record({
-  maximumTurns: real,
-  maximumHistoryTokens: real,
-  maximumDepth: real,
-  maximumLifeMilliseconds: real,
+  maximumTurns: float64,
+  maximumHistoryTokens: float64,
+  maximumDepth: float64,
+  maximumLifeMilliseconds: float64,
 });
 
-const callPlace = { program: shortText, sequence: count, call: shortText };
-const numbered = { group: shortText, number: count };
+const callKey = { program: shortText, sequence: uint32, call: shortText };
+const sliceKey = { group: shortText, number: uint32 };
 
 /** `Command`. */
 export const command = new TaggedUnion([
   { type: 'noop', fields: {} },
   { type: 'changeVoters', fields: { voters: listOf(shortText) } },
-  { type: 'openProgram', fields: { at: real, program: shortText, group: shortText } },
-  { type: 'acceptCall', fields: { at: real, request: callRequest, reserve: real, limits } },
-  { type: 'intendCall', fields: { ...callPlace, engine: shortText } },
-  { type: 'answerCall', fields: { at: real, ...callPlace, text: longText, usage } },
-  { type: 'failCall', fields: { at: real, ...callPlace, error: callError, usage } },
-  { type: 'endProgram', fields: { at: real, program: shortText, reason: oneOf(PROGRAM_ENDS) } },
+  { type: 'openProgram', fields: { at: float64, program: shortText, group: shortText } },
+  { type: 'acceptCall', fields: { at: float64, request: callRequest, reserve: float64, limits } },
+  { type: 'intendCall', fields: { ...callKey, engine: shortText } },
+  { type: 'answerCall', fields: { at: float64, ...callKey, text: longText, usage } },
+  { type: 'failCall', fields: { at: float64, ...callKey, error: callError, usage } },
+  { type: 'endProgram', fields: { at: float64, program: shortText, reason: oneOf(PROGRAM_ENDS) } },
   { type: 'forgetProgram', fields: { program: shortText } },
-  { type: 'requestSlice', fields: { ...numbered, amount: real } },
-  { type: 'receiveSlice', fields: { ...numbered, granted: real } },
-  { type: 'returnSlice', fields: { ...numbered, amount: real } },
-  { type: 'settleReturn', fields: numbered },
-  { type: 'grantSlice', fields: { ...numbered, holder: count, amount: real, budget: real } },
-  { type: 'bookReturn', fields: { ...numbered, holder: count, amount: real } },
-  { type: 'withdrawIntent', fields: { ...callPlace, engine: shortText } },
+  { type: 'requestSlice', fields: { ...sliceKey, amount: float64 } },
+  { type: 'receiveSlice', fields: { ...sliceKey, granted: float64 } },
+  { type: 'returnSlice', fields: { ...sliceKey, amount: float64 } },
+  { type: 'settleReturn', fields: sliceKey },
+  { type: 'grantSlice', fields: { ...sliceKey, holder: uint32, amount: float64, budget: float64 } },
+  { type: 'bookReturn', fields: { ...sliceKey, holder: uint32, amount: float64 } },
+  { type: 'withdrawIntent', fields: { ...callKey, engine: shortText } },
 ]);
 
 /** `LogEntry`. */
-export const logEntry = record({ term: count, command });
+export const logEntry = record({ term: uint32, command });
 
 /** Bytes of one entry. */
 export function encodeEntry(entry: LogEntry): Uint8Array {
--- a/src/wire/fields.ts
+++ b/src/wire/fields.ts
@@ -11,25 +11,25 @@
 // The library's own number fields look their method up by a name put together at each call.
 
 /** A whole number from 0 to 2^32 - 1. */
-export const count: r.Field = {
+export const uint32: r.Field = {
   decode: (stream) => stream.readUInt32BE(),
   encode: (stream, value) => stream.writeUInt32BE(value as number),
   size: () => LENGTH_BYTES,
 };
 /** A whole number from 0 to 2^16 - 1. */
-export const shortCount: r.Field = {
+export const uint16: r.Field = {
   decode: (stream) => stream.readUInt16BE(),
   encode: (stream, value) => stream.writeUInt16BE(value as number),
   size: () => SHORT_BYTES,
 };
 /** Any number: times, amounts, costs. */
-export const real: r.Field = {
+export const float64: r.Field = {
   decode: (stream) => stream.readDoubleBE(),
   encode: (stream, value) => stream.writeDoubleBE(value as number),
   size: () => DOUBLE_BYTES,
 };
 /** True or false. */
-export const flag: r.Field = {
+export const bool: r.Field = {
   decode: (stream) => stream.readUInt8() !== 0,
   encode: (stream, value) => stream.writeUInt8(value === true ? 1 : 0),
   size: () => 1,
@@ -66,9 +66,9 @@
 }
 
 /** A text of at most 64 KB: names and short details. */
-export const shortText: r.Field = new TextField(shortCount);
+export const shortText: r.Field = new TextField(uint16);
 /** A text bounded only by the frame: contents and states. */
-export const longText: r.Field = new TextField(count);
+export const longText: r.Field = new TextField(uint32);
 
 /**
  * A list of at most 2^32 - 1 elements, bounded by the frame. Bytes are those of the library's own list,
--- a/src/wire/framing.ts
+++ b/src/wire/framing.ts
@@ -15,46 +15,46 @@
 /** Cuts a byte stream into the contents of frames. */
 export class FrameReader {
   private chunks: Buffer[] = [];
-  private buffered = 0;
+  private bufferedBytes = 0;
 
   constructor(private readonly maximumBytes = MAXIMUM_FRAME_BYTES) {}
 
   /** Takes a chunk; returns the contents that are complete. Throws on a frame beyond the bound. */
   push(chunk: Buffer): Buffer[] {
     this.chunks.push(chunk);
-    this.buffered += chunk.length;
+    this.bufferedBytes += chunk.length;
     const contents: Buffer[] = [];
-    for (let content = this.next(); content !== undefined; content = this.next()) {
+    for (let content = this.readFrame(); content !== undefined; content = this.readFrame()) {
       contents.push(content);
     }
     return contents;
   }
 
-  private next(): Buffer | undefined {
-    if (this.buffered < LENGTH_BYTES) {
+  private readFrame(): Buffer | undefined {
+    if (this.bufferedBytes < LENGTH_BYTES) {
       return undefined;
     }
     if (this.chunks[0]!.length < LENGTH_BYTES) {
-      this.join();
+      this.mergeChunks();
     }
     const length = this.chunks[0]!.readUInt32BE(0);
     if (length > this.maximumBytes) {
       throw new RangeError(`frame of ${length} bytes exceeds ${this.maximumBytes}`);
     }
     const end = LENGTH_BYTES + length;
-    if (this.buffered < end) {
+    if (this.bufferedBytes < end) {
       return undefined;
     }
     if (this.chunks[0]!.length < end) {
-      this.join();
+      this.mergeChunks();
     }
     const first = this.chunks[0]!;
     this.chunks[0] = first.subarray(end);
-    this.buffered -= end;
+    this.bufferedBytes -= end;
     return first.subarray(LENGTH_BYTES, end);
   }
 
-  private join(): void {
+  private mergeChunks(): void {
     this.chunks = [Buffer.concat(this.chunks)];
   }
 }
--- a/src/wire/message-codec.ts
+++ b/src/wire/message-codec.ts
@@ -5,14 +5,14 @@
 import { callEvent, callRequest, usage } from './call-fields.js';
 import { logEntry } from './command-codec.js';
 import {
-  count,
+  uint32,
   decodeField,
   encodeField,
-  flag,
+  bool,
   listOf,
   longText,
   oneOf,
-  real,
+  float64,
   record,
   shortText,
   TaggedUnion,
@@ -23,23 +23,23 @@
 /** Version of the protocol; a node refuses connections of another. */
 export const PROTOCOL_VERSION = 1;
 
-const raft = { shard: count, term: count };
-const promptPrefix = record({ name: shortText, tokens: real });
+const shardTerm = { shard: uint32, term: uint32 };
+const promptPrefix = record({ name: shortText, tokens: float64 });
 const callTicket = record({
   call: shortText,
   program: shortText,
   group: shortText,
   callClass: oneOf(CALL_CLASSES),
-  repeatable: flag,
-  promptTokens: real,
-  maximumTokens: real,
-  turn: count,
-  attainedService: real,
-  programAge: real,
-  waited: real,
-  deadlineIn: real,
+  repeatable: bool,
+  promptTokens: float64,
+  maximumTokens: float64,
+  turn: uint32,
+  attainedService: float64,
+  programAge: float64,
+  waited: float64,
+  deadlineIn: float64,
   prefixes: listOf(promptPrefix),
-  endsProgram: flag,
+  endsProgram: bool,
   avoidEngine: shortText,
 });
 const runningCall = record({
@@ -48,41 +48,44 @@
   program: shortText,
   group: shortText,
 });
-const slice = { group: shortText, holder: count, number: count };
+const sliceKey = { group: shortText, holder: uint32, number: uint32 };
 
 const message = new TaggedUnion([
   {
     type: 'appendEntries',
     fields: {
-      ...raft,
-      previousIndex: count,
-      previousTerm: count,
-      commitIndex: count,
-      sentAt: real,
+      ...shardTerm,
+      previousIndex: uint32,
+      previousTerm: uint32,
+      commitIndex: uint32,
+      sentAt: float64,
       entries: listOf(logEntry),
     },
   },
-  { type: 'appendReply', fields: { ...raft, success: flag, matchIndex: count, sentAt: real } },
+  {
+    type: 'appendReply',
+    fields: { ...shardTerm, success: bool, matchIndex: uint32, sentAt: float64 },
+  },
   {
     type: 'voteRequest',
-    fields: { ...raft, preVote: flag, transfer: flag, lastIndex: count, lastTerm: count },
+    fields: { ...shardTerm, preVote: bool, transfer: bool, lastIndex: uint32, lastTerm: uint32 },
   },
-  { type: 'voteReply', fields: { ...raft, preVote: flag, granted: flag } },
+  { type: 'voteReply', fields: { ...shardTerm, preVote: bool, granted: bool } },
   {
     type: 'installSnapshot',
     fields: {
-      ...raft,
-      lastIndex: count,
-      lastTerm: count,
+      ...shardTerm,
+      lastIndex: uint32,
+      lastTerm: uint32,
       voters: listOf(shortText),
       state: longText,
-      sentAt: real,
+      sentAt: float64,
     },
   },
-  { type: 'timeoutNow', fields: raft },
-  { type: 'submitCall', fields: { shard: count, request: callRequest } },
+  { type: 'timeoutNow', fields: shardTerm },
+  { type: 'submitCall', fields: { shard: uint32, request: callRequest } },
   { type: 'callEvent', fields: { call: shortText, event: callEvent } },
-  { type: 'notLeader', fields: { shard: count, call: shortText, hint: shortText } },
+  { type: 'notLeader', fields: { shard: uint32, call: shortText, hint: shortText } },
   { type: 'callProbe', fields: { calls: listOf(shortText) } },
   {
     type: 'callProbeReply',
@@ -91,32 +94,32 @@
   {
     type: 'programRequest',
     fields: {
-      shard: count,
+      shard: uint32,
       call: shortText,
       action: oneOf(PROGRAM_ACTIONS),
       program: shortText,
       group: shortText,
     },
   },
-  { type: 'programReply', fields: { call: shortText, status: count, body: longText } },
+  { type: 'programReply', fields: { call: shortText, status: uint32, body: longText } },
   {
     type: 'poolReport',
     fields: {
       service: shortText,
-      shard: count,
-      from: count,
-      complete: flag,
+      shard: uint32,
+      from: uint32,
+      complete: bool,
       waiting: listOf(callTicket),
       running: listOf(runningCall),
     },
   },
   {
     type: 'poolAssignment',
-    fields: { service: shortText, call: shortText, engine: shortText, ...raft },
+    fields: { service: shortText, call: shortText, engine: shortText, ...shardTerm },
   },
   {
     type: 'poolRefusal',
-    fields: { service: shortText, call: shortText, detail: shortText, retryAfterSeconds: real },
+    fields: { service: shortText, call: shortText, detail: shortText, retryAfterSeconds: float64 },
   },
   {
     type: 'poolFinished',
@@ -127,25 +130,25 @@
       engine: shortText,
       outcome: oneOf(FINISH_OUTCOMES),
       usage,
-      serviceMilliseconds: real,
+      serviceMilliseconds: float64,
     },
   },
   { type: 'programGone', fields: { program: shortText } },
-  { type: 'holdCheck', fields: { shard: count, programs: listOf(shortText) } },
-  { type: 'sliceRequest', fields: { ledgerShard: count, ...slice, amount: real } },
-  { type: 'sliceReply', fields: { ...slice, granted: real } },
-  { type: 'sliceReturn', fields: { ledgerShard: count, ...slice, amount: real } },
-  { type: 'sliceReturnSettled', fields: slice },
-  { type: 'configurationAnnounce', fields: { revision: count, wantsReply: flag } },
-  { type: 'configurationFetch', fields: { revision: count } },
-  { type: 'configurationTransfer', fields: { revision: count, documents: longText } },
+  { type: 'holdCheck', fields: { shard: uint32, programs: listOf(shortText) } },
+  { type: 'sliceRequest', fields: { ledgerShard: uint32, ...sliceKey, amount: float64 } },
+  { type: 'sliceReply', fields: { ...sliceKey, granted: float64 } },
+  { type: 'sliceReturn', fields: { ledgerShard: uint32, ...sliceKey, amount: float64 } },
+  { type: 'sliceReturnSettled', fields: sliceKey },
+  { type: 'configurationAnnounce', fields: { revision: uint32, wantsReply: bool } },
+  { type: 'configurationFetch', fields: { revision: uint32 } },
+  { type: 'configurationTransfer', fields: { revision: uint32, documents: longText } },
   { type: 'rowsRequest', fields: { query: shortText, table: shortText } },
   { type: 'rowsReply', fields: { query: shortText, rows: longText } },
   {
     type: 'configurationChanges',
-    fields: { fromRevision: count, revision: count, documents: longText, removed: longText },
+    fields: { fromRevision: uint32, revision: uint32, documents: longText, removed: longText },
   },
-  { type: 'poolAcknowledgement', fields: { shard: count } },
+  { type: 'poolAcknowledgement', fields: { shard: uint32 } },
 ]);
 
 /** Bytes of a message. */
@@ -169,7 +172,7 @@
   readonly node: NodeId;
 }
 
-const hello = record({ version: count, cluster: shortText, node: shortText });
+const hello = record({ version: uint32, cluster: shortText, node: shortText });
 
 /** Bytes of a hello. */
 export function encodeHello(value: Hello): Uint8Array {
--- a/src/wire/sections.ts
+++ b/src/wire/sections.ts
@@ -13,13 +13,13 @@
 }
 
 /** Bytes of a section's kind and length. */
-const HEAD_BYTES = 3;
+const HEADER_BYTES = 3;
 /** Longest content of a section. */
 export const MAXIMUM_SECTION_BYTES = 0xffff;
 
 /** Sections as bytes. Throws on a content beyond the bound. */
 export function encodeSections(sections: readonly Section[]): Uint8Array {
-  const length = sections.reduce((sum, { content }) => sum + HEAD_BYTES + content.length, 0);
+  const length = sections.reduce((sum, { content }) => sum + HEADER_BYTES + content.length, 0);
   const bytes = new Uint8Array(length);
   const stream = new r.EncodeStream(bytes);
   for (const { kind, content } of sections) {
@@ -39,7 +39,7 @@
   const stream = new r.DecodeStream(bytes);
   const sections: Section[] = [];
   while (stream.pos < bytes.length) {
-    if (stream.pos + HEAD_BYTES > bytes.length) {
+    if (stream.pos + HEADER_BYTES > bytes.length) {
       throw new WireError('a section is cut off');
     }
     const kind = stream.readUInt8();
@@ -55,13 +55,13 @@
 }
 
 /** A value, and what a newer build has put behind it. */
-export interface Grown {
+export interface ExtendedValue {
   readonly value: unknown;
   readonly sections: readonly Section[];
 }
 
 /** Decodes a value that sections may follow. Throws on anything else behind it. */
-export function decodeGrown(field: r.Field, bytes: Uint8Array): Grown {
+export function decodeExtended(field: r.Field, bytes: Uint8Array): ExtendedValue {
   const stream = new r.DecodeStream(bytes);
   const value = field.decode(stream);
   if (stream.pos > bytes.length) {
--- a/src/wire/tcp-transport.ts
+++ b/src/wire/tcp-transport.ts
@@ -34,19 +34,19 @@
 /** Bytes that may wait for one peer; more are dropped, as on a slow network. */
 const MAXIMUM_QUEUED_BYTES = 128 * 1024 * 1024;
 /** Pause before a failed connection is tried again, in milliseconds. */
-const RECONNECT_MILLISECONDS = 200;
+const RECONNECT_DELAY_MILLISECONDS = 200;
 /** Time a connection may take to be made, in milliseconds. */
-const CONNECT_MILLISECONDS = 2_000;
+const CONNECT_TIMEOUT_MILLISECONDS = 2_000;
 
-interface PeerLink {
+interface PeerConnection {
   socket: Socket | undefined;
   retryAt: number;
 }
 
 /** See the head of this file. */
 export class TcpTransport implements Transport {
-  private readonly links = new Map<NodeId, PeerLink>();
-  private readonly accepted = new Set<Socket>();
+  private readonly connections = new Map<NodeId, PeerConnection>();
+  private readonly incomingSockets = new Set<Socket>();
   private readonly server: Server;
   private closed = false;
   /** Bytes sent to peers so far. */
@@ -75,27 +75,31 @@
   close(): void {
     this.closed = true;
     this.server.close();
-    this.links.forEach((link) => link.socket?.destroy());
-    this.accepted.forEach((socket) => socket.destroy());
+    this.connections.forEach((connection) => connection.socket?.destroy());
+    this.incomingSockets.forEach((socket) => socket.destroy());
   }
 
   private socketTo(node: NodeId): Socket | undefined {
-    const link = this.links.get(node) ?? { socket: undefined, retryAt: -Infinity };
-    this.links.set(node, link);
-    if (link.socket === undefined && !this.closed && this.options.runtime.now() >= link.retryAt) {
-      this.open(node, link);
+    const connection = this.connections.get(node) ?? { socket: undefined, retryAt: -Infinity };
+    this.connections.set(node, connection);
+    if (
+      connection.socket === undefined &&
+      !this.closed &&
+      this.options.runtime.now() >= connection.retryAt
+    ) {
+      this.open(node, connection);
     }
-    return link.socket;
+    return connection.socket;
   }
 
-  private open(node: NodeId, link: PeerLink): void {
+  private open(node: NodeId, connection: PeerConnection): void {
     const address = this.options.addressOf(node);
     if (address === undefined) {
       return;
     }
     const socket = connect({ host: address.host, port: address.port, noDelay: true });
-    link.socket = socket;
-    socket.setTimeout(CONNECT_MILLISECONDS, () => {
+    connection.socket = socket;
+    socket.setTimeout(CONNECT_TIMEOUT_MILLISECONDS, () => {
       if (socket.connecting) {
         socket.destroy();
       }
@@ -103,8 +107,8 @@
     socket.on('connect', () => socket.setTimeout(0));
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      link.socket = undefined;
-      link.retryAt = this.options.runtime.now() + RECONNECT_MILLISECONDS;
+      connection.socket = undefined;
+      connection.retryAt = this.options.runtime.now() + RECONNECT_DELAY_MILLISECONDS;
     });
     socket.resume();
     const { cluster, self: ownName } = this.options;
@@ -113,19 +117,19 @@
   }
 
   private accept(socket: Socket): void {
-    this.accepted.add(socket);
+    this.incomingSockets.add(socket);
     const reader = new FrameReader();
     let peer: NodeId | undefined;
     socket.setNoDelay(true);
     socket.on('error', () => undefined);
-    socket.on('close', () => this.accepted.delete(socket));
+    socket.on('close', () => this.incomingSockets.delete(socket));
     socket.on('data', (chunk: Buffer) => {
       try {
         for (const content of reader.push(chunk)) {
           if (peer === undefined) {
-            peer = this.greet(content);
+            peer = this.readHello(content);
           } else {
-            this.take(peer, content);
+            this.dispatch(peer, content);
           }
         }
       } catch (cause) {
@@ -134,7 +138,7 @@
     });
   }
 
-  private greet(content: Buffer): NodeId {
+  private readHello(content: Buffer): NodeId {
     const hello = decodeHello(content);
     if (E.isLeft(hello)) {
       throw new Error(`not a hello: ${hello.left}`);
@@ -148,7 +152,7 @@
     return hello.right.node;
   }
 
-  private take(peer: NodeId, content: Buffer): void {
+  private dispatch(peer: NodeId, content: Buffer): void {
     const message = decodeMessage(content);
     if (E.isLeft(message)) {
       throw new Error(`not a message: ${message.left}`);
