--- a/features/steps/logs.steps.ts
+++ b/features/steps/logs.steps.ts
@@ -5,11 +5,11 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import type { DataTable } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { BoundedWriter, MAXIMUM_WAITING_BYTES } from '../../src/telemetry/bounded-writer.js';
+import { BoundedWriter, MAXIMUM_QUEUED_BYTES } from '../../src/telemetry/bounded-writer.js';
 import { explainRequest } from '../../src/telemetry/explain-request.js';
 import { parseLogLine } from '../../src/telemetry/log-lines.js';
 import type { LogLine } from '../../src/telemetry/log-lines.js';
-import { traceProgramsOf } from '../../src/telemetry/program-traces.js';
+import { tracePrograms } from '../../src/telemetry/program-traces.js';
 import type { ProgramTrace } from '../../src/telemetry/program-traces.js';
 import {
   lossRows,
@@ -29,7 +29,12 @@
   programs?: ProgramTrace[];
 }
 
-function line(time: number, node: string, event: string, fields: Record<string, unknown>): string {
+function createLogText(
+  time: number,
+  node: string,
+  event: string,
+  fields: Record<string, unknown>,
+): string {
   const context = { application: 'ivyloom', node, zone: 'z', event, logLevel: 30, ...fields };
   return `12.5 ${node} ${JSON.stringify({ context, message: 'said', time, version: '2.0.0' })}`;
 }
@@ -39,12 +44,22 @@
   function (this: World) {
     const end = { request: 'q1', outcome: 'answered', status: 200, runner: 'b', tries: 2 };
     const texts = [
-      line(30, 'n1', 'relay.end', end),
+      createLogText(30, 'n1', 'relay.end', end),
       'not a line of a log',
-      line(20, 'n1', 'runner.distrusted', { runner: 'a', reason: 'gone' }),
-      line(25, 'n2', 'runner.distrusted', { runner: 'a', reason: 'elsewhere' }),
-      line(10, 'n1', 'relay.try', { request: 'q1', runner: 'a', tag: 'NeverSent', tries: 1 }),
-      line(11, 'n2', 'relay.try', { request: 'q2', runner: 'a', tag: 'NeverSent', tries: 1 }),
+      createLogText(20, 'n1', 'runner.distrusted', { runner: 'a', reason: 'gone' }),
+      createLogText(25, 'n2', 'runner.distrusted', { runner: 'a', reason: 'elsewhere' }),
+      createLogText(10, 'n1', 'relay.try', {
+        request: 'q1',
+        runner: 'a',
+        tag: 'NeverSent',
+        tries: 1,
+      }),
+      createLogText(11, 'n2', 'relay.try', {
+        request: 'q2',
+        runner: 'a',
+        tag: 'NeverSent',
+        tries: 1,
+      }),
     ];
     this.lines = texts.flatMap((text) => parseLogLine(text) ?? []);
   },
@@ -54,7 +69,7 @@
   const load = { ahead: 300, moreUrgent: 40, slots: 204, age: 120 };
   const time = { wait: 141, bearable: 97, left: 2_700, turns: 7, pause: 88 };
   const fields = { request: 'q1', cause: 'unbearable', ...load, ...time };
-  const parsed = parseLogLine(line(10, 'n1', 'relay.admission', fields));
+  const parsed = parseLogLine(createLogText(10, 'n1', 'relay.admission', fields));
   this.lines = parsed === undefined ? [] : [parsed];
 });
 
@@ -123,7 +138,7 @@
       this.written!.push(bytes.toString());
       done(null, bytes.length);
     },
-    (writeNow) => this.pending!.push(writeNow),
+    (flush) => this.pending!.push(flush),
   );
 });
 
@@ -141,32 +156,32 @@
 });
 
 Then('{int} lines are handed over when the process ends', function (this: World, count: number) {
-  assert.equal(this.writer!.takeWaiting().toString().trim().split('\n').length, count);
+  assert.equal(this.writer!.takeQueued().toString().trim().split('\n').length, count);
 });
 
 Then('the bytes that wait are bounded and the dropped lines are counted', function (this: World) {
-  const most = Math.ceil(MAXIMUM_WAITING_BYTES / 90);
-  assert.ok(this.writer!.droppedLines >= 100_000 - most);
+  const maximumQueuedLines = Math.ceil(MAXIMUM_QUEUED_BYTES / 90);
+  assert.ok(this.writer!.droppedLines >= 100_000 - maximumQueuedLines);
   assert.equal(this.pending!.length, 1);
 });
 
 When('the reader reads again', async function (this: World) {
   this.stopped = false;
   this.pending!.forEach((finish) => finish());
-  for (let look = 0; look < 200 && !this.written!.join('').includes('dropped'); look += 1) {
+  for (let check = 0; check < 200 && !this.written!.join('').includes('dropped'); check += 1) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 });
 
 Then('it is told how many lines were dropped', function (this: World) {
-  const told = this.written!.join('')
+  const dropReport = this.written!.join('')
     .split('\n')
     .find((text) => text.includes('dropped'));
-  assert.equal((JSON.parse(told!) as { dropped: number }).dropped, this.writer!.droppedLines);
+  assert.equal((JSON.parse(dropReport!) as { dropped: number }).dropped, this.writer!.droppedLines);
 });
 
 /** All matches of a pattern's first group in the sources under some folders. */
-function namesIn(folders: readonly string[], pattern: RegExp): Set<string> {
+function collectNames(folders: readonly string[], pattern: RegExp): Set<string> {
   const names = new Set<string>();
   for (const folder of folders) {
     for (const file of readdirSync(folder, { recursive: true, encoding: 'utf8' })) {
@@ -183,18 +198,23 @@
   const page = readFileSync('docs/reference/logs.md', 'utf8');
   const listed = (pattern: RegExp): Set<string> =>
     new Set([...page.matchAll(pattern)].map((match) => match[1]!));
-  const events = namesIn(['src', 'platform'], /event: '([a-zA-Z]+\.[a-zA-Z]+)'/g);
+  const events = collectNames(['src', 'platform'], /event: '([a-zA-Z]+\.[a-zA-Z]+)'/g);
   assert.deepEqual(listed(/^\| `([a-z]+\.[a-zA-Z]+)`/gm), events);
-  const metrics = namesIn(['src/relay', 'platform'], /['`](ivyloom_[a-z_]+)/g);
+  const metrics = collectNames(['src/relay', 'platform'], /['`](ivyloom_[a-z_]+)/g);
   assert.deepEqual(listed(/^\| `(ivyloom_[a-z_]+)`/gm), metrics);
 });
 
 /** The end of a request that came at one time and ended at another, in milliseconds. */
-function endOf(program: string, from: number, to: number, fields: Record<string, unknown>): string {
-  const usual = { outcome: 'answered', status: 200, tries: 1, events: 0, reading: 0, unread: 0 };
+function createEndText(
+  program: string,
+  from: number,
+  to: number,
+  fields: Record<string, unknown>,
+): string {
+  const defaults = { outcome: 'answered', status: 200, tries: 1, events: 0, reading: 0, unread: 0 };
   const times = { beforeDispatch: 0, firstByte: to - from, deadline: 1_000 };
-  const end = { program, route: 'r', ...usual, ...times, ...fields, total: to - from };
-  return line(to, 'n', 'relay.end', end);
+  const end = { program, route: 'r', ...defaults, ...times, ...fields, total: to - from };
+  return createLogText(to, 'n', 'relay.end', end);
 }
 
 Given(
@@ -203,23 +223,23 @@
     const turn = { events: 5, beforeDispatch: 10, firstByte: 100, reading: 50, deadline: 500 };
     const refusal = { outcome: 'refused', status: 503, beforeDispatch: -1, firstByte: -1 };
     const texts = [
-      endOf('late', 0, 200, turn),
+      createEndText('late', 0, 200, turn),
       // Two calls at a time: the program waits for the longer one.
-      endOf('late', 250, 300, {}),
-      endOf('late', 250, 500, {}),
-      endOf('late', 570, 600, refusal),
-      endOf('timely', 0, 900, {}),
-      endOf('lost', 0, 100, {}),
-      endOf('lost', 100, 300, { outcome: 'left', status: undefined }),
+      createEndText('late', 250, 300, {}),
+      createEndText('late', 250, 500, {}),
+      createEndText('late', 570, 600, refusal),
+      createEndText('timely', 0, 900, {}),
+      createEndText('lost', 0, 100, {}),
+      createEndText('lost', 100, 300, { outcome: 'left', status: undefined }),
     ];
     this.lines = texts.flatMap((text) => parseLogLine(text) ?? []);
     // The refusal came back as an answer of no length, so that the program ends late and not refused.
-    this.lines.push(parseLogLine(endOf('late', 600, 600, {}))!);
+    this.lines.push(parseLogLine(createEndText('late', 600, 600, {}))!);
   },
 );
 
 When('the losses are reported', function (this: World) {
-  this.programs = traceProgramsOf(this.lines!);
+  this.programs = tracePrograms(this.lines!);
 });
 
 Then('the late program spent these milliseconds', function (this: World, table: DataTable) {
@@ -257,15 +277,16 @@
   fc.assert(
     fc.property(fc.array(request, { minLength: 1 }), (requests) => {
       const lines = requests.flatMap(({ from, length, ...fields }) => {
-        const before = Math.min(fields.beforeDispatch, length);
-        const firstByte = fields.firstByte < 0 ? -1 : Math.min(length, before + fields.firstByte);
-        const times = { beforeDispatch: before, firstByte };
-        return parseLogLine(endOf('p', from, from + length, { ...fields, ...times })) ?? [];
+        const beforeDispatch = Math.min(fields.beforeDispatch, length);
+        const firstByte =
+          fields.firstByte < 0 ? -1 : Math.min(length, beforeDispatch + fields.firstByte);
+        const times = { beforeDispatch, firstByte };
+        return parseLogLine(createEndText('p', from, from + length, { ...fields, ...times })) ?? [];
       });
-      const [program] = traceProgramsOf(lines);
+      const [program] = tracePrograms(lines);
       const split = splitTime(program!);
       const sum = TIME_CAUSES.reduce((total, cause) => total + split[cause], 0);
-      assert.ok(Math.abs(sum - (program!.endedAt - program!.beganAt)) < 0.001);
+      assert.ok(Math.abs(sum - (program!.endedAt - program!.startedAt)) < 0.001);
       assert.ok(TIME_CAUSES.every((cause) => split[cause] >= 0));
     }),
   );
--- a/src/commands/bench-commands.ts
+++ b/src/commands/bench-commands.ts
@@ -45,26 +45,28 @@
 }
 
 /** Replicas and members of a day where none are named. */
-const DAY_REPLICAS = 8;
-const DAY_MEMBERS = 5;
+const DEFAULT_DAY_REPLICAS = 8;
+const DEFAULT_DAY_MEMBERS = 5;
 
 const EXIT_DONE = 0;
 const EXIT_FAILED = 1;
-const EXIT_WRONG_USE = 2;
+const EXIT_USAGE_ERROR = 2;
 
-function complain(message: string): number {
+function reportUsageError(message: string): number {
   process.stderr.write(`ivyloom-bench: ${message}\n`);
-  return EXIT_WRONG_USE;
+  return EXIT_USAGE_ERROR;
 }
 
-function write(text: string): void {
+function writeLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
 async function start(flags: BenchFlags): Promise<number> {
   const deployment = DEPLOYMENTS[flags.deployment];
   if (deployment === undefined) {
-    return complain(`no deployment ${flags.deployment}; there are ${names()}`);
+    return reportUsageError(
+      `no deployment ${flags.deployment}; there are ${listDeploymentNames()}`,
+    );
   }
   const { seed, programs, once } = flags;
   const httpPort = once ? 0 : flags.httpPort;
@@ -72,11 +74,11 @@
   return failed === 0 ? EXIT_DONE : EXIT_FAILED;
 }
 
-function names(): string {
+function listDeploymentNames(): string {
   return Object.keys(DEPLOYMENTS).join(', ');
 }
 
-function choosePolicies(text: string): PolicyName[] | undefined {
+function parsePolicies(text: string): PolicyName[] | undefined {
   const chosen = text === '' ? POLICY_NAMES : text.split(',');
   const known = chosen.flatMap((name) => POLICY_NAMES.filter((policy) => policy === name));
   return known.length === chosen.length ? known : undefined;
@@ -84,15 +86,15 @@
 
 function experiment(deployment: Deployment | undefined, flags: BenchFlags): number {
   if (deployment === undefined) {
-    return complain(`name an experiment: ${names()}`);
+    return reportUsageError(`name an experiment: ${listDeploymentNames()}`);
   }
-  const policies = choosePolicies(flags.policies);
+  const policies = parsePolicies(flags.policies);
   if (policies === undefined) {
-    return complain(`policies are ${POLICY_NAMES.join(', ')}`);
+    return reportUsageError(`policies are ${POLICY_NAMES.join(', ')}`);
   }
   const { seed, load, seconds } = flags;
   const result = runExperiment({ deployment, seed, load, seconds, policies });
-  write(flags.json ? JSON.stringify(result) : formatExperiment(result));
+  writeLine(flags.json ? JSON.stringify(result) : formatExperiment(result));
   return EXIT_DONE;
 }
 
@@ -107,7 +109,7 @@
 function parseSeeds(text: string): SeedRange | undefined {
   const range = SEED_RANGE.exec(text);
   if (range === null) {
-    complain('--seeds takes a range, such as 1..2000');
+    reportUsageError('--seeds takes a range, such as 1..2000');
     return undefined;
   }
   return { first: Number(range[1]), last: Number(range[2]) };
@@ -116,32 +118,32 @@
 function histories(flags: BenchFlags): number {
   const seeds = parseSeeds(flags.seeds);
   if (seeds === undefined) {
-    return EXIT_WRONG_USE;
+    return EXIT_USAGE_ERROR;
   }
   const result = runHistories(seeds.first, seeds.last);
   if (flags.json) {
-    write(JSON.stringify(result));
+    writeLine(JSON.stringify(result));
   } else {
     const { calls, historiesPerSecond } = result;
-    write(`${result.histories} histories, ${calls} calls, ${historiesPerSecond} a second`);
-    Object.entries(result.faults).forEach(([kind, count]) => write(`  ${kind}: ${count}`));
+    writeLine(`${result.histories} histories, ${calls} calls, ${historiesPerSecond} a second`);
+    Object.entries(result.faults).forEach(([kind, count]) => writeLine(`  ${kind}: ${count}`));
     result.violations.forEach((violation) => {
-      write(`seed ${violation.seed}: ${violation.condition}: ${violation.detail}`);
+      writeLine(`seed ${violation.seed}: ${violation.condition}: ${violation.detail}`);
     });
   }
   const failing = result.violations[0]?.seed;
   if (failing === undefined) {
     return EXIT_DONE;
   }
-  const fewest = shrinkFaults(failing).map((fault) => JSON.stringify(fault));
-  process.stderr.write(`seed ${failing} still fails with: ${fewest.join(' ')}\n`);
+  const remainingFaults = shrinkFaults(failing).map((fault) => JSON.stringify(fault));
+  process.stderr.write(`seed ${failing} still fails with: ${remainingFaults.join(' ')}\n`);
   return EXIT_FAILED;
 }
 
 function turnHistories(flags: BenchFlags): number {
   const seeds = parseSeeds(flags.seeds);
   if (seeds === undefined) {
-    return EXIT_WRONG_USE;
+    return EXIT_USAGE_ERROR;
   }
   const result = runTurnHistories(seeds.first, seeds.last, {
     ...(flags.replicas === 0 ? {} : { replicaCount: flags.replicas }),
@@ -150,54 +152,54 @@
     catchUpMilliseconds: flags.catchUp,
     ...(flags.members === 0 ? {} : { wantedMembers: flags.members }),
   });
-  write(JSON.stringify(result));
+  writeLine(JSON.stringify(result));
   return result.violations.length === 0 ? EXIT_DONE : EXIT_FAILED;
 }
 
 function powerLossDays(flags: BenchFlags): number {
   const seeds = parseSeeds(flags.seeds);
   if (seeds === undefined) {
-    return EXIT_WRONG_USE;
+    return EXIT_USAGE_ERROR;
   }
   const options = {
-    replicaCount: flags.replicas || DAY_REPLICAS,
-    wantedMembers: flags.members || DAY_MEMBERS,
+    replicaCount: flags.replicas || DEFAULT_DAY_REPLICAS,
+    wantedMembers: flags.members || DEFAULT_DAY_MEMBERS,
     lossesAtOnce: flags.losses,
     writeMilliseconds: flags.write,
     catchUpMilliseconds: flags.catchUp,
   };
-  let isBroken = false;
+  let hasViolations = false;
   for (let seed = seeds.first; seed <= seeds.last; seed += 1) {
     const day = playPowerLossDay(seed, options);
-    isBroken ||= day.violations.length > 0;
-    write(JSON.stringify(day));
+    hasViolations ||= day.violations.length > 0;
+    writeLine(JSON.stringify(day));
   }
-  return isBroken ? EXIT_FAILED : EXIT_DONE;
+  return hasViolations ? EXIT_FAILED : EXIT_DONE;
 }
 
 function configurationHistories(flags: BenchFlags): number {
   const seeds = parseSeeds(flags.seeds);
   if (seeds === undefined || flags.gateways < 1) {
-    return EXIT_WRONG_USE;
+    return EXIT_USAGE_ERROR;
   }
   const result = runConfigurationHistories(seeds.first, seeds.last, flags.gateways);
-  write(JSON.stringify(result));
+  writeLine(JSON.stringify(result));
   return result.violations.length === 0 ? EXIT_DONE : EXIT_FAILED;
 }
 
 function writeRows(rows: readonly object[], json: boolean): void {
   if (json) {
-    write(JSON.stringify(rows));
+    writeLine(JSON.stringify(rows));
     return;
   }
-  rows.forEach((row) => write(Object.values(row).map(formatValue).join('  ')));
+  rows.forEach((row) => writeLine(Object.values(row).map(formatValue).join('  ')));
 }
 
 function formatValue(value: unknown): string {
   return typeof value === 'number' ? String(Number(value.toPrecision(4))) : String(value);
 }
 
-function scaleAtSizes(flags: BenchFlags): object[] {
+function measureScaleAtSizes(flags: BenchFlags): object[] {
   const sizes = flags.nodes.split(',').map(Number);
   return sizes.map((nodes) => measureScale({ nodes, seed: flags.seed }));
 }
@@ -214,18 +216,18 @@
     case 'experiment':
       return experiment(DEPLOYMENTS[name], flags);
     case 'overhead':
-      write(JSON.stringify(await measureOverhead({ seed: flags.seed, calls: flags.calls })));
+      writeLine(JSON.stringify(await measureOverhead({ seed: flags.seed, calls: flags.calls })));
       return EXIT_DONE;
     case 'chaos': {
       const result = await runChaos({ seed: flags.seed, minutes: flags.minutes });
-      write(JSON.stringify(result));
+      writeLine(JSON.stringify(result));
       return result.violations.length + result.badExits === 0 ? EXIT_DONE : EXIT_FAILED;
     }
     case 'slopes':
       writeRows(measureSlopes(), flags.json);
       return EXIT_DONE;
     case 'scale':
-      writeRows(scaleAtSizes(flags), flags.json);
+      writeRows(measureScaleAtSizes(flags), flags.json);
       return EXIT_DONE;
     case 'histories':
       return histories(flags);
@@ -236,6 +238,6 @@
     case 'configuration-histories':
       return configurationHistories(flags);
     default:
-      return complain('name a command; see --help');
+      return reportUsageError('name a command; see --help');
   }
 }
--- a/src/commands/client.ts
+++ b/src/commands/client.ts
@@ -32,7 +32,7 @@
   | { readonly type: 'problem'; readonly problem: ProblemDocument }
   | { readonly type: 'unreachable'; readonly detail: string };
 
-async function ask(statement: string, options: ClientOptions): Promise<Answer> {
+async function sendStatement(statement: string, options: ClientOptions): Promise<Answer> {
   try {
     const response = await request(`${options.url}/v1/operator/statements`, {
       method: 'POST',
@@ -49,7 +49,7 @@
   }
 }
 
-function write(line: string): void {
+function writeLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
@@ -66,21 +66,21 @@
 
 function printResult(result: StatementResult): number {
   if (result.columns.length > 0) {
-    write(formatRows(result));
+    writeLine(formatRows(result));
   }
   if (result.secret !== undefined) {
-    write(`The key, shown only once: ${result.secret}`);
+    writeLine(`The key, shown only once: ${result.secret}`);
   }
   if (result.unreachable.length > 0) {
-    write(`Not reached: ${result.unreachable.join(', ')}`);
+    writeLine(`Not reached: ${result.unreachable.join(', ')}`);
   }
   if (result.revision === undefined || result.inForce === undefined) {
     return EXIT.done;
   }
   const { acknowledged, total, missing } = result.inForce;
-  write(`Done at revision ${result.revision}; in force on ${acknowledged} of ${total} nodes.`);
+  writeLine(`Done at revision ${result.revision}; in force on ${acknowledged} of ${total} nodes.`);
   if (missing.length > 0) {
-    write(`Not yet on: ${missing.join(', ')}`);
+    writeLine(`Not yet on: ${missing.join(', ')}`);
     return EXIT.notInForce;
   }
   return EXIT.done;
@@ -100,7 +100,7 @@
       return EXIT.unreachable;
     case 'problem':
       if (options.json) {
-        write(JSON.stringify(answer.problem));
+        writeLine(JSON.stringify(answer.problem));
       } else {
         const { title, verdict, detail } = answer.problem;
         process.stderr.write(`ivyloom: ${title} (${verdict})\n${detail}\n`);
@@ -108,7 +108,7 @@
       return exitCodeOf(answer.problem);
     case 'result':
       if (options.json) {
-        write(JSON.stringify(answer.result));
+        writeLine(JSON.stringify(answer.result));
         const missing = answer.result.inForce?.missing.length ?? 0;
         return missing > 0 ? EXIT.notInForce : EXIT.done;
       }
@@ -117,11 +117,11 @@
 }
 
 async function watch(statement: string, seconds: number, options: ClientOptions): Promise<number> {
-  const most = options.limitRuns ?? Infinity;
+  const maximumRuns = options.limitRuns ?? Infinity;
   let exitCode: number = EXIT.done;
-  for (let run = 1; run <= most; run += 1) {
-    exitCode = printAnswer(await ask(statement, options), options);
-    if (run < most) {
+  for (let run = 1; run <= maximumRuns; run += 1) {
+    exitCode = printAnswer(await sendStatement(statement, options), options);
+    if (run < maximumRuns) {
       await wait(seconds * 1_000);
     }
   }
@@ -146,7 +146,7 @@
       break;
     }
     if (statement !== '') {
-      exitCode = printAnswer(await ask(statement, options), options);
+      exitCode = printAnswer(await sendStatement(statement, options), options);
     }
     if (interactive) {
       lines.prompt();
@@ -163,5 +163,5 @@
   if (options.watchSeconds !== undefined) {
     return watch(statement, options.watchSeconds, options);
   }
-  return printAnswer(await ask(statement, options), options);
+  return printAnswer(await sendStatement(statement, options), options);
 }
--- a/src/commands/log-commands.ts
+++ b/src/commands/log-commands.ts
@@ -5,7 +5,7 @@
 import { explainRequest } from '../telemetry/explain-request.js';
 import { formatLogLine, matchesFilter, parseLogLine } from '../telemetry/log-lines.js';
 import type { LogFilter, LogLine } from '../telemetry/log-lines.js';
-import { traceProgramsOf } from '../telemetry/program-traces.js';
+import { tracePrograms } from '../telemetry/program-traces.js';
 import type { ProgramTrace } from '../telemetry/program-traces.js';
 import { lossRows, lossWindows, splitTime, TIME_CAUSES } from '../telemetry/report-losses.js';
 import { EXIT } from './client.js';
@@ -27,7 +27,7 @@
   return lines.sort((left, right) => left.time - right.time);
 }
 
-function fail(cause: unknown): number {
+function reportError(cause: unknown): number {
   const detail = cause instanceof Error ? cause.message : String(cause);
   process.stderr.write(`ivyloom: ${detail}\n`);
   return EXIT.wrong;
@@ -44,7 +44,7 @@
     sentences.forEach((sentence) => process.stdout.write(`${sentence}\n`));
     return EXIT.done;
   } catch (cause) {
-    return fail(cause);
+    return reportError(cause);
   }
 }
 
@@ -58,7 +58,7 @@
 }
 
 async function readPrograms(files: readonly string[]): Promise<ProgramTrace[]> {
-  return traceProgramsOf(await readLines(files, {}));
+  return tracePrograms(await readLines(files, {}));
 }
 
 /** Splits the time of one program by cause. */
@@ -69,10 +69,10 @@
       process.stderr.write(`ivyloom: no line names a program ${id} with a deadline\n`);
       return EXIT.refused;
     }
-    const over = Math.round(program.endedAt - program.deadlineAt);
-    const total = Math.round(program.endedAt - program.beganAt);
+    const overrunMilliseconds = Math.round(program.endedAt - program.deadlineAt);
+    const totalMilliseconds = Math.round(program.endedAt - program.startedAt);
     process.stdout.write(
-      `${id}: ${program.outcome}, ${total} ms, ${Math.abs(over)} ms ${over > 0 ? 'after' : 'before'} its time was over\n`,
+      `${id}: ${program.outcome}, ${totalMilliseconds} ms, ${Math.abs(overrunMilliseconds)} ms ${overrunMilliseconds > 0 ? 'after' : 'before'} its time was over\n`,
     );
     const split = splitTime(program);
     printTable(
@@ -81,7 +81,7 @@
     );
     return EXIT.done;
   } catch (cause) {
-    return fail(cause);
+    return reportError(cause);
   }
 }
 
@@ -105,12 +105,12 @@
         window.begun,
         window.late,
         window.failed,
-        window.mostly,
+        window.mainCause,
       ]),
     );
     return programs.length > 0 ? EXIT.done : EXIT.refused;
   } catch (cause) {
-    return fail(cause);
+    return reportError(cause);
   }
 }
 
@@ -121,6 +121,6 @@
     lines.forEach((line) => process.stdout.write(`${formatLogLine(line)}\n`));
     return lines.length > 0 ? EXIT.done : EXIT.refused;
   } catch (cause) {
-    return fail(cause);
+    return reportError(cause);
   }
 }
--- a/src/language/change-configuration.ts
+++ b/src/language/change-configuration.ts
@@ -21,9 +21,9 @@
 type ChangeStatement = SetStatement | CreateStatement | DeleteStatement | DrainStatement;
 
 /** Longest time a command waits for its change to be in force everywhere, in milliseconds. */
-const IN_FORCE_MILLISECONDS = 12_000;
+const IN_FORCE_TIMEOUT_MILLISECONDS = 12_000;
 /** Time between looks at who has the change in force, in milliseconds. */
-const LOOK_MILLISECONDS = 100;
+const POLL_INTERVAL_MILLISECONDS = 100;
 /** Bytes of a new key. */
 const KEY_BYTES = 24;
 
@@ -48,23 +48,23 @@
   key: { group: '', role: 'caller', sha256: '' },
 };
 
-function describeMissing(kind: ObjectKind, name: string): CallError {
+function createNotFoundError(kind: ObjectKind, name: string): CallError {
   return notRun('NotFound', `There is no ${kind} ${name}.`);
 }
 
-function checked(kind: ObjectKind, document: unknown): ReturnType<DocumentEdit> {
+function validateDocument(kind: ObjectKind, document: unknown): ReturnType<DocumentEdit> {
   const result = checkDocument(kind, document);
   return E.isRight(result)
     ? E.right({ put: result.right })
     : E.left(notRun('Malformed', result.left.join('; ')));
 }
 
-function unknownProperty(kind: ObjectKind, properties: Properties): CallError | undefined {
+function findUnknownProperty(kind: ObjectKind, properties: Properties): CallError | undefined {
   const known = Object.keys(DEFAULTS[kind]).filter((name) => name !== 'sha256');
-  const wrong = Object.keys(properties).find((name) => !known.includes(name));
-  return wrong === undefined
+  const unknown = Object.keys(properties).find((name) => !known.includes(name));
+  return unknown === undefined
     ? undefined
-    : notRun('Malformed', `A ${kind} has no "${wrong}"; it has ${known.join(', ')}.`);
+    : notRun('Malformed', `A ${kind} has no "${unknown}"; it has ${known.join(', ')}.`);
 }
 
 function planCreate(statement: CreateStatement): PlannedEdit {
@@ -75,25 +75,25 @@
     if (current !== undefined) {
       return E.left(notRun('Conflict', `The ${kind} ${name} exists; use "set" to change it.`));
     }
-    return checked(kind, { ...DEFAULTS[kind], ...properties, ...hash, name });
+    return validateDocument(kind, { ...DEFAULTS[kind], ...properties, ...hash, name });
   };
   return { kind, name, edit, ...(secret === undefined ? {} : { secret }) };
 }
 
 function planSet(statement: SetStatement): PlannedEdit {
   const { kind, name, properties } = statement;
-  return { kind, name, edit: (current) => amend(kind, name, current, properties) };
+  return { kind, name, edit: (current) => mergeProperties(kind, name, current, properties) };
 }
 
-function amend(
+function mergeProperties(
   kind: ObjectKind,
   name: string,
   current: ConfigurationDocument | undefined,
   properties: Readonly<Partial<EngineDocument>> | Properties,
 ): ReturnType<DocumentEdit> {
   return current === undefined
-    ? E.left(describeMissing(kind, name))
-    : checked(kind, { ...current.document, ...properties });
+    ? E.left(createNotFoundError(kind, name))
+    : validateDocument(kind, { ...current.document, ...properties });
 }
 
 function plan(statement: ChangeStatement): PlannedEdit {
@@ -105,7 +105,7 @@
     case 'delete': {
       const { kind, name } = statement;
       const edit: DocumentEdit = (current) =>
-        current === undefined ? E.left(describeMissing(kind, name)) : E.right({ remove: true });
+        current === undefined ? E.left(createNotFoundError(kind, name)) : E.right({ remove: true });
       return { kind, name, edit };
     }
     case 'drain':
@@ -115,7 +115,7 @@
       return {
         kind: 'engine',
         name,
-        edit: (current) => amend('engine', name, current, { draining }),
+        edit: (current) => mergeProperties('engine', name, current, { draining }),
       };
     }
   }
@@ -129,9 +129,11 @@
   listener: StatementListener,
 ): void {
   const hasProperties = statement.type === 'create' || statement.type === 'set';
-  const mistake = hasProperties ? unknownProperty(statement.kind, statement.properties) : undefined;
-  if (mistake !== undefined) {
-    listener(E.left(mistake));
+  const propertyError = hasProperties
+    ? findUnknownProperty(statement.kind, statement.properties)
+    : undefined;
+  if (propertyError !== undefined) {
+    listener(E.left(propertyError));
     return;
   }
   const { kind, name, edit, secret } = plan(statement);
@@ -151,7 +153,7 @@
 }
 
 function inForceState(node: IvyloomNode, revision: number): InForceState {
-  const names = node.options.nodes.map((placed) => placed.node);
+  const names = node.options.nodes.map((peer) => peer.node);
   const acknowledged = node.configuration.acknowledgedRevisions;
   const missing = names.filter((name) => (acknowledged.get(name) ?? 0) < revision);
   return { acknowledged: names.length - missing.length, total: names.length, missing };
@@ -164,14 +166,14 @@
 ): void {
   const { runtime } = node.options;
   const started = runtime.now();
-  const look = (): void => {
+  const poll = (): void => {
     const state = inForceState(node, revision);
-    if (state.missing.length === 0 || runtime.now() - started > IN_FORCE_MILLISECONDS) {
+    if (state.missing.length === 0 || runtime.now() - started > IN_FORCE_TIMEOUT_MILLISECONDS) {
       done(state);
       return;
     }
     node.configuration.askPeers(state.missing);
-    runtime.setTimer(LOOK_MILLISECONDS, look);
+    runtime.setTimer(POLL_INTERVAL_MILLISECONDS, poll);
   };
-  look();
+  poll();
 }
--- a/src/language/evaluate-rows.ts
+++ b/src/language/evaluate-rows.ts
@@ -11,7 +11,7 @@
   return String(left ?? '') < String(right) ? -1 : String(left ?? '') === String(right) ? 0 : 1;
 }
 
-function isLike(value: string, pattern: string): boolean {
+function matchesPattern(value: string, pattern: string): boolean {
   const escaped = pattern.replace(/[.*+?^${}()|[\]\\]/g, '\\$&').replace(/%/g, '.*');
   return new RegExp(`^${escaped}$`, 'i').test(value);
 }
@@ -33,7 +33,7 @@
     case '>=':
       return order >= 0;
     case 'like':
-      return isLike(String(value ?? ''), String(condition.value));
+      return matchesPattern(String(value ?? ''), String(condition.value));
   }
 }
 
@@ -84,17 +84,17 @@
 
 /** The rows a `show` answers with. */
 export function evaluateShow(rows: readonly Row[], statement: ShowStatement): Row[] {
-  const kept = rows.filter((row) =>
+  const matchingRows = rows.filter((row) =>
     statement.conditions.every((condition) => satisfies(row, condition)),
   );
   const grouping = statement.groupBy.length > 0 || statement.aggregates.length > 0;
-  const shaped = grouping ? groupRows(kept, statement) : [...kept];
+  const resultRows = grouping ? groupRows(matchingRows, statement) : [...matchingRows];
   const { orderBy } = statement;
   if (orderBy !== undefined) {
     const direction = orderBy.descending ? -1 : 1;
-    shaped.sort(
+    resultRows.sort(
       (left, right) => direction * compare(left[orderBy.column], right[orderBy.column] ?? ''),
     );
   }
-  return statement.limit === undefined ? shaped : shaped.slice(0, statement.limit);
+  return statement.limit === undefined ? resultRows : resultRows.slice(0, statement.limit);
 }
--- a/src/language/explain-call.ts
+++ b/src/language/explain-call.ts
@@ -5,9 +5,9 @@
 import type { Row } from '../node/row-collector.js';
 import type { StatementListener } from './run-statement.js';
 
-function reasonOf(call: Row, engines: readonly Row[], calls: readonly Row[]): string {
-  const pool = engines.filter((engine) => engine['service'] === call['service']);
-  const usable = pool.filter((engine) => engine['state'] === 'up');
+function explainState(call: Row, engines: readonly Row[], calls: readonly Row[]): string {
+  const engineRows = engines.filter((engine) => engine['service'] === call['service']);
+  const usable = engineRows.filter((engine) => engine['state'] === 'up');
   const full = usable.filter((engine) => Number(engine['running']) >= Number(engine['limit']));
   const ahead = calls.filter(
     (other) => other['service'] === call['service'] && other['state'] === 'waiting',
@@ -17,7 +17,7 @@
       return 'An earlier call of its program is under way; calls of a program run in order.';
     case 'waiting':
       if (usable.length === 0) {
-        return `No back end of ${String(call['service'])} is up: ${pool.length} are configured.`;
+        return `No back end of ${String(call['service'])} is up: ${engineRows.length} are configured.`;
       }
       return `${full.length} of ${usable.length} back ends are full; ${ahead.length} calls wait.`;
     case 'intending':
@@ -43,7 +43,7 @@
       return;
     }
     node.rows.collect('engines', (engines) => {
-      const reason = reasonOf(call, engines.rows, calls.rows);
+      const reason = explainState(call, engines.rows, calls.rows);
       const rows = [
         ...Object.entries(call).map(([property, value]) => ({ property, value })),
         { property: 'reason', value: reason },
--- a/src/language/parse-statement.ts
+++ b/src/language/parse-statement.ts
@@ -15,13 +15,13 @@
 import { closestWord } from './suggest.js';
 import {
   ALL_TOKENS,
-  Close,
+  CloseParenthesis,
   Comma,
   Comparator,
   DigitName,
   KEYWORDS,
   Name,
-  Open,
+  OpenParenthesis,
   Quantity,
   Star,
   statementLexer,
@@ -49,7 +49,7 @@
 
 const MULTIPLIERS: Readonly<Record<string, number>> = { k: 1e3, M: 1e6, G: 1e9 };
 
-function readQuantity(image: string): number {
+function parseQuantity(image: string): number {
   const unit = image.slice(-1);
   const multiplier = MULTIPLIERS[unit];
   return multiplier === undefined ? Number(image) : Number(image.slice(0, -1)) * multiplier;
@@ -121,7 +121,7 @@
     });
     this.OPTION6(() => {
       this.CONSUME(KEYWORDS.limit);
-      limit = readQuantity(this.CONSUME(Quantity).image);
+      limit = parseQuantity(this.CONSUME(Quantity).image);
     });
     return {
       type: 'show',
@@ -153,11 +153,11 @@
         { ALT: () => this.CONSUME(KEYWORDS.p95) },
       ]),
     );
-    this.CONSUME(Open);
+    this.CONSUME(OpenParenthesis);
     const column = imageOf(
       this.OR2<IToken>([{ ALT: () => this.CONSUME(Star) }, { ALT: () => this.CONSUME(Name) }]),
     );
-    this.CONSUME(Close);
+    this.CONSUME(CloseParenthesis);
     return { function: name as Aggregate['function'], column: column === '*' ? '' : column };
   });
 
@@ -175,7 +175,7 @@
 
   private readonly value = this.RULE('value', (): RowValue =>
     this.OR<RowValue>([
-      { ALT: () => readQuantity(this.CONSUME(Quantity).image) },
+      { ALT: () => parseQuantity(this.CONSUME(Quantity).image) },
       { ALT: () => unquote(this.CONSUME(Text).image) },
       { ALT: () => this.CONSUME(DigitName).image },
       {
--- a/src/language/run-statement.ts
+++ b/src/language/run-statement.ts
@@ -64,15 +64,15 @@
     return;
   }
   const statement = parsed.right;
-  const changes = statement.type !== 'show' && statement.type !== 'explain';
-  if (changes && !operator.mayChange) {
+  const isChange = statement.type !== 'show' && statement.type !== 'explain';
+  if (isChange && !operator.mayChange) {
     listener(E.left(notRun('Forbidden', 'A viewer may only show and explain.')));
     return;
   }
   execute(node, statement, { text, operator, id }, listener);
 }
 
-interface Origin {
+interface StatementOrigin {
   readonly text: string;
   readonly operator: Operator;
   readonly id: string;
@@ -81,7 +81,7 @@
 function execute(
   node: IvyloomNode,
   statement: Statement,
-  origin: Origin,
+  origin: StatementOrigin,
   listener: StatementListener,
 ): void {
   switch (statement.type) {
@@ -90,9 +90,9 @@
     case 'explain':
       return statement.subject === 'call'
         ? explainCall(node, statement.name, listener)
-        : describeProgram(node, 'describe', statement.name, origin.id, listener);
+        : requestProgramAction(node, 'describe', statement.name, origin.id, listener);
     case 'stop':
-      return describeProgram(node, 'stop', statement.program, origin.id, listener);
+      return requestProgramAction(node, 'stop', statement.program, origin.id, listener);
     default:
       return changeConfiguration(
         node,
@@ -103,23 +103,23 @@
   }
 }
 
-function unknownColumn(statement: ShowStatement): string | undefined {
+function describeUnknownColumn(statement: ShowStatement): string | undefined {
   const table = findTable(statement.table);
   const known = (table?.columns ?? []).map((column) => column.name);
   const aggregates = statement.aggregates.map(aggregateName);
-  const mentioned = [
+  const referenced = [
     ...statement.conditions.map((condition) => condition.column),
     ...statement.groupBy,
     ...statement.aggregates.map((aggregate) => aggregate.column).filter((name) => name !== ''),
     ...(statement.orderBy === undefined ? [] : [statement.orderBy.column]),
   ];
-  const wrong = mentioned.find((name) => ![...known, ...aggregates, 'count'].includes(name));
-  if (wrong === undefined) {
+  const unknown = referenced.find((name) => ![...known, ...aggregates, 'count'].includes(name));
+  if (unknown === undefined) {
     return undefined;
   }
-  const suggestion = closestWord(wrong, known);
+  const suggestion = closestWord(unknown, known);
   const hint = suggestion === undefined ? '' : ` Did you mean "${suggestion}"?`;
-  return `${statement.table} has no column "${wrong}"; it has ${known.join(', ')}.${hint}`;
+  return `${statement.table} has no column "${unknown}"; it has ${known.join(', ')}.${hint}`;
 }
 
 function show(node: IvyloomNode, statement: ShowStatement, listener: StatementListener): void {
@@ -132,12 +132,12 @@
     listener(E.left(notRun('Malformed', detail)));
     return;
   }
-  const mistake = unknownColumn(statement);
-  if (mistake !== undefined) {
-    listener(E.left(notRun('Malformed', mistake)));
+  const columnError = describeUnknownColumn(statement);
+  if (columnError !== undefined) {
+    listener(E.left(notRun('Malformed', columnError)));
     return;
   }
-  const answer = ({ rows, unreachable }: CollectedRows): void => {
+  const respond = ({ rows, unreachable }: CollectedRows): void => {
     const merged = statement.table === 'groups' ? mergeGroups(rows) : rows;
     const shown = evaluateShow(merged, statement);
     const grouping = statement.groupBy.length > 0 || statement.aggregates.length > 0;
@@ -147,9 +147,9 @@
     listener(E.right({ columns, rows: shown, unreachable }));
   };
   if ((COLLECTED_TABLES as readonly string[]).includes(statement.table)) {
-    node.rows.collect(statement.table, answer);
+    node.rows.collect(statement.table, respond);
   } else {
-    answer({ rows: configurationRows(node, statement.table), unreachable: [] });
+    respond({ rows: configurationRows(node, statement.table), unreachable: [] });
   }
 }
 
@@ -182,7 +182,7 @@
   return [...keys.values()].map(({ name, group, role }) => ({ key: name, group, role }));
 }
 
-function describeProgram(
+function requestProgramAction(
   node: IvyloomNode,
   action: 'describe' | 'stop',
   program: string,
--- a/src/language/tokens.ts
+++ b/src/language/tokens.ts
@@ -16,15 +16,15 @@
 /** How two values are compared. */
 export const Comparator = createToken({ name: 'Comparator', pattern: /<=|>=|!=|=|<|>/ });
 /** `(` */
-export const Open = createToken({ name: 'Open', pattern: /\(/ });
+export const OpenParenthesis = createToken({ name: 'Open', pattern: /\(/ });
 /** `)` */
-export const Close = createToken({ name: 'Close', pattern: /\)/ });
+export const CloseParenthesis = createToken({ name: 'Close', pattern: /\)/ });
 /** `*` */
 export const Star = createToken({ name: 'Star', pattern: /\*/ });
 /** `,` */
 export const Comma = createToken({ name: 'Comma', pattern: /,/ });
-const Blank = createToken({ name: 'Blank', pattern: /\s+/, group: Lexer.SKIPPED });
-const End = createToken({ name: 'End', pattern: /;/, group: Lexer.SKIPPED });
+const Whitespace = createToken({ name: 'Blank', pattern: /\s+/, group: Lexer.SKIPPED });
+const Semicolon = createToken({ name: 'End', pattern: /;/, group: Lexer.SKIPPED });
 
 function keyword(word: string): TokenType {
   const name = word.charAt(0).toUpperCase() + word.slice(1);
@@ -64,16 +64,16 @@
 
 /** Every token, in the order in which they are tried. */
 export const ALL_TOKENS: TokenType[] = [
-  Blank,
-  End,
+  Whitespace,
+  Semicolon,
   ...Object.values(KEYWORDS),
   Quantity,
   DigitName,
   Name,
   Text,
   Comparator,
-  Open,
-  Close,
+  OpenParenthesis,
+  CloseParenthesis,
   Star,
   Comma,
 ];
--- a/src/platform/back-end-port.ts
+++ b/src/platform/back-end-port.ts
@@ -75,7 +75,7 @@
 /** Everything the system asks of back ends. */
 export interface BackEndPort {
   /** Runs an order. */
-  start(engine: EngineId, order: BackEndRequest, listener: BackEndListener): CancelRequest;
+  start(engine: EngineId, request: BackEndRequest, listener: BackEndListener): CancelRequest;
   /**
    * Takes up the stream of an order given earlier, from its start, and raises the fence, so that
    * an order of an earlier term that is still on its way will be refused. Fails with `MayHaveRun`
--- a/src/platform/etcd-key-value.ts
+++ b/src/platform/etcd-key-value.ts
@@ -13,9 +13,9 @@
 } from './key-value-port.js';
 
 /** Time a request may take, in milliseconds. */
-const REQUEST_MILLISECONDS = 2_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 2_000;
 /** Pause before a lost watch is opened again, in milliseconds. */
-const WATCH_RETRY_MILLISECONDS = 1_000;
+const WATCH_RETRY_DELAY_MILLISECONDS = 1_000;
 const TOO_MANY_REQUESTS = 429;
 
 interface WireRange {
@@ -28,16 +28,16 @@
   readonly succeeded?: boolean;
 }
 
-function encode(text: string): string {
+function encodeBase64(text: string): string {
   return Buffer.from(text, 'utf8').toString('base64');
 }
 
-function decode(text: string): string {
+function decodeBase64(text: string): string {
   return Buffer.from(text, 'base64').toString('utf8');
 }
 
 /** The end of the range of keys that start with a prefix, as etcd counts it. */
-export function endOfPrefix(prefix: string): string {
+export function encodeRangeEnd(prefix: string): string {
   const bytes = Buffer.from(prefix, 'utf8');
   const last = bytes.length - 1;
   bytes[last] = bytes[last]! + 1;
@@ -55,19 +55,19 @@
 export class EtcdKeyValue implements KeyValuePort {
   private readonly agent = new Agent({
     bodyTimeout: 0,
-    connect: { timeout: REQUEST_MILLISECONDS },
+    connect: { timeout: REQUEST_TIMEOUT_MILLISECONDS },
   });
   private closed = false;
 
   constructor(private readonly options: EtcdKeyValueOptions) {}
 
   range(prefix: string, listener: KeyValueListener<RangeResult>): void {
-    const body = { key: encode(prefix), range_end: endOfPrefix(prefix) };
+    const body = { key: encodeBase64(prefix), range_end: encodeRangeEnd(prefix) };
     this.post<WireRange, RangeResult>('/v3/kv/range', body, false, listener, (answer) => ({
       revision: Number(answer.header?.revision ?? 0),
       pairs: (answer.kvs ?? []).map((pair) => ({
-        key: decode(pair.key),
-        value: decode(pair.value ?? ''),
+        key: decodeBase64(pair.key),
+        value: decodeBase64(pair.value ?? ''),
         modRevision: Number(pair.mod_revision),
       })),
     }));
@@ -76,16 +76,16 @@
   change(change: GuardedChange, listener: KeyValueListener<ChangeResult>): void {
     const body = {
       compare: change.guards.map(({ key, modRevision }) => ({
-        key: encode(key),
+        key: encodeBase64(key),
         target: 'MOD',
         result: 'EQUAL',
         mod_revision: String(modRevision),
       })),
       success: [
         ...change.puts.map(({ key, value }) => ({
-          request_put: { key: encode(key), value: encode(value) },
+          request_put: { key: encodeBase64(key), value: encodeBase64(value) },
         })),
-        ...change.deletes.map((key) => ({ request_delete_range: { key: encode(key) } })),
+        ...change.deletes.map((key) => ({ request_delete_range: { key: encodeBase64(key) } })),
       ],
     };
     this.post<WireTransaction, ChangeResult>('/v3/kv/txn', body, true, listener, (answer) => ({
@@ -96,19 +96,23 @@
 
   watch(prefix: string, fromRevision: number, onChange: () => void): () => void {
     const abort = new AbortController();
-    let open = false;
-    const keepOpen = (): void => {
-      if (open || this.closed) {
+    let isOpen = false;
+    const ensureOpen = (): void => {
+      if (isOpen || this.closed) {
         return;
       }
-      open = true;
+      isOpen = true;
       this.readWatch(prefix, fromRevision, abort.signal, onChange).then(
-        () => (open = false),
-        () => (open = false),
+        () => (isOpen = false),
+        () => (isOpen = false),
       );
     };
-    keepOpen();
-    const cancel = setRepeatingTimer(this.options.runtime, WATCH_RETRY_MILLISECONDS, keepOpen);
+    ensureOpen();
+    const cancel = setRepeatingTimer(
+      this.options.runtime,
+      WATCH_RETRY_DELAY_MILLISECONDS,
+      ensureOpen,
+    );
     return () => {
       cancel();
       abort.abort();
@@ -127,7 +131,7 @@
     signal: AbortSignal,
     onChange: () => void,
   ): Promise<void> {
-    const range = { key: encode(prefix), range_end: endOfPrefix(prefix) };
+    const range = { key: encodeBase64(prefix), range_end: encodeRangeEnd(prefix) };
     const start = fromRevision > 0 ? { start_revision: String(fromRevision) } : {};
     const response = await request(`${this.options.url}/v3/watch`, {
       method: 'POST',
@@ -144,17 +148,17 @@
   private post<Wire, Result>(
     path: string,
     body: unknown,
-    changes: boolean,
+    isWrite: boolean,
     listener: KeyValueListener<Result>,
     convert: (answer: Wire) => Result,
   ): void {
-    const settle = (result: E.Either<KeyValueError, Result>): void => listener(result);
+    const report = (result: E.Either<KeyValueError, Result>): void => listener(result);
     request(this.options.url + path, {
       method: 'POST',
       dispatcher: this.agent,
       headers: { 'content-type': 'application/json' },
-      headersTimeout: REQUEST_MILLISECONDS,
-      bodyTimeout: REQUEST_MILLISECONDS,
+      headersTimeout: REQUEST_TIMEOUT_MILLISECONDS,
+      bodyTimeout: REQUEST_TIMEOUT_MILLISECONDS,
       body: JSON.stringify(body),
     })
       .then(async (response) => {
@@ -163,23 +167,23 @@
       })
       .then(({ status, answer }) => {
         if (status === 200) {
-          settle(E.right(convert(answer)));
+          report(E.right(convert(answer)));
         } else if (status === TOO_MANY_REQUESTS) {
           const detail = 'too many requests';
-          settle(E.left({ tag: 'RateLimited', mayHaveApplied: false, detail }));
+          report(E.left({ tag: 'RateLimited', mayHaveApplied: false, detail }));
         } else {
           const detail = `status ${status}`;
-          settle(E.left({ tag: 'Unavailable', mayHaveApplied: changes, detail }));
+          report(E.left({ tag: 'Unavailable', mayHaveApplied: isWrite, detail }));
         }
       })
-      .catch((cause: unknown) => settle(E.left(describeError(cause, changes))));
+      .catch((cause: unknown) => report(E.left(describeError(cause, isWrite))));
   }
 }
 
-function describeError(cause: unknown, changes: boolean): KeyValueError {
+function describeError(cause: unknown, isWrite: boolean): KeyValueError {
   const error = cause as { code?: string; message?: string };
-  const refused = error.code === 'ECONNREFUSED' || error.code === 'UND_ERR_CONNECT_TIMEOUT';
-  const mayHaveApplied = changes && !refused;
+  const neverConnected = error.code === 'ECONNREFUSED' || error.code === 'UND_ERR_CONNECT_TIMEOUT';
+  const mayHaveApplied = isWrite && !neverConnected;
   const detail = error.message ?? 'no answer';
   return { tag: mayHaveApplied ? 'AnswerLost' : 'Unavailable', mayHaveApplied, detail };
 }
--- a/src/platform/event-stream.ts
+++ b/src/platform/event-stream.ts
@@ -8,16 +8,16 @@
 /** Cuts a byte stream into events. */
 export class EventStreamReader {
   private readonly decoder = new StringDecoder('utf8');
-  private rest = '';
+  private buffered = '';
 
   /** Takes a chunk; returns the data of the events that are complete. */
   push(chunk: Buffer): string[] {
-    this.rest += this.decoder.write(chunk);
-    if (this.rest.length > MAXIMUM_EVENT_CHARACTERS) {
+    this.buffered += this.decoder.write(chunk);
+    if (this.buffered.length > MAXIMUM_EVENT_CHARACTERS) {
       throw new RangeError('an event exceeds the bound');
     }
-    const events = this.rest.split(/\r?\n\r?\n/);
-    this.rest = events.pop() ?? '';
+    const events = this.buffered.split(/\r?\n\r?\n/);
+    this.buffered = events.pop() ?? '';
     return events.map(dataOf).filter((data) => data !== '');
   }
 }
--- a/src/platform/http-back-ends.ts
+++ b/src/platform/http-back-ends.ts
@@ -21,13 +21,13 @@
 import { EventStreamReader } from './event-stream.js';
 
 /** Time a connection to a back end may take, in milliseconds. */
-const CONNECT_MILLISECONDS = 1_000;
+const CONNECT_TIMEOUT_MILLISECONDS = 1_000;
 /** Connections kept to one back end. */
 const CONNECTIONS_PER_ENGINE = 256;
 /** Longest silence of a stream, in milliseconds. */
-const SILENCE_MILLISECONDS = 60_000;
+const INACTIVITY_TIMEOUT_MILLISECONDS = 60_000;
 /** Errors after which the request cannot have arrived. */
-const NEVER_ARRIVED = new Set([
+const NOT_DELIVERED_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -65,9 +65,9 @@
       };
 }
 
-function describeFailure(cause: unknown): { verdict: Verdict; detail: string } {
+function classifyFailure(cause: unknown): { verdict: Verdict; detail: string } {
   const error = cause as { code?: string; message?: string };
-  const verdict = NEVER_ARRIVED.has(error.code ?? '') ? 'NotRun' : 'MayHaveRun';
+  const verdict = NOT_DELIVERED_ERROR_CODES.has(error.code ?? '') ? 'NotRun' : 'MayHaveRun';
   return { verdict, detail: error.message ?? 'the request failed' };
 }
 
@@ -75,57 +75,69 @@
 export class HttpBackEnds implements BackEndPort {
   private readonly agent = new Agent({
     connections: CONNECTIONS_PER_ENGINE,
-    connect: { timeout: CONNECT_MILLISECONDS },
-    bodyTimeout: SILENCE_MILLISECONDS,
-    headersTimeout: SILENCE_MILLISECONDS,
+    connect: { timeout: CONNECT_TIMEOUT_MILLISECONDS },
+    bodyTimeout: INACTIVITY_TIMEOUT_MILLISECONDS,
+    headersTimeout: INACTIVITY_TIMEOUT_MILLISECONDS,
   });
 
   constructor(private readonly options: HttpBackEndsOptions) {}
 
-  start(engine: EngineId, order: BackEndRequest, listener: BackEndListener): CancelRequest {
-    const isChat = order.messages.length > 0;
+  start(
+    engine: EngineId,
+    backEndRequest: BackEndRequest,
+    listener: BackEndListener,
+  ): CancelRequest {
+    const isChat = backEndRequest.messages.length > 0;
     const extension = {
-      call: order.call,
-      program: order.program,
-      fence: order.fence,
-      continue_text: order.continueText,
-      last_of_program: order.lastOfProgram,
+      call: backEndRequest.call,
+      program: backEndRequest.program,
+      fence: backEndRequest.fence,
+      continue_text: backEndRequest.continueText,
+      last_of_program: backEndRequest.lastOfProgram,
     };
     const body = isChat
       ? {
-          model: order.service,
-          messages: order.messages,
+          model: backEndRequest.service,
+          messages: backEndRequest.messages,
           stream: true,
           stream_options: { include_usage: true },
-          max_tokens: order.maximumTokens,
-          priority: order.priority,
+          max_tokens: backEndRequest.maximumTokens,
+          priority: backEndRequest.priority,
           ivyloom: extension,
         }
-      : { service: order.service, payload: order.payload, ivyloom: extension };
+      : { service: backEndRequest.service, payload: backEndRequest.payload, ivyloom: extension };
     const path = isChat ? '/v1/chat/completions' : '/ivyloom/invocations';
-    return this.stream(engine, 'POST', path, body, order.continueText, listener, (abort) => {
-      abort();
-      this.cancel(engine, order.call);
-    });
+    return this.openStream(
+      engine,
+      'POST',
+      path,
+      body,
+      backEndRequest.continueText,
+      listener,
+      (abort) => {
+        abort();
+        this.cancel(engine, backEndRequest.call);
+      },
+    );
   }
 
   resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelRequest {
     const path = `/ivyloom/streams/${encodeURIComponent(call)}?shard=${fence.shard}&term=${fence.term}`;
-    const mayHaveRun: BackEndListener = (event) =>
+    const reportAsMayHaveRun: BackEndListener = (event) =>
       listener(event.type === 'failed' ? { ...event, verdict: 'MayHaveRun' } : event);
-    return this.stream(engine, 'GET', path, undefined, '', mayHaveRun, (abort) => {
+    return this.openStream(engine, 'GET', path, undefined, '', reportAsMayHaveRun, (abort) => {
       abort();
       this.cancel(engine, call);
     });
   }
 
   cancel(engine: EngineId, call: CallId): void {
-    this.order(engine, 'DELETE', `/ivyloom/streams/${encodeURIComponent(call)}`);
+    this.sendCommand(engine, 'DELETE', `/ivyloom/streams/${encodeURIComponent(call)}`);
   }
 
   hold(engine: EngineId, program: ProgramId, milliseconds: number, fence: Fence): void {
     const path = `/ivyloom/holds/${encodeURIComponent(program)}`;
-    this.order(engine, 'PUT', path, { milliseconds, fence });
+    this.sendCommand(engine, 'PUT', path, { milliseconds, fence });
   }
 
   report(engine: EngineId, listener: (report: BackEndReport) => void): void {
@@ -145,7 +157,12 @@
     void this.agent.destroy();
   }
 
-  private order(engine: EngineId, method: 'PUT' | 'DELETE', path: string, body?: unknown): void {
+  private sendCommand(
+    engine: EngineId,
+    method: 'PUT' | 'DELETE',
+    path: string,
+    body?: unknown,
+  ): void {
     const url = this.options.urlOf(engine);
     if (url === undefined) {
       return;
@@ -169,12 +186,12 @@
     };
   }
 
-  private stream(
+  private openStream(
     engine: EngineId,
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
-    known: string,
+    precedingText: string,
     listener: BackEndListener,
     cancel: (abort: () => void) => void,
   ): CancelRequest {
@@ -186,23 +203,26 @@
       return () => undefined;
     }
     const abort = new AbortController();
-    let over = false;
-    const tell: BackEndListener = (event) => {
-      if (!over) {
-        over = event.type !== 'piece';
+    let hasEnded = false;
+    const emit: BackEndListener = (event) => {
+      if (!hasEnded) {
+        hasEnded = event.type !== 'piece';
         listener(event);
       }
     };
-    this.read(url + path, this.requestOptions(method, body, abort.signal), known, tell).catch(
-      (cause: unknown) => tell({ type: 'failed', ...describeFailure(cause) }),
-    );
+    this.readStream(
+      url + path,
+      this.requestOptions(method, body, abort.signal),
+      precedingText,
+      emit,
+    ).catch((cause: unknown) => emit({ type: 'failed', ...classifyFailure(cause) }));
     return () => {
-      over = true;
+      hasEnded = true;
       cancel(() => abort.abort());
     };
   }
 
-  private async read(
+  private async readStream(
     url: string,
     options: Parameters<typeof request>[1],
     known: string,
--- a/src/replication/level-storage.ts
+++ b/src/replication/level-storage.ts
@@ -8,7 +8,7 @@
 import { ClassicLevel } from 'classic-level';
 import type { NodeId, ShardId } from '../model/identifiers.js';
 import { hashText } from '../runtime/hashing.js';
-import { makeDurableFolder, syncNames } from '../runtime/sync-names.js';
+import { createDurableFolder, syncFolder } from '../runtime/sync-folder.js';
 import type { NodeStorage } from '../node/node-options.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { decodeEntry, encodeEntry } from '../wire/command-codec.js';
@@ -97,7 +97,7 @@
   /** Opens the data folder and reads the replicas of a region's shards. */
   static async open(folder: string, map: ShardMap, runtime: Runtime): Promise<LoadedStorage> {
     const path = join(folder, 'replicas');
-    await makeDurableFolder(path);
+    await createDurableFolder(path);
     const database = new ClassicLevel<string, string>(path);
     await database.open();
     const storage = new LevelStorage(database, path, runtime);
@@ -221,7 +221,7 @@
 
   private async writeDurably(operations: Operation[]): Promise<void> {
     await this.database.batch(operations, { sync: true });
-    await syncNames(this.folder);
+    await syncFolder(this.folder);
   }
 
   /** Reads one replica; true when its tail is torn. */
--- a/src/runtime/real-runtime.ts
+++ b/src/runtime/real-runtime.ts
@@ -4,7 +4,7 @@
 import { writeSync } from 'node:fs';
 import { performance } from 'node:perf_hooks';
 import { ROARR, Roarr, logLevels } from 'roarr';
-import { BoundedWriter, writeTo } from '../telemetry/bounded-writer.js';
+import { BoundedWriter, writeToDescriptor } from '../telemetry/bounded-writer.js';
 import { createRandom } from './random.js';
 import type { LogFields, LogFunction, LogLevel, Runtime } from './runtime.js';
 
@@ -19,13 +19,13 @@
 }
 
 const STANDARD_OUTPUT = 1;
-const LARGEST_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 
 /** Time for which log lines are gathered for one write, in milliseconds: longer saves wake-ups, and a crash may lose that much. */
-const GATHER_MILLISECONDS = 250;
+const FLUSH_DELAY_MILLISECONDS = 250;
 
 /** Writes the last lines before the process ends. */
-function writeLast(bytes: Buffer): void {
+function writeFinalLines(bytes: Buffer): void {
   try {
     writeSync(STANDARD_OUTPUT, bytes);
   } catch {
@@ -34,10 +34,10 @@
 }
 
 function openStandardOutput(): BoundedWriter {
-  const writer = new BoundedWriter(writeTo(STANDARD_OUTPUT), (writeNow) => {
-    setTimeout(writeNow, GATHER_MILLISECONDS).unref();
+  const writer = new BoundedWriter(writeToDescriptor(STANDARD_OUTPUT), (flush) => {
+    setTimeout(flush, FLUSH_DELAY_MILLISECONDS).unref();
   });
-  process.on('exit', () => writeLast(writer.takeWaiting()));
+  process.on('exit', () => writeFinalLines(writer.takeQueued()));
   return writer;
 }
 
@@ -45,13 +45,13 @@
 let standardOutput: BoundedWriter | undefined;
 
 /** A logger that writes JSON lines by `roarr`. */
-export function createLog(fields: LogFields, least: LogLevel): LogFunction {
+export function createLog(fields: LogFields, minimumLevel: LogLevel): LogFunction {
   standardOutput ??= openStandardOutput();
   const writer = standardOutput;
   ROARR.write = (line: string): void => writer.push(line);
   const logger = Roarr.child({ application: 'ivyloom', ...fields });
   return (level, message, extra = {}) => {
-    if (logLevels[level] >= logLevels[least]) {
+    if (logLevels[level] >= logLevels[minimumLevel]) {
       logger[level]({ ...extra }, message);
     }
   };
@@ -70,7 +70,7 @@
       const timer = setTimeout(callback, delay);
       return () => clearTimeout(timer);
     },
-    random: createRandom(options.seed ?? randomInt(LARGEST_SEED)),
+    random: createRandom(options.seed ?? randomInt(SEED_LIMIT)),
     log: createLog(options.fields ?? {}, options.logLevel ?? 'info'),
   };
 }
--- a/src/runtime/sync-names.ts
+++ b/src/runtime/sync-folder.ts
@@ -6,7 +6,7 @@
 import { dirname } from 'node:path';
 
 /** Makes the names in a folder last as they are now. Rejects when the disk refuses. */
-export async function syncNames(folder: string): Promise<void> {
+export async function syncFolder(folder: string): Promise<void> {
   const handle = await open(folder, 'r');
   try {
     await handle.sync();
@@ -16,12 +16,12 @@
 }
 
 /** Makes a folder, and those above it, that are missing; resolves when all their names last. */
-export async function makeDurableFolder(path: string): Promise<void> {
+export async function createDurableFolder(path: string): Promise<void> {
   const topmost = (await mkdir(path, { recursive: true })) ?? path;
-  let at = path;
-  await syncNames(dirname(at));
-  while (at !== topmost) {
-    at = dirname(at);
-    await syncNames(dirname(at));
+  let current = path;
+  await syncFolder(dirname(current));
+  while (current !== topmost) {
+    current = dirname(current);
+    await syncFolder(dirname(current));
   }
 }
--- a/src/telemetry/bounded-writer.ts
+++ b/src/telemetry/bounded-writer.ts
@@ -6,8 +6,8 @@
 import { write } from 'node:fs';
 
 /** Bytes that may wait; a reader that stops reading stops nothing. */
-export const MAXIMUM_WAITING_BYTES = 1024 * 1024;
-const LARGEST_WRITE_BYTES = 64 * 1024;
+export const MAXIMUM_QUEUED_BYTES = 1024 * 1024;
+const MAXIMUM_BATCH_BYTES = 64 * 1024;
 
 /** Writes bytes and calls back with the number written; replaced in tests. */
 export type WriteFunction = (
@@ -16,76 +16,76 @@
 ) => void;
 
 /** Calls back after a moment in which more lines may come. */
-export type GatherFunction = (write: () => void) => void;
+export type ScheduleFlush = (flush: () => void) => void;
 
-const AT_ONCE: GatherFunction = (writeNow) => writeNow();
+const FLUSH_IMMEDIATELY: ScheduleFlush = (flush) => flush();
 
 /** Writes to a file descriptor by a thread, so that a full pipe blocks no caller. */
-export function writeTo(descriptor: number): WriteFunction {
+export function writeToDescriptor(descriptor: number): WriteFunction {
   return (bytes, done) => write(descriptor, bytes, 0, bytes.length, null, done);
 }
 
 /** See the head of this file. */
 export class BoundedWriter {
-  private waiting: Buffer[] = [];
-  private waitingBytes = 0;
-  private writing = false;
-  private gathering = false;
-  private untoldDrops = 0;
+  private queue: Buffer[] = [];
+  private queuedBytes = 0;
+  private isWriting = false;
+  private isFlushScheduled = false;
+  private unreportedDrops = 0;
   /** Lines dropped so far. */
   droppedLines = 0;
 
   constructor(
     private readonly writeBytes: WriteFunction,
-    private readonly gather: GatherFunction = AT_ONCE,
+    private readonly scheduleFlush: ScheduleFlush = FLUSH_IMMEDIATELY,
   ) {}
 
   /** Takes one line without its line feed. */
   push(line: string): void {
     const bytes = Buffer.from(`${line}\n`);
-    if (this.waitingBytes + bytes.length > MAXIMUM_WAITING_BYTES) {
+    if (this.queuedBytes + bytes.length > MAXIMUM_QUEUED_BYTES) {
       this.droppedLines += 1;
-      this.untoldDrops += 1;
+      this.unreportedDrops += 1;
       return;
     }
-    this.waiting.push(bytes);
-    this.waitingBytes += bytes.length;
-    if (this.waitingBytes >= LARGEST_WRITE_BYTES) {
-      this.writeNext();
-    } else if (!this.gathering) {
-      this.gathering = true;
-      this.gather(() => {
-        this.gathering = false;
-        this.writeNext();
+    this.queue.push(bytes);
+    this.queuedBytes += bytes.length;
+    if (this.queuedBytes >= MAXIMUM_BATCH_BYTES) {
+      this.writeNextBatch();
+    } else if (!this.isFlushScheduled) {
+      this.isFlushScheduled = true;
+      this.scheduleFlush(() => {
+        this.isFlushScheduled = false;
+        this.writeNextBatch();
       });
     }
   }
 
   /** Hands over the lines that wait and were not begun to be written: for the end of the process. */
-  takeWaiting(): Buffer {
-    const rest = Buffer.concat(this.waiting);
-    this.waiting = [];
-    this.waitingBytes -= rest.length;
+  takeQueued(): Buffer {
+    const rest = Buffer.concat(this.queue);
+    this.queue = [];
+    this.queuedBytes -= rest.length;
     return rest;
   }
 
-  private writeNext(): void {
-    if (this.writing || this.waiting.length === 0) {
+  private writeNextBatch(): void {
+    if (this.isWriting || this.queue.length === 0) {
       return;
     }
-    this.writing = true;
+    this.isWriting = true;
     const parts: Buffer[] = [];
     let bytes = 0;
-    while (this.waiting.length > 0 && bytes < LARGEST_WRITE_BYTES) {
-      const part = this.waiting.shift()!;
+    while (this.queue.length > 0 && bytes < MAXIMUM_BATCH_BYTES) {
+      const part = this.queue.shift()!;
       parts.push(part);
       bytes += part.length;
     }
     this.writeAll(Buffer.concat(parts), parts.length, () => {
-      this.waitingBytes -= bytes;
-      this.writing = false;
-      this.tellDrops();
-      this.writeNext();
+      this.queuedBytes -= bytes;
+      this.isWriting = false;
+      this.reportDrops();
+      this.writeNextBatch();
     });
   }
 
@@ -93,7 +93,7 @@
     this.writeBytes(bytes, (error, written) => {
       if (error !== null) {
         this.droppedLines += lines;
-        this.untoldDrops += lines;
+        this.unreportedDrops += lines;
         done();
       } else if (written < bytes.length) {
         this.writeAll(bytes.subarray(written), lines, done);
@@ -103,10 +103,10 @@
     });
   }
 
-  private tellDrops(): void {
-    if (this.untoldDrops > 0 && this.waitingBytes < MAXIMUM_WAITING_BYTES / 2) {
-      const line = JSON.stringify({ message: 'log lines dropped', dropped: this.untoldDrops });
-      this.untoldDrops = 0;
+  private reportDrops(): void {
+    if (this.unreportedDrops > 0 && this.queuedBytes < MAXIMUM_QUEUED_BYTES / 2) {
+      const line = JSON.stringify({ message: 'log lines dropped', dropped: this.unreportedDrops });
+      this.unreportedDrops = 0;
       this.push(line);
     }
   }
--- a/src/telemetry/explain-request.ts
+++ b/src/telemetry/explain-request.ts
@@ -1,7 +1,7 @@
 /** Says from log lines alone what became of one request, and which inputs decided it. */
 import type { LogLine } from './log-lines.js';
 
-function text(line: LogLine, field: string): string {
+function fieldText(line: LogLine, field: string): string {
   return String(line.fields[field] ?? '');
 }
 
@@ -10,9 +10,9 @@
   const at = `${line.node}:`;
   switch (line.event) {
     case 'relay.refused':
-      return `${at} refused at the door with ${text(line, 'status')}, because ${text(line, 'reason')}; configuration version ${text(line, 'version')}, host ${text(line, 'host')}, path ${text(line, 'path')}.`;
+      return `${at} refused at the door with ${fieldText(line, 'status')}, because ${fieldText(line, 'reason')}; configuration version ${fieldText(line, 'version')}, host ${fieldText(line, 'host')}, path ${fieldText(line, 'path')}.`;
     case 'relay.try':
-      return `${at} try ${text(line, 'tries')} at runner ${text(line, 'runner')} ended after ${text(line, 'age')} ms as ${text(line, 'tag')} (${text(line, 'detail')}); ${text(line, 'inFlight')} other requests of this gateway were there.`;
+      return `${at} try ${fieldText(line, 'tries')} at runner ${fieldText(line, 'runner')} ended after ${fieldText(line, 'age')} ms as ${fieldText(line, 'tag')} (${fieldText(line, 'detail')}); ${fieldText(line, 'inFlight')} other requests of this gateway were there.`;
     case 'relay.admission':
       return explainAdmission(line, at);
     case 'relay.end':
@@ -30,49 +30,51 @@
 ]);
 
 function explainAdmission(line: LogLine, at: string): string {
-  const cause = ADMISSION_CAUSES.get(text(line, 'cause')) ?? text(line, 'cause');
-  const wait = `${text(line, 'wait')} ms a turn expected, ${text(line, 'bearable')} bearable with ${text(line, 'left')} ms left for ${text(line, 'turns')} turns`;
-  const load = `${text(line, 'ahead')} requests go before it at ${text(line, 'slots')} places, ${text(line, 'moreUrgent')} of them more urgent, by loads ${text(line, 'age')} ms old`;
-  return `${at} ${cause}: ${wait}; ${load}; pause told ${text(line, 'pause')} ms.`;
+  const cause = ADMISSION_CAUSES.get(fieldText(line, 'cause')) ?? fieldText(line, 'cause');
+  const wait = `${fieldText(line, 'wait')} ms a turn expected, ${fieldText(line, 'bearable')} bearable with ${fieldText(line, 'left')} ms left for ${fieldText(line, 'turns')} turns`;
+  const load = `${fieldText(line, 'ahead')} requests go before it at ${fieldText(line, 'slots')} places, ${fieldText(line, 'moreUrgent')} of them more urgent, by loads ${fieldText(line, 'age')} ms old`;
+  return `${at} ${cause}: ${wait}; ${load}; pause told ${fieldText(line, 'pause')} ms.`;
 }
 
 function explainEnd(line: LogLine, at: string): string {
-  const spent = `after ${text(line, 'total')} ms (${text(line, 'beforeDispatch')} ms before the first try, first byte at ${text(line, 'firstByte')} ms, ${text(line, 'events')} events, ${text(line, 'tries')} tries), configuration version ${text(line, 'version')}`;
-  switch (text(line, 'outcome')) {
+  const spent = `after ${fieldText(line, 'total')} ms (${fieldText(line, 'beforeDispatch')} ms before the first try, first byte at ${fieldText(line, 'firstByte')} ms, ${fieldText(line, 'events')} events, ${fieldText(line, 'tries')} tries), configuration version ${fieldText(line, 'version')}`;
+  switch (fieldText(line, 'outcome')) {
     case 'answered':
-      return `${at} answered with ${text(line, 'status')} by runner ${text(line, 'runner')} ${spent}.`;
+      return `${at} answered with ${fieldText(line, 'status')} by runner ${fieldText(line, 'runner')} ${spent}.`;
     case 'refused':
-      return `${at} refused with ${text(line, 'status')} (${text(line, 'verdict')}) ${spent}, because ${text(line, 'reason')}.`;
+      return `${at} refused with ${fieldText(line, 'status')} (${fieldText(line, 'verdict')}) ${spent}, because ${fieldText(line, 'reason')}.`;
     case 'left':
       return `${at} its client left ${spent}.`;
     default:
-      return `${at} broken off ${spent}, because ${text(line, 'reason')}.`;
+      return `${at} broken off ${spent}, because ${fieldText(line, 'reason')}.`;
   }
 }
 
 /** Lines that bear on runners of the request's tries: what the node believed of them. */
-function beliefsAbout(lines: readonly LogLine[], request: readonly LogLine[]): LogLine[] {
-  const runners = new Set(request.map((line) => text(line, 'runner')).filter((id) => id !== ''));
-  const last = Math.max(...request.map((line) => line.time));
+function runnerLinesOf(lines: readonly LogLine[], requestLines: readonly LogLine[]): LogLine[] {
+  const runners = new Set(
+    requestLines.map((line) => fieldText(line, 'runner')).filter((id) => id !== ''),
+  );
+  const last = Math.max(...requestLines.map((line) => line.time));
   return lines.filter(
     (line) =>
       line.event.startsWith('runner.') &&
-      runners.has(text(line, 'runner')) &&
-      request.some((own) => own.node === line.node) &&
+      runners.has(fieldText(line, 'runner')) &&
+      requestLines.some((requestLine) => requestLine.node === line.node) &&
       line.time <= last,
   );
 }
 
 /** Sentences in order of time; empty when no line names the request. */
 export function explainRequest(lines: readonly LogLine[], id: string): string[] {
-  const own = lines.filter((line) => line.fields['request'] === id);
-  if (own.length === 0) {
+  const requestLines = lines.filter((line) => line.fields['request'] === id);
+  if (requestLines.length === 0) {
     return [];
   }
-  const all = [...own, ...beliefsAbout(lines, own)];
+  const all = [...requestLines, ...runnerLinesOf(lines, requestLines)];
   all.sort((left, right) => left.time - right.time);
   return all.map((line) => {
-    const runner = line.event.startsWith('runner.') ? ` (runner ${text(line, 'runner')})` : '';
+    const runner = line.event.startsWith('runner.') ? ` (runner ${fieldText(line, 'runner')})` : '';
     return `${new Date(line.time).toISOString()} ${explainLine(line)}${runner}`;
   });
 }
--- a/src/telemetry/log-lines.ts
+++ b/src/telemetry/log-lines.ts
@@ -19,7 +19,7 @@
   readonly event?: string;
 }
 
-const OWN_FIELDS = new Set(['application', 'node', 'event', 'logLevel', 'zone']);
+const STANDARD_FIELDS = new Set(['application', 'node', 'event', 'logLevel', 'zone']);
 
 /** The log line in a line of text; undefined when there is none. */
 export function parseLogLine(text: string): LogLine | undefined {
@@ -35,7 +35,7 @@
     };
     const { context, message, time } = parsed;
     const fields = Object.fromEntries(
-      Object.entries(context).filter(([name]) => !OWN_FIELDS.has(name)),
+      Object.entries(context).filter(([name]) => !STANDARD_FIELDS.has(name)),
     );
     const node = String(context['node'] ?? '');
     const event = String(context['event'] ?? '');
--- a/src/telemetry/program-traces.ts
+++ b/src/telemetry/program-traces.ts
@@ -26,13 +26,13 @@
   /** Events of its stream; 0 for other answers. */
   readonly events: number;
   /** Time that its unread prompt takes to be read, as the gateway expected, in milliseconds. */
-  readonly readingMilliseconds: number;
+  readonly prefillMilliseconds: number;
 }
 
 /** One program; times in milliseconds since 1970. */
 export interface ProgramTrace {
   readonly program: string;
-  readonly beganAt: number;
+  readonly startedAt: number;
   readonly endedAt: number;
   /** When it should have been over. */
   readonly deadlineAt: number;
@@ -46,25 +46,25 @@
 const STATUS_NO_SUCH_TURN = 404;
 const FIRST_SERVER_ERROR = 500;
 
-function numberOf(line: LogLine, field: string): number {
+function fieldNumber(line: LogLine, field: string): number {
   return Number(line.fields[field] ?? -1);
 }
 
-function traceOf(line: LogLine): RequestTrace {
-  const arrivedAt = line.time - numberOf(line, 'total');
+function traceRequest(line: LogLine): RequestTrace {
+  const arrivedAt = line.time - fieldNumber(line, 'total');
   const after = (milliseconds: number): number | undefined =>
     milliseconds < 0 ? undefined : arrivedAt + milliseconds;
   return {
     route: String(line.fields['route'] ?? ''),
     arrivedAt,
-    sentAt: after(numberOf(line, 'beforeDispatch')),
-    firstByteAt: after(numberOf(line, 'firstByte')),
+    sentAt: after(fieldNumber(line, 'beforeDispatch')),
+    firstByteAt: after(fieldNumber(line, 'firstByte')),
     endedAt: line.time,
     outcome: String(line.fields['outcome'] ?? ''),
-    status: numberOf(line, 'status'),
-    tries: numberOf(line, 'tries'),
-    events: numberOf(line, 'events'),
-    readingMilliseconds: Math.max(0, numberOf(line, 'reading')),
+    status: fieldNumber(line, 'status'),
+    tries: fieldNumber(line, 'tries'),
+    events: fieldNumber(line, 'events'),
+    prefillMilliseconds: Math.max(0, fieldNumber(line, 'reading')),
   };
 }
 
@@ -79,28 +79,30 @@
 }
 
 /** Programs with a deadline, by their beginning. */
-export function traceProgramsOf(lines: readonly LogLine[]): ProgramTrace[] {
+export function tracePrograms(lines: readonly LogLine[]): ProgramTrace[] {
   const byProgram = new Map<string, LogLine[]>();
   for (const line of lines) {
     const program = String(line.fields['program'] ?? '');
-    if (line.event === END_EVENT && program !== '' && numberOf(line, 'deadline') >= 0) {
+    if (line.event === END_EVENT && program !== '' && fieldNumber(line, 'deadline') >= 0) {
       byProgram.set(program, [...(byProgram.get(program) ?? []), line]);
     }
   }
-  const traces = [...byProgram].map(([program, own]) => traceProgram(program, own));
-  return traces.sort((left, right) => left.beganAt - right.beganAt);
+  const traces = [...byProgram].map(([program, programLines]) =>
+    traceProgram(program, programLines),
+  );
+  return traces.sort((left, right) => left.startedAt - right.startedAt);
 }
 
 function traceProgram(program: string, lines: readonly LogLine[]): ProgramTrace {
-  const pairs = lines.map((line) => ({ line, trace: traceOf(line) }));
+  const pairs = lines.map((line) => ({ line, trace: traceRequest(line) }));
   pairs.sort((left, right) => left.trace.arrivedAt - right.trace.arrivedAt);
   const requests = pairs.map(({ trace }) => trace);
   const first = pairs[0]!;
   const last = requests.reduce((left, right) => (right.endedAt >= left.endedAt ? right : left));
-  const deadlineAt = first.trace.arrivedAt + numberOf(first.line, 'deadline');
+  const deadlineAt = first.trace.arrivedAt + fieldNumber(first.line, 'deadline');
   return {
     program,
-    beganAt: first.trace.arrivedAt,
+    startedAt: first.trace.arrivedAt,
     endedAt: last.endedAt,
     deadlineAt,
     outcome: outcomeOf(last, deadlineAt),
--- a/src/telemetry/report-losses.ts
+++ b/src/telemetry/report-losses.ts
@@ -42,17 +42,17 @@
   const before: Phase = { from: arrivedAt, until: sentAt, cause: 'before the first try' };
   const answeredAt = firstByteAt ?? endedAt;
   if (request.tries > 1) {
-    const again: Phase = { from: sentAt, until: answeredAt, cause: 'tried again' };
-    return [before, again, { from: answeredAt, until: endedAt, cause: answerCause(request) }];
+    const retries: Phase = { from: sentAt, until: answeredAt, cause: 'tried again' };
+    return [before, retries, { from: answeredAt, until: endedAt, cause: answerCause(request) }];
   }
   if (request.events <= 0) {
     return [before, { from: sentAt, until: endedAt, cause: 'tool calls' }];
   }
-  const readAt = Math.max(sentAt, answeredAt - request.readingMilliseconds);
+  const prefillStartedAt = Math.max(sentAt, answeredAt - request.prefillMilliseconds);
   return [
     before,
-    { from: sentAt, until: readAt, cause: 'waiting at the runner' },
-    { from: readAt, until: answeredAt, cause: 'reading' },
+    { from: sentAt, until: prefillStartedAt, cause: 'waiting at the runner' },
+    { from: prefillStartedAt, until: answeredAt, cause: 'reading' },
     { from: answeredAt, until: endedAt, cause: 'generating' },
   ];
 }
@@ -68,21 +68,21 @@
 /** Splits one program's time; the parts add up to the time from its beginning to its end. */
 export function splitTime(program: ProgramTrace): TimeSplit {
   const split = emptySplit();
-  let now = program.beganAt;
+  let now = program.startedAt;
   while (now < program.endedAt) {
-    const open = program.requests.filter((one) => one.arrivedAt <= now && one.endedAt > now);
-    const next = program.requests.filter((one) => one.arrivedAt > now);
-    const nextArrival = Math.min(program.endedAt, ...next.map((one) => one.arrivedAt));
-    if (open.length === 0) {
+    const active = program.requests.filter((one) => one.arrivedAt <= now && one.endedAt > now);
+    const upcoming = program.requests.filter((one) => one.arrivedAt > now);
+    const nextArrival = Math.min(program.endedAt, ...upcoming.map((one) => one.arrivedAt));
+    if (active.length === 0) {
       split['client pauses'] += nextArrival - now;
       now = nextArrival;
       continue;
     }
-    const held = open.reduce((left, right) => (right.endedAt > left.endedAt ? right : left));
-    const phase = phasesOf(held).find((one) => one.until > now)!;
-    const until = Math.min(phase.until, nextArrival > now ? nextArrival : phase.until);
-    split[phase.cause] += until - now;
-    now = until;
+    const latest = active.reduce((left, right) => (right.endedAt > left.endedAt ? right : left));
+    const phase = phasesOf(latest).find((one) => one.until > now)!;
+    const phaseEnd = Math.min(phase.until, nextArrival > now ? nextArrival : phase.until);
+    split[phase.cause] += phaseEnd - now;
+    now = phaseEnd;
   }
   return split;
 }
@@ -129,17 +129,17 @@
   readonly late: number;
   readonly failed: number;
   /** The cause that took most of the time of late and failed ones; empty when there are none. */
-  readonly mostly: string;
+  readonly mainCause: string;
 }
 
 const MILLISECONDS_IN_SECOND = 1_000;
 
 /** Programs by the time at which they began. */
 export function lossWindows(programs: readonly ProgramTrace[], seconds: number): LossWindow[] {
-  const first = programs[0]?.beganAt ?? 0;
+  const first = programs[0]?.startedAt ?? 0;
   const windows = new Map<number, ProgramTrace[]>();
   for (const program of programs) {
-    const passed = (program.beganAt - first) / MILLISECONDS_IN_SECOND;
+    const passed = (program.startedAt - first) / MILLISECONDS_IN_SECOND;
     const second = Math.floor(passed / seconds) * seconds;
     windows.set(second, [...(windows.get(second) ?? []), program]);
   }
@@ -149,14 +149,14 @@
 function windowOf(second: number, members: readonly ProgramTrace[]): LossWindow {
   const late = members.filter(({ outcome }) => outcome === 'late');
   const failed = members.filter(({ outcome }) => outcome === 'failed');
-  const lost = [...late, ...failed];
-  const mean = meanSplit(lost);
-  const mostly = TIME_CAUSES.reduce((left, right) => (mean[right] > mean[left] ? right : left));
+  const unsuccessful = [...late, ...failed];
+  const mean = meanSplit(unsuccessful);
+  const largest = TIME_CAUSES.reduce((left, right) => (mean[right] > mean[left] ? right : left));
   return {
     second,
     begun: members.length,
     late: late.length,
     failed: failed.length,
-    mostly: lost.length > 0 ? mostly : '',
+    mainCause: unsuccessful.length > 0 ? largest : '',
   };
 }
--- a/src/telemetry/stall-watch.ts
+++ b/src/telemetry/stall-detector.ts
@@ -6,18 +6,18 @@
 import { setRepeatingTimer } from '../runtime/runtime.js';
 
 /** Time between two looks, in milliseconds. */
-const LOOK_MILLISECONDS = 250;
+const CHECK_INTERVAL_MILLISECONDS = 250;
 /** Delay of a look that is told, in milliseconds: others take a process for silent after as long. */
-const STALL_MILLISECONDS = 250;
+const STALL_THRESHOLD_MILLISECONDS = 250;
 
 /** Logs each stall; returns how to end that. */
-export function watchStalls(runtime: Runtime): CancelTimer {
-  let lookedAt = runtime.now();
-  return setRepeatingTimer(runtime, LOOK_MILLISECONDS, () => {
-    const stalled = runtime.now() - lookedAt - LOOK_MILLISECONDS;
-    lookedAt = runtime.now();
-    if (stalled > STALL_MILLISECONDS) {
-      const fields = { event: 'process.stalled', milliseconds: Math.round(stalled) };
+export function startStallDetector(runtime: Runtime): CancelTimer {
+  let lastCheckAt = runtime.now();
+  return setRepeatingTimer(runtime, CHECK_INTERVAL_MILLISECONDS, () => {
+    const stallMilliseconds = runtime.now() - lastCheckAt - CHECK_INTERVAL_MILLISECONDS;
+    lastCheckAt = runtime.now();
+    if (stallMilliseconds > STALL_THRESHOLD_MILLISECONDS) {
+      const fields = { event: 'process.stalled', milliseconds: Math.round(stallMilliseconds) };
       runtime.log('warn', 'this process stood still', fields);
     }
   });
--- a/src/turns/durable-folder.ts
+++ b/src/turns/durable-folder.ts
@@ -5,7 +5,7 @@
 import { open, readdir, unlink } from 'node:fs/promises';
 import type { FileHandle } from 'node:fs/promises';
 import { join } from 'node:path';
-import { makeDurableFolder, syncNames } from '../runtime/sync-names.js';
+import { createDurableFolder, syncFolder } from '../runtime/sync-folder.js';
 
 /** Creates, reads and removes files durably. All rejections are I/O errors. */
 export class DurableFolder {
@@ -13,9 +13,9 @@
 
   /** Opens a folder, creating it if it is missing. */
   static async open(path: string): Promise<DurableFolder> {
-    await makeDurableFolder(path);
+    await createDurableFolder(path);
     // A previous process may have ended before it synced the entries that it created.
-    await syncNames(path);
+    await syncFolder(path);
     return new DurableFolder(path);
   }
 
@@ -27,7 +27,7 @@
   async create(name: string): Promise<FileHandle> {
     const file = await open(join(this.path, name), 'wx');
     try {
-      await syncNames(this.path);
+      await syncFolder(this.path);
     } catch (cause) {
       await file.close();
       throw cause;
