--- a/features/steps/completeness.steps.ts
+++ b/features/steps/completeness.steps.ts
@@ -104,14 +104,14 @@
   private readonly process = new SimulatedProcess('a', this.clock, createRandom(1));
   private stored: StoredRecord = { tag: 'Unknown' };
   private meta: ReplicaMeta | undefined;
-  private runtime: Runtime = this.process.begin();
+  private runtime: Runtime = this.process.start();
   directory = new MemberDirectory(this.runtime);
   replica: Replica = this.begin();
 
   /** Restarts the process with the state that is on the disk. */
   restart(): void {
     this.process.kill();
-    this.runtime = this.process.begin();
+    this.runtime = this.process.start();
     this.directory = new MemberDirectory(this.runtime);
     this.replica = this.begin();
   }
@@ -226,7 +226,7 @@
     replicas!.store.retiring.add(name);
     const hasSuccessor = (): boolean => {
       const active = replicas!.activeNames();
-      const named = replicas!.namedMembers();
+      const named = replicas!.recordedMembers();
       return named.length === 3 && !named.includes(name) && active.length === 2;
     };
     assert.ok(
@@ -234,7 +234,7 @@
       'no successor was added to the record',
     );
     const active = replicas!.activeNames();
-    const fresh = replicas!.namedMembers().find((each) => !active.includes(each))!;
+    const fresh = replicas!.recordedMembers().find((each) => !active.includes(each))!;
     replicas!.pause(fresh);
     clock!.runUntil(clock!.now + RECORD_PROPAGATION_MILLISECONDS);
     const [lost] = active;
--- a/features/steps/cost.steps.ts
+++ b/features/steps/cost.steps.ts
@@ -78,7 +78,7 @@
   /^a gateway in virtual time that (others add up|adds up for its zone)$/,
   function (this: World, does: string) {
     const clock = new VirtualClock();
-    const runtime = new SimulatedProcess('gateway', clock, createRandom(1)).begin();
+    const runtime = new SimulatedProcess('gateway', clock, createRandom(1)).start();
     this.clock = clock;
     this.sentAt = [];
     this.hasRequest = false;
--- a/features/steps/entries.steps.ts
+++ b/features/steps/entries.steps.ts
@@ -91,7 +91,7 @@
         );
       },
     );
-    const runtime = process.begin();
+    const runtime = process.start();
     this.loggedEvents = events;
     this.itemTargets = {
       registry: new RunnerRegistry(runtime),
--- a/features/steps/freshness.steps.ts
+++ b/features/steps/freshness.steps.ts
@@ -135,7 +135,7 @@
 Given('the runners {string} are listed', function (this: World, names: string) {
   this.clock = new VirtualClock();
   this.registry = new RunnerRegistry(
-    new SimulatedProcess('g', this.clock, createRandom(1)).begin(),
+    new SimulatedProcess('g', this.clock, createRandom(1)).start(),
   );
   names.split(' ').forEach((name) => this.registry.put(runnerNamed(name)));
 });
@@ -144,7 +144,7 @@
   'the runners {string} are listed at a process whose timers come half a millisecond early',
   function (this: World, names: string) {
     this.clock = new VirtualClock();
-    const runtime = new SimulatedProcess('g', this.clock, createRandom(1)).begin();
+    const runtime = new SimulatedProcess('g', this.clock, createRandom(1)).start();
     const setTimer: typeof runtime.setTimer = (delay, callback) =>
       runtime.setTimer(Math.max(0, delay - 0.5), callback);
     this.registry = new RunnerRegistry({ ...runtime, setTimer });
--- a/features/steps/memory-accounts.steps.ts
+++ b/features/steps/memory-accounts.steps.ts
@@ -43,7 +43,7 @@
 }
 
 function runtimeOn(clock: VirtualClock, lines: LogFields[]): Runtime {
-  const runtime = new SimulatedProcess('g', clock, createRandom(1)).begin();
+  const runtime = new SimulatedProcess('g', clock, createRandom(1)).start();
   return { ...boundRuntime(runtime), log: (_level, _message, fields = {}) => lines.push(fields) };
 }
 
--- a/features/steps/memory.steps.ts
+++ b/features/steps/memory.steps.ts
@@ -33,7 +33,7 @@
   'a gateway that has just started next to {int} others',
   function (this: World, peers: number) {
     this.memoryClock = new VirtualClock();
-    const runtime = new SimulatedProcess('g', this.memoryClock, createRandom(3)).begin();
+    const runtime = new SimulatedProcess('g', this.memoryClock, createRandom(3)).start();
     this.registry = new RunnerRegistry(runtime);
     this.cachedPartsByRunner = new Map();
     this.queried = [];
--- a/features/steps/mirror.steps.ts
+++ b/features/steps/mirror.steps.ts
@@ -32,7 +32,7 @@
   keys.split(' ').forEach((key) => this.store.put(key, 'first'));
   this.store.put('a', 'first');
   this.mirror = new KeySpaceMirror({
-    runtime: new SimulatedProcess('m', this.clock, createRandom(1)).begin(),
+    runtime: new SimulatedProcess('m', this.clock, createRandom(1)).start(),
     port: this.store,
     prefix: '',
     timings: freshnessTimingsFor(2_000),
--- a/features/steps/older-replica.steps.ts
+++ b/features/steps/older-replica.steps.ts
@@ -193,7 +193,7 @@
   'a non-member replica, and members of a build that does not report silences',
   function (this: World) {
     this.outsideClock = new VirtualClock();
-    const process = new SimulatedProcess('o', this.outsideClock, createRandom(1)).begin();
+    const process = new SimulatedProcess('o', this.outsideClock, createRandom(1)).start();
     const directory = new MemberDirectory(process);
     const storage = new MemoryTurnStorage(process);
     const replica = new Replica({ id: 'o', runtime: process, storage, directory });
--- a/features/steps/peers.steps.ts
+++ b/features/steps/peers.steps.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { freePorts } from '../../src/bench/free-ports.js';
+import { findFreePorts } from '../../src/bench/free-ports.js';
 import type { StoreProof } from '../../src/mirror/store-freshness.js';
 import { openUdpPort } from '../../src/peers/datagram-port.js';
 import { LoadGossip } from '../../src/peers/load-gossip.js';
@@ -87,7 +87,7 @@
 Given(
   'two gateways that gossip, of which the first has {int} requests at runner {string}',
   async function (this: World, inFlight: number, runner: string) {
-    [this.port] = await freePorts(HOSTS[0], 1);
+    [this.port] = await findFreePorts(HOSTS[0], 1);
     this.gossips = [];
     startGossip(this, 0, [HOSTS[1]], new Map([[runner, inFlight]]), [PLACE]);
     startGossip(this, 1, [HOSTS[0]], new Map());
@@ -136,7 +136,7 @@
 Given(
   'a gateway that knows item {string} at revision {int} and the members',
   async function (this: World, key: string, revision: number) {
-    [this.port] = await freePorts(HOSTS[0], 1);
+    [this.port] = await findFreePorts(HOSTS[0], 1);
     this.seed = `${HOSTS[0]}:${this.port}`;
     const exchange = new PeerExchange({
       runtime: createRealRuntime({ logLevel: 'error' }),
--- a/features/steps/quotas.steps.ts
+++ b/features/steps/quotas.steps.ts
@@ -62,7 +62,7 @@
 
   private addGateway(index: number): void {
     const process = new SimulatedProcess(`g${index}`, this.clock, this.random);
-    const runtime = process.begin();
+    const runtime = process.start();
     this.revisions.push(0);
     const proof = new ConfigurationProof(runtime, () => this.revisions[index]!);
     this.processes.push(process);
@@ -85,12 +85,12 @@
   /** Reads the store after a pause. The proof is dated to the sending of the read. */
   private scheduleRead(index: number): void {
     this.clock.schedule(READ_MILLISECONDS, () => {
-      this.processes[index]!.enter(() => {
+      this.processes[index]!.execute(() => {
         const sentAt = this.clock.now;
         this.clock.schedule(this.random.uniform() * 100, () => {
           const revision = this.changedAt.length;
           this.clock.schedule(this.random.uniform() * MAXIMUM_DELAY_MILLISECONDS, () =>
-            this.processes[index]!.enter(() => {
+            this.processes[index]!.execute(() => {
               this.revisions[index] = Math.max(this.revisions[index]!, revision);
               this.proofs[index]!.noteRead(sentAt);
             }),
@@ -108,7 +108,7 @@
       const delay = this.random.uniform() * (isLate ? MAXIMUM_DELAY_MILLISECONDS : 10);
       this.clock.schedule(delay, () => {
         const target = Number(to.slice(1));
-        this.processes[target]!.enter(() => this.deliver(target, bytes, from));
+        this.processes[target]!.execute(() => this.deliver(target, bytes, from));
       });
     }
   }
@@ -134,7 +134,7 @@
         const delay = isNeverTold ? Infinity : this.random.exponential(1_500);
         if (Number.isFinite(delay)) {
           this.clock.schedule(delay, () =>
-            this.processes[index]!.enter(() => {
+            this.processes[index]!.execute(() => {
               this.revisions[index] = Math.max(this.revisions[index]!, revision);
             }),
           );
@@ -184,7 +184,7 @@
 /** Starts a gateway's side of the exchange and records what it sends; its clock starts at 0, as that of any process. */
 function startGateway(seed: number) {
   const clock = new VirtualClock();
-  const runtime = new SimulatedProcess('g', clock, createRandom(seed)).begin();
+  const runtime = new SimulatedProcess('g', clock, createRandom(seed)).start();
   const proof = new ConfigurationProof(runtime, () => 1);
   const sent: Uint8Array[] = [];
   let listener: (bytes: Uint8Array, from: string) => void = () => undefined;
@@ -229,7 +229,7 @@
   'a gateway that lacks the newest configuration has no proof of it until it takes it',
   function () {
     let revision = 3;
-    const runtime = { ...new SimulatedProcess('g', new VirtualClock(), createRandom(1)).begin() };
+    const runtime = { ...new SimulatedProcess('g', new VirtualClock(), createRandom(1)).start() };
     const proof = new ConfigurationProof(runtime, () => revision);
     proof.note({ revision: 3, provenAt: 100 });
     proof.note({ revision: 4, provenAt: 200 });
--- a/features/steps/reach.steps.ts
+++ b/features/steps/reach.steps.ts
@@ -60,7 +60,7 @@
 
 Given('a gateway before replicas {string}', function (this: World, names: string) {
   this.reachClock = new VirtualClock();
-  this.runtime = new SimulatedProcess('g', this.reachClock, createRandom(1)).begin();
+  this.runtime = new SimulatedProcess('g', this.reachClock, createRandom(1)).start();
   this.silenceableReplicas = new SilenceableReplicas(this.runtime);
   const members: Member[] = names
     .split(' ')
--- a/features/steps/relay.steps.ts
+++ b/features/steps/relay.steps.ts
@@ -267,10 +267,10 @@
 Then('the runner sees its client disconnect', async function (this: World) {
   const runs = allRuns(this);
   assert.equal(runs.length, 1);
-  for (let look = 0; look < 50 && !runs[0]!.left; look += 1) {
+  for (let look = 0; look < 50 && !runs[0]!.clientDisconnected; look += 1) {
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
-  assert.ok(runs[0]!.left);
+  assert.ok(runs[0]!.clientDisconnected);
 });
 
 Then('all clients get status 200', function (this: World) {
--- a/features/steps/replaced-member.steps.ts
+++ b/features/steps/replaced-member.steps.ts
@@ -137,7 +137,7 @@
   'a replica beside a member {string} at whose address {string} answers',
   function (this: World, name: string, other: string) {
     const clock = new VirtualClock();
-    const runtime = new SimulatedProcess('a', clock, createRandom(1)).begin();
+    const runtime = new SimulatedProcess('a', clock, createRandom(1)).start();
     const directory = new MemberDirectory(runtime);
     const storage = { write: () => undefined };
     const replica = new Replica({ id: 'a', runtime, storage, directory });
--- a/features/steps/replica-link.steps.ts
+++ b/features/steps/replica-link.steps.ts
@@ -54,7 +54,7 @@
   const { port } = server.address() as AddressInfo;
   world.linkMember = { id: 'a', node: 'a', host: HOST, port, zone: 'z' };
   world.linkClock = new VirtualClock();
-  const runtime = new SimulatedProcess('g', world.linkClock, createRandom(1)).begin();
+  const runtime = new SimulatedProcess('g', world.linkClock, createRandom(1)).start();
   world.linkCaller = new TcpReplicaCaller(runtime, () => undefined);
   world.answeredCalls = 0;
 }
--- a/features/steps/replicas.steps.ts
+++ b/features/steps/replicas.steps.ts
@@ -59,7 +59,7 @@
   'within {int} milliseconds its retirement is reported as finished',
   function (this: World, milliseconds: number) {
     const { clock, replicas, standby } = this;
-    const finished = (): boolean => replicas!.store.finished.has(standby!);
+    const finished = (): boolean => replicas!.store.retired.has(standby!);
     assert.ok(
       clock!.runUntil(clock!.now + milliseconds, finished),
       'its retirement is not finished',
@@ -151,7 +151,7 @@
   'within {int} milliseconds its retirement is reported as finished and the others hold every turn',
   function (this: World, milliseconds: number) {
     const { clock, replicas, keptTurns } = this;
-    const finished = (): boolean => replicas!.store.finished.has('m1');
+    const finished = (): boolean => replicas!.store.retired.has('m1');
     assert.ok(
       clock!.runUntil(clock!.now + milliseconds, finished),
       'its retirement is not finished',
--- a/features/steps/replication.steps.ts
+++ b/features/steps/replication.steps.ts
@@ -46,7 +46,7 @@
     this.simulated = new SimulatedCluster({
       seed: 11,
       zones: ['a', 'b', 'c'],
-      betweenZones: 1,
+      interZoneMilliseconds: 1,
       shardCount: SHARDS,
       services: [],
       groups: [],
@@ -124,7 +124,7 @@
   this.simulated = new SimulatedCluster({
     seed: 12,
     zones: ['a', 'b', 'c'],
-    betweenZones: 1,
+    interZoneMilliseconds: 1,
     shardCount: 12,
     services: [{ name: 'minds', kind: 'model', runners: 3, concurrency: 8 }],
     groups: [{ name: 'g', share: 1, budget: 1e9 }],
--- a/features/steps/runner-lives.steps.ts
+++ b/features/steps/runner-lives.steps.ts
@@ -32,7 +32,7 @@
 function createRegistry(world: World): void {
   world.clock = new VirtualClock();
   const process = new SimulatedProcess('g', world.clock, createRandom(1));
-  world.registry = new RunnerRegistry(process.begin());
+  world.registry = new RunnerRegistry(process.start());
   world.remoteInFlight = new Map();
   world.registry.inFlightOfOthers = (hash) => world.remoteInFlight.get(hash) ?? 0;
 }
--- a/features/steps/slow-readers.steps.ts
+++ b/features/steps/slow-readers.steps.ts
@@ -197,7 +197,7 @@
 
 Then('its run has ended, and nothing is buffered any more', async function (this: World) {
   await until('the end of the run', 1_000, () =>
-    this.relayWorld.runners.flatMap((runner) => runner.runs).every((run) => run.left),
+    this.relayWorld.runners.flatMap((runner) => runner.runs).every((run) => run.clientDisconnected),
   );
   assert.equal(this.relayWorld.gateway.memory.heldBytes, 0);
 });
@@ -205,7 +205,7 @@
 Then('its run ends within {int} milliseconds', async function (this: World, most: number) {
   const runs = this.relayWorld.runners.flatMap((runner) => runner.runs);
   assert.equal(runs.length, 1);
-  await until('the end of the run', most, () => runs[0]!.left);
+  await until('the end of the run', most, () => runs[0]!.clientDisconnected);
   assert.equal(this.relayWorld.gateway.memory.heldBytes, 0);
 });
 
@@ -356,7 +356,7 @@
     const unread = streams.filter(({ requestId }) => requestId.startsWith('none-'));
     assert.equal(unread.length, 300);
     const endless = unread.filter(({ path }) => path.includes(ENDLESS_QUERY));
-    await until('the end of all runs', 1_000, () => endless.every((run) => run.left));
+    await until('the end of all runs', 1_000, () => endless.every((run) => run.clientDisconnected));
   },
 );
 
@@ -497,7 +497,9 @@
     const { gateway, runners } = this.relayWorld;
     await until('the end of all requests', most, () => gateway.activeRequests === 0);
     const runs = runners.flatMap((runner) => runner.runs);
-    await until('the end of all runs', most, () => runs.every(({ left }) => left));
+    await until('the end of all runs', most, () =>
+      runs.every(({ clientDisconnected: left }) => left),
+    );
     assert.equal(gateway.memory.heldBytes, 0);
   },
 );
--- a/features/steps/turn-histories.steps.ts
+++ b/features/steps/turn-histories.steps.ts
@@ -75,7 +75,7 @@
   function (this: World, fault: string) {
     this.histories = [];
     for (let seed = 1; seed <= MOST_PLANTED_SEEDS; seed += 1) {
-      const history = runTurnHistory(seed, { planted: PLANTED[fault]! });
+      const history = runTurnHistory(seed, { injectedFault: PLANTED[fault]! });
       this.histories.push(history);
       // Service that is lost besides shows earlier with some faults, and is not what they are planted for.
       if (history.violations.some((violation) => !violation.startsWith('service'))) {
--- a/features/steps/turns.steps.ts
+++ b/features/steps/turns.steps.ts
@@ -230,7 +230,7 @@
 
 When('{int} writes with distinct keys are made', function (this: World, count: number) {
   const { clock, answering } = this;
-  const runtime = new SimulatedProcess('g', clock!, createRandom(1)).begin();
+  const runtime = new SimulatedProcess('g', clock!, createRandom(1)).start();
   this.writtenCount = 0;
   for (let place = 0; place < count; place += 1) {
     const request = { type: 'chain', turn: 't' } as const;
--- a/features/steps/two-builds.steps.ts
+++ b/features/steps/two-builds.steps.ts
@@ -72,7 +72,7 @@
 /** A gateway's side of the proof exchange; collects what it sends, in hexadecimal. */
 function proofExchange(): { sent: string[]; take: (bytes: Uint8Array) => void } {
   const clock = new VirtualClock();
-  const runtime = new SimulatedProcess('g', clock, createRandom(1)).begin();
+  const runtime = new SimulatedProcess('g', clock, createRandom(1)).start();
   const proof = new ConfigurationProof(runtime, () => 12);
   const sent: string[] = [];
   let take: (bytes: Uint8Array, from: string) => void = () => undefined;
@@ -276,7 +276,7 @@
 Given(
   /^a replica that was complete, and (\d+) records? of a newer build on its disk$/,
   function (this: World, unknownRecords: string) {
-    const runtime = new SimulatedProcess('r', new VirtualClock(), createRandom(1)).begin();
+    const runtime = new SimulatedProcess('r', new VirtualClock(), createRandom(1)).start();
     const storage = new MemoryTurnStorage(runtime);
     const directory = new MemberDirectory(runtime);
     this.builtReplica = new Replica({ id: 'r', runtime, storage, directory });
--- a/features/support/faulty-gateway.ts
+++ b/features/support/faulty-gateway.ts
@@ -172,7 +172,7 @@
       path,
       body,
       headers,
-      left: false,
+      clientDisconnected: false,
       isAnswered: false,
     });
   }
--- a/features/support/gateway-fleet.ts
+++ b/features/support/gateway-fleet.ts
@@ -146,7 +146,7 @@
 function addGateway(world: FleetWorld, index: number): void {
   const host = `10.0.0.${index}`;
   const process = new SimulatedProcess(host, world.clock, world.random);
-  const runtime = process.begin();
+  const runtime = process.start();
   const store = new SimulatedKeySpace(world.clock);
   store.put(CHANGED_KEY, 'first');
   const loads = new Map<string, number>();
--- a/features/support/relay-world.ts
+++ b/features/support/relay-world.ts
@@ -4,7 +4,7 @@
 import { isLeft } from 'fp-ts/lib/Either.js';
 import { RelayRunner } from '../../src/emulator/relay-runner.js';
 import type { RelayRunnerOptions } from '../../src/emulator/relay-runner.js';
-import { freePorts } from '../../src/bench/free-ports.js';
+import { findFreePorts } from '../../src/bench/free-ports.js';
 import { DEFAULT_HEADER_NAMES } from '../../src/relay/request/default-header-names.js';
 import type { MemoryBounds } from '../../src/relay/memory/memory-bounds.js';
 import { RelayGateway } from '../../src/relay/relay-gateway.js';
@@ -139,7 +139,7 @@
 
   /** Starts all parts; without a configuration the gateway serves nothing. */
   async start(configured: boolean): Promise<void> {
-    this.ports = await freePorts(HOST, 3);
+    this.ports = await findFreePorts(HOST, 3);
     const [front, ready, replicaPort] = this.ports as [number, number, number];
     const directory = new MemberDirectory(this.runtime);
     const member = { id: 'r1', node: 'r1', host: HOST, port: replicaPort, zone: ZONE };
--- a/src/bench/chaos.ts
+++ b/src/bench/chaos.ts
@@ -19,13 +19,13 @@
 import { createRealRuntime } from '../runtime/real-runtime.js';
 import { DaemonProcess } from './daemon-process.js';
 import { LAKESHORE } from './deployments.js';
-import { freePorts } from './free-ports.js';
+import { findFreePorts } from './free-ports.js';
 import {
   listDocuments,
   LOCAL_OPERATOR_KEY,
   localKeyOf,
   LOOPBACK,
-  planNodes,
+  createNodeSettings,
   serveBackEnds,
 } from './local-cluster.js';
 import { summarize } from './statistics.js';
@@ -54,19 +54,19 @@
 type ChaosFault = 'kill' | 'pause' | 'plannedStop';
 
 const GROUP = 'brandvold';
-const CALLERS = 8;
+const CALLER_COUNT = 8;
 const CALLS_PER_PROGRAM = 6;
-const FAULT_PERIOD_MILLISECONDS = 3_500;
-const PAUSE_MILLISECONDS = 2_500;
-const DOWN_MILLISECONDS = 1_000;
+const FAULT_INTERVAL_MILLISECONDS = 3_500;
+const PAUSE_DURATION_MILLISECONDS = 2_500;
+const DOWNTIME_MILLISECONDS = 1_000;
 const TIMEOUT_SECONDS = 20;
-const MAXIMUM_TRIES = 40;
-const RETRY_MILLISECONDS = 250;
+const MAXIMUM_ATTEMPTS = 40;
+const RETRY_DELAY_MILLISECONDS = 250;
 const ANSWER_TOKENS = 40;
 /** Calls sent this long before or after a death are counted as touched by it. */
-const AROUND_DEATH_MILLISECONDS = 1_000;
+const DEATH_WINDOW_MILLISECONDS = 1_000;
 
-function wait(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
@@ -81,7 +81,7 @@
   /** From first sending to the answer of each call, with the time it was sent. */
   readonly answerTimes: { readonly sentAt: number; readonly seconds: number }[];
   badExits: number;
-  over: boolean;
+  isStopping: boolean;
 }
 
 function keyHeader(key: string): Record<string, string> {
@@ -187,7 +187,7 @@
 
 async function runCall(rig: Rig, program: string, sequence: number): Promise<boolean> {
   const sentAt = performance.now();
-  for (let attempt = 1; attempt <= MAXIMUM_TRIES; attempt += 1) {
+  for (let attempt = 1; attempt <= MAXIMUM_ATTEMPTS; attempt += 1) {
     const call = createCall(rig, program, sequence, attempt);
     rig.run.calls.push(call);
     await sendOnce(rig, call);
@@ -195,21 +195,21 @@
       rig.answerTimes.push({ sentAt, seconds: (performance.now() - sentAt) / 1_000 });
       return true;
     }
-    const finalVerdict =
+    const isFinalFailure =
       call.result.type === 'failed' &&
       call.result.error.verdict !== 'NotRun' &&
       !call.repeatable &&
       attempt > 3;
-    if (finalVerdict) {
+    if (isFinalFailure) {
       return true;
     }
-    await wait(RETRY_MILLISECONDS);
+    await sleep(RETRY_DELAY_MILLISECONDS);
   }
   return false;
 }
 
 async function runCaller(rig: Rig, caller: number): Promise<void> {
-  for (let index = 0; !rig.over; index += 1) {
+  for (let index = 0; !rig.isStopping; index += 1) {
     const program = `chaos-${caller}-${index}`;
     let complete = true;
     for (let sequence = 1; sequence <= CALLS_PER_PROGRAM && complete; sequence += 1) {
@@ -218,7 +218,7 @@
   }
 }
 
-async function strike(rig: Rig): Promise<void> {
+async function injectFault(rig: Rig): Promise<void> {
   const daemon = rig.random.pick(rig.daemons.filter((candidate) => candidate.isRunning));
   const fault = rig.random.pick<ChaosFault>(['kill', 'pause', 'plannedStop']);
   rig.faults.set(fault, (rig.faults.get(fault) ?? 0) + 1);
@@ -226,13 +226,13 @@
     case 'kill':
       rig.deaths.push(performance.now());
       daemon.signal('SIGKILL');
-      await daemon.exited();
-      await wait(DOWN_MILLISECONDS);
+      await daemon.waitForExit();
+      await sleep(DOWNTIME_MILLISECONDS);
       daemon.start();
       break;
     case 'pause':
       daemon.signal('SIGSTOP');
-      await wait(PAUSE_MILLISECONDS);
+      await sleep(PAUSE_DURATION_MILLISECONDS);
       daemon.signal('SIGCONT');
       break;
     case 'plannedStop': {
@@ -240,16 +240,16 @@
       const stop = { node, beganAt: performance.now(), endedAt: Infinity, interrupted: false };
       rig.run.stops.push(stop);
       daemon.signal('SIGTERM');
-      const code = await daemon.exited();
+      const code = await daemon.waitForExit();
       stop.endedAt = performance.now();
       rig.badExits += code === 0 ? 0 : 1;
       daemon.start();
     }
   }
-  await daemon.ready();
+  await daemon.waitUntilReady();
 }
 
-async function readBack(rig: Rig): Promise<void> {
+async function readFinalState(rig: Rig): Promise<void> {
   const url = rig.daemons[0]!.url;
   const programs = [...new Set(rig.run.calls.map((call) => call.program))];
   for (const program of programs) {
@@ -281,12 +281,15 @@
   const keyValue = new KeyValueModel(platform);
   const keyValueServer = new KeyValueServer(keyValue);
   const port = await new Promise<number>((resolve) => keyValueServer.listen(LOOPBACK, 0, resolve));
-  const served = await serveBackEnds(platform, LAKESHORE);
-  writeFirstConfiguration(keyValue, listDocuments(LAKESHORE, served));
+  const servedBackEnds = await serveBackEnds(platform, LAKESHORE);
+  writeFirstConfiguration(keyValue, listDocuments(LAKESHORE, servedBackEnds));
   const keyValueUrl = `http://${LOOPBACK}:${port}`;
-  const planned = await planNodes({ deployment: LAKESHORE, seed: options.seed }, keyValueUrl);
-  const httpPorts = await freePorts(LOOPBACK, planned.length);
-  const daemons = planned.map(
+  const nodeSettings = await createNodeSettings(
+    { deployment: LAKESHORE, seed: options.seed },
+    keyValueUrl,
+  );
+  const httpPorts = await findFreePorts(LOOPBACK, nodeSettings.length);
+  const daemons = nodeSettings.map(
     (settings, index) =>
       new DaemonProcess({ ...settings, httpPort: httpPorts[index]! }, join(folder, settings.node)),
   );
@@ -300,15 +303,15 @@
     deaths: [],
     answerTimes: [],
     badExits: 0,
-    over: false,
+    isStopping: false,
   };
   daemons.forEach((daemon) => daemon.start());
-  await Promise.all(daemons.map((daemon) => daemon.ready()));
+  await Promise.all(daemons.map((daemon) => daemon.waitUntilReady()));
   await runFaults(rig, options.minutes);
-  await readBack(rig);
-  rig.run.executions.push(...served.flatMap(({ backEnd }) => backEnd.executions));
-  await endAll(rig);
-  served.forEach(({ server, backEnd }) => {
+  await readFinalState(rig);
+  rig.run.executions.push(...servedBackEnds.flatMap(({ backEnd }) => backEnd.executions));
+  await killDaemons(rig);
+  servedBackEnds.forEach(({ server, backEnd }) => {
     server.close();
     backEnd.stop();
   });
@@ -318,31 +321,31 @@
 }
 
 async function runFaults(rig: Rig, minutes: number): Promise<void> {
-  const callers = Array.from({ length: CALLERS }, (_, caller) => runCaller(rig, caller));
-  const until = performance.now() + minutes * 60_000;
-  while (performance.now() < until) {
-    await wait(FAULT_PERIOD_MILLISECONDS);
-    await strike(rig);
+  const callers = Array.from({ length: CALLER_COUNT }, (_, caller) => runCaller(rig, caller));
+  const endsAt = performance.now() + minutes * 60_000;
+  while (performance.now() < endsAt) {
+    await sleep(FAULT_INTERVAL_MILLISECONDS);
+    await injectFault(rig);
   }
-  rig.over = true;
+  rig.isStopping = true;
   await Promise.all(callers);
   rig.run.endedAt = performance.now();
 }
 
-async function endAll(rig: Rig): Promise<void> {
+async function killDaemons(rig: Rig): Promise<void> {
   for (const daemon of rig.daemons) {
     daemon.signal('SIGKILL');
-    await daemon.exited();
+    await daemon.waitForExit();
   }
   await rig.agent.destroy();
 }
 
 function summarizeRun(rig: Rig, seed: number): ChaosResult {
-  const touched = rig.deaths.map((death) =>
+  const longestAnswerSeconds = rig.deaths.map((death) =>
     Math.max(
       0,
       ...rig.answerTimes
-        .filter(({ sentAt }) => Math.abs(sentAt - death) < AROUND_DEATH_MILLISECONDS)
+        .filter(({ sentAt }) => Math.abs(sentAt - death) < DEATH_WINDOW_MILLISECONDS)
         .map(({ seconds }) => seconds),
     ),
   );
@@ -354,7 +357,7 @@
     programs: new Set(rig.run.calls.map((call) => call.program)).size,
     faults: Object.fromEntries(rig.faults),
     violations: checkRun(rig.run),
-    secondsToAnswerAfterDeath: summarize(touched),
+    secondsToAnswerAfterDeath: summarize(longestAnswerSeconds),
     badExits: rig.badExits,
   };
 }
--- a/src/bench/daemon-process.ts
+++ b/src/bench/daemon-process.ts
@@ -7,9 +7,9 @@
 import { request } from 'undici';
 import type { Settings } from '../configuration/settings.js';
 
-const DAEMON = fileURLToPath(new URL('../commands/ivyloomd.js', import.meta.url));
-const READY_MILLISECONDS = 15_000;
-const LOOK_MILLISECONDS = 50;
+const DAEMON_PATH = fileURLToPath(new URL('../commands/ivyloomd.js', import.meta.url));
+const READY_TIMEOUT_MILLISECONDS = 15_000;
+const POLL_INTERVAL_MILLISECONDS = 50;
 
 /** One daemon that can be started again from its data folder. */
 export class DaemonProcess {
@@ -38,7 +38,7 @@
     const dataFolder = join(this.folder, 'data');
     writeFileSync(file, JSON.stringify({ ...this.settings, dataFolder }));
     const log = openSync(join(this.folder, 'log'), 'a');
-    const child = spawn(process.execPath, [DAEMON, '--settings', file], {
+    const child = spawn(process.execPath, [DAEMON_PATH, '--settings', file], {
       stdio: ['ignore', log, log],
     });
     this.child = child;
@@ -55,7 +55,7 @@
   }
 
   /** Resolves with the exit code when the process has ended. */
-  async exited(): Promise<number | null> {
+  async waitForExit(): Promise<number | null> {
     const { child } = this;
     if (child === undefined) {
       return null;
@@ -64,18 +64,18 @@
   }
 
   /** Resolves with true when the daemon can serve callers. */
-  async ready(): Promise<boolean> {
-    const until = performance.now() + READY_MILLISECONDS;
-    while (performance.now() < until) {
-      if (await this.answersReady()) {
+  async waitUntilReady(): Promise<boolean> {
+    const deadline = performance.now() + READY_TIMEOUT_MILLISECONDS;
+    while (performance.now() < deadline) {
+      if (await this.probeReadiness()) {
         return true;
       }
-      await new Promise((resolve) => setTimeout(resolve, LOOK_MILLISECONDS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MILLISECONDS));
     }
     return false;
   }
 
-  private async answersReady(): Promise<boolean> {
+  private async probeReadiness(): Promise<boolean> {
     try {
       const response = await request(`${this.url}/readyz`, { headersTimeout: 500 });
       await response.body.dump();
--- a/src/bench/deployments.ts
+++ b/src/bench/deployments.ts
@@ -7,7 +7,7 @@
 export interface DeploymentWorkload {
   readonly group: string;
   /** Part of the engine time that this group's programs are made to need. */
-  readonly part: number;
+  readonly loadFraction: number;
   readonly kinds: readonly WorkloadKind[];
 }
 
@@ -16,9 +16,9 @@
   readonly name: string;
   readonly zones: readonly string[];
   /** One-way milliseconds between zones. */
-  readonly betweenZones: number;
+  readonly interZoneMilliseconds: number;
   /** One-way milliseconds to clients. */
-  readonly toClients: number;
+  readonly clientLinkMilliseconds: number;
   readonly services: readonly SimulatedService[];
   readonly groups: readonly SimulatedGroup[];
   readonly workloads: readonly DeploymentWorkload[];
@@ -47,14 +47,14 @@
 export const LAKESHORE: Deployment = {
   name: 'lakeshore',
   zones: ['hall-erie', 'hall-huron', 'hall-superior'],
-  betweenZones: 1.5,
-  toClients: 1,
+  interZoneMilliseconds: 1.5,
+  clientLinkMilliseconds: 1,
   services: [model('catalog-minds', 8), tool('order-desk', 3)],
   groups: [BRANDVOLD],
   workloads: [
     {
       group: 'brandvold',
-      part: 1,
+      loadFraction: 1,
       kinds: brandvoldKinds({ model: 'catalog-minds', tool: 'order-desk' }),
     },
   ],
@@ -64,14 +64,14 @@
 export const DAKAR: Deployment = {
   name: 'dakar',
   zones: ['dkr-plateau', 'dkr-yoff', 'dkr-rufisque', 'dkr-diamniadio'],
-  betweenZones: 0.5,
-  toClients: 3,
+  interZoneMilliseconds: 0.5,
+  clientLinkMilliseconds: 3,
   services: [model('agent-models', 10), tool('notify-app', 4)],
   groups: [TERANGA],
   workloads: [
     {
       group: 'teranga',
-      part: 1,
+      loadFraction: 1,
       kinds: terangaKinds({ model: 'agent-models', tool: 'notify-app' }),
     },
   ],
@@ -81,19 +81,19 @@
 export const MIXED: Deployment = {
   name: 'mixed',
   zones: LAKESHORE.zones,
-  betweenZones: LAKESHORE.betweenZones,
-  toClients: LAKESHORE.toClients,
+  interZoneMilliseconds: LAKESHORE.interZoneMilliseconds,
+  clientLinkMilliseconds: LAKESHORE.clientLinkMilliseconds,
   services: [model('catalog-minds', 12), tool('order-desk', 4)],
   groups: [BRANDVOLD, TERANGA],
   workloads: [
     {
       group: 'brandvold',
-      part: 0.4,
+      loadFraction: 0.4,
       kinds: brandvoldKinds({ model: 'catalog-minds', tool: 'order-desk' }),
     },
     {
       group: 'teranga',
-      part: 0.6,
+      loadFraction: 0.6,
       kinds: terangaKinds({ model: 'catalog-minds', tool: 'order-desk' }),
     },
   ],
--- a/src/bench/experiment.ts
+++ b/src/bench/experiment.ts
@@ -65,7 +65,7 @@
 }
 
 /** Longest time the run goes on after the last arrival, in virtual milliseconds. */
-const DRAIN_MILLISECONDS = 3_600_000;
+const MAXIMUM_DRAIN_MILLISECONDS = 3_600_000;
 const PROGRESS_STEP_MILLISECONDS = 5_000;
 
 /** Costs of a token on the emulated engine at the batch its limit allows. */
@@ -79,7 +79,7 @@
   readonly script: ProgramScript;
 }
 
-function modelEngines(deployment: Deployment): number {
+function countModelEngines(deployment: Deployment): number {
   return deployment.services
     .filter((service) => service.kind === 'model')
     .reduce((sum, service) => sum + service.runners, 0);
@@ -94,7 +94,7 @@
  * Mean need of a workload's programs, in milliseconds of a whole engine: of its computing time or
  * of its memory, whichever is scarcer, when each token is computed once and kept through pauses.
  */
-function meanNeed(
+function meanEngineMilliseconds(
   kinds: Parameters<typeof makeScript>[0],
   cacheTokens: number,
   random: RandomSource,
@@ -116,11 +116,12 @@
   for (const workload of deployment.workloads) {
     const random = createRandom(seed, `arrivals:${workload.group}`);
     const sample = createRandom(seed, `sample:${workload.group}`);
-    const need = meanNeed(workload.kinds, ENGINE_CACHE_TOKENS, sample);
-    const gap = need / (modelEngines(deployment) * load * workload.part);
+    const engineMilliseconds = meanEngineMilliseconds(workload.kinds, ENGINE_CACHE_TOKENS, sample);
+    const meanInterval =
+      engineMilliseconds / (countModelEngines(deployment) * load * workload.loadFraction);
     let at = 0;
     for (let index = 0; at < seconds * 1_000; index += 1) {
-      at += random.exponential(gap);
+      at += random.exponential(meanInterval);
       const name = `${workload.group}-${index}`;
       arrivals.push({ at, script: makeScript(workload.kinds, name, random) });
     }
@@ -132,7 +133,7 @@
 class ScriptOracle implements Oracle {
   private readonly progress = new Map<string, { script: ProgramScript; next: number }>();
 
-  note(script: ProgramScript, next: number): void {
+  recordProgress(script: ProgramScript, next: number): void {
     this.progress.set(script.name, { script, next });
   }
 
@@ -160,7 +161,7 @@
   );
 }
 
-function isChat(script: ProgramScript): boolean {
+function hasChatStep(script: ProgramScript): boolean {
   return script.steps.some((step) => step.kind === 'chat');
 }
 
@@ -179,25 +180,27 @@
   wallSeconds: number,
 ): PolicyFigures {
   const { deployment, seconds = 300 } = options;
-  const chats = state.outcomes.filter((outcome) => isChat(outcome.script) && !outcome.failed);
+  const chatOutcomes = state.outcomes.filter(
+    (outcome) => hasChatStep(outcome.script) && !outcome.failed,
+  );
   const latency = (outcome: ProgramOutcome): number =>
     (outcome.endedAt - outcome.startedAt) / 1_000;
-  const kinds = [...new Set(chats.map((outcome) => outcome.script.kind))].sort();
+  const kinds = [...new Set(chatOutcomes.map((outcome) => outcome.script.kind))].sort();
   const totals = [...cluster.backEnds.values()].map((backEnd) => backEnd.totals());
   const sum = (pick: (total: (typeof totals)[number]) => number): number =>
     totals.reduce((accumulated, total) => accumulated + pick(total), 0);
-  const idle = sum((total) => total.use.idle);
+  const idle = sum((total) => total.idleMemory.idle);
   const runSeconds = cluster.clock.now / 1_000;
   return {
-    programLatencySeconds: summarize(chats.map(latency)),
+    programLatencySeconds: summarize(chatOutcomes.map(latency)),
     latencyByKind: Object.fromEntries(
       kinds.map((kind) => [
         kind,
-        summarize(chats.filter((outcome) => outcome.script.kind === kind).map(latency)),
+        summarize(chatOutcomes.filter((outcome) => outcome.script.kind === kind).map(latency)),
       ]),
     ),
-    wastedCacheRatio: sum((total) => total.use.neverReused) / Math.max(1, idle),
-    unusedStretchRatio: sum((total) => total.use.unusedStretches) / Math.max(1, idle),
+    wastedCacheRatio: sum((total) => total.idleMemory.neverReused) / Math.max(1, idle),
+    unusedStretchRatio: sum((total) => total.idleMemory.unusedStretches) / Math.max(1, idle),
     heldTokenSeconds: idle / 1_000,
     prefillTokens: sum((total) => total.prefillTokens),
     prefillTokensSaved: sum((total) => total.cachedTokens),
@@ -207,7 +210,7 @@
     refusals: state.outcomes.reduce((total, outcome) => total + outcome.refusals, 0),
     failedPrograms: state.outcomes.filter((outcome) => outcome.failed).length,
     finishedPrograms: state.outcomes.length,
-    busyRatio: busyWhileArriving / (modelEngines(deployment) * seconds * 1_000),
+    busyRatio: busyWhileArriving / (countModelEngines(deployment) * seconds * 1_000),
     runSeconds,
     wallSeconds,
   };
@@ -230,7 +233,7 @@
   const cluster = new SimulatedCluster({
     seed,
     zones: deployment.zones,
-    betweenZones: deployment.betweenZones,
+    interZoneMilliseconds: deployment.interZoneMilliseconds,
     shardCount: 12,
     services: deployment.services,
     groups: deployment.groups,
@@ -240,7 +243,7 @@
   const begin = cluster.clock.now;
   const state: RunState = { outcomes: [], urgentWaits: [], received: new Map() };
   const client = cluster.createProcess('caller');
-  const runtime = client.begin();
+  const runtime = client.start();
   const port = new SimulatedCaller(cluster, { process: client, zone: 'clients' }, runtime);
   const arrivals = planArrivals(options);
   const startProgram = (arrival: Arrival): void => {
@@ -248,12 +251,12 @@
       runtime,
       port,
       script: arrival.script,
-      onStep: (script, next) => oracle.note(script, next),
-      onCall: (call, waited) => {
-        noteReceived(state, call.script, call.step.outputTokens);
+      onStep: (script, next) => oracle.recordProgress(script, next),
+      onCall: (call, durationMilliseconds) => {
+        recordReceived(state, call.script, call.step.outputTokens);
         if (call.script.callClass === 'urgent' && call.step.kind === 'chat') {
-          const own = call.step.outputTokens * 8.35;
-          state.urgentWaits.push(Math.max(0, waited - own) / 1_000);
+          const decodeMilliseconds = call.step.outputTokens * 8.35;
+          state.urgentWaits.push(Math.max(0, durationMilliseconds - decodeMilliseconds) / 1_000);
         }
       },
       done: (outcome) => state.outcomes.push(outcome),
@@ -267,7 +270,7 @@
     0,
   );
   const finished = (): boolean => state.outcomes.length >= arrivals.length;
-  const end = begin + seconds * 1_000 + DRAIN_MILLISECONDS;
+  const end = begin + seconds * 1_000 + MAXIMUM_DRAIN_MILLISECONDS;
   while (!finished() && cluster.clock.now < end) {
     cluster.clock.runUntil(cluster.clock.now + PROGRESS_STEP_MILLISECONDS, finished);
   }
@@ -275,7 +278,7 @@
   return collectFigures(cluster, options, state, busy, wallSeconds);
 }
 
-function noteReceived(state: RunState, script: ProgramScript, tokens: number): void {
+function recordReceived(state: RunState, script: ProgramScript, tokens: number): void {
   state.received.set(script.group, (state.received.get(script.group) ?? 0) + tokens);
 }
 
--- a/src/bench/free-ports.ts
+++ b/src/bench/free-ports.ts
@@ -10,7 +10,7 @@
 }
 
 /** Free ports of an address, all different. */
-export async function freePorts(host: string, count: number): Promise<number[]> {
+export async function findFreePorts(host: string, count: number): Promise<number[]> {
   const servers = Array.from({ length: count }, () => createServer());
   const ports: number[] = [];
   for (const server of servers) {
--- a/src/bench/http-caller.ts
+++ b/src/bench/http-caller.ts
@@ -24,17 +24,17 @@
   readonly detail?: string;
 }
 
-const REFUSED = 'ECONNREFUSED';
+const CONNECTION_REFUSED_CODE = 'ECONNREFUSED';
 
 /** See the head of this file. */
 export class HttpCaller implements CallerPort {
   private readonly agent = new Agent({ connections: 128, bodyTimeout: 0, headersTimeout: 0 });
-  private next = 0;
+  private urlIndex = 0;
 
   constructor(private readonly options: HttpCallerOptions) {}
 
   call(call: CallerCall, done: (result: CallerResult) => void): void {
-    this.send(call).then(done, (cause: unknown) => done(brokenConnection(cause)));
+    this.send(call).then(done, (cause: unknown) => done(resultOfBrokenConnection(cause)));
   }
 
   endProgram(script: ProgramScript): void {
@@ -54,8 +54,8 @@
   }
 
   private nextUrl(): string {
-    this.next += 1;
-    return this.options.urls[this.next % this.options.urls.length]!;
+    this.urlIndex += 1;
+    return this.options.urls[this.urlIndex % this.options.urls.length]!;
   }
 
   private async send(call: CallerCall): Promise<CallerResult> {
@@ -104,10 +104,12 @@
   };
 }
 
-function brokenConnection(cause: unknown): CallerResult {
+function resultOfBrokenConnection(cause: unknown): CallerResult {
   const { code } = cause as { code?: string };
   const detail = cause instanceof Error ? cause.message : String(cause);
   const error =
-    code === REFUSED ? notRun('Unavailable', detail, 0.2) : mayHaveRun('Unavailable', detail);
+    code === CONNECTION_REFUSED_CODE
+      ? notRun('Unavailable', detail, 0.2)
+      : mayHaveRun('Unavailable', detail);
   return { type: 'failed', error };
 }
--- a/src/bench/local-cluster.ts
+++ b/src/bench/local-cluster.ts
@@ -16,7 +16,7 @@
 import type { LogLevel, Runtime } from '../runtime/runtime.js';
 import type { SimulatedService } from '../simulation/simulated-cluster.js';
 import type { Deployment } from './deployments.js';
-import { freePorts } from './free-ports.js';
+import { findFreePorts } from './free-ports.js';
 
 /** All sockets of a local cluster are on this address. */
 export const LOOPBACK = '127.0.0.1';
@@ -130,12 +130,12 @@
 }
 
 /** Settings of the nodes of a local cluster. */
-export async function planNodes(
+export async function createNodeSettings(
   options: LocalClusterOptions,
   keyValueUrl: string,
 ): Promise<Settings[]> {
   const { deployment, nodes = 3 } = options;
-  const ports = await freePorts(LOOPBACK, nodes);
+  const ports = await findFreePorts(LOOPBACK, nodes);
   const peers = ports.map((port, index) => {
     const zone = deployment.zones[index % deployment.zones.length]!;
     return {
@@ -169,17 +169,17 @@
   );
   const served = await serveBackEnds(platform, options.deployment);
   writeFirstConfiguration(keyValue, listDocuments(options.deployment, served));
-  const settings = await planNodes(options, `http://${LOOPBACK}:${keyValuePort}`);
+  const settings = await createNodeSettings(options, `http://${LOOPBACK}:${keyValuePort}`);
   const daemons = await Promise.all(
-    settings.map((own, index) => {
-      const { node, zone } = own;
+    settings.map((nodeSettings, index) => {
+      const { node, zone } = nodeSettings;
       const logLevel = options.logLevel ?? 'error';
       const runtime = createRealRuntime({
         seed: options.seed + index,
         fields: { node, zone },
         logLevel,
       });
-      return startDaemon(own, runtime);
+      return startDaemon(nodeSettings, runtime);
     }),
   );
   await waitUntilReady(daemons, platform);
@@ -204,20 +204,20 @@
 
 function waitUntilReady(daemons: readonly Daemon[], runtime: Runtime): Promise<void> {
   return new Promise((resolve) => {
-    const look = (): void => {
+    const poll = (): void => {
       const shardCount = daemons[0]?.node.options.map.shardCount ?? 0;
-      const led = daemons.reduce(
+      const ledShardCount = daemons.reduce(
         (sum, daemon) =>
           sum + daemon.node.listShards().filter((roles) => roles.host.canServe()).length,
         0,
       );
-      const ready = daemons.every((daemon) => daemon.node.isReady) && led >= shardCount;
+      const ready = daemons.every((daemon) => daemon.node.isReady) && ledShardCount >= shardCount;
       if (ready) {
         resolve();
       } else {
-        runtime.setTimer(50, look);
+        runtime.setTimer(50, poll);
       }
     };
-    look();
+    poll();
   });
 }
--- a/src/bench/overhead.ts
+++ b/src/bench/overhead.ts
@@ -38,17 +38,17 @@
 const ANSWER_TOKENS = 64;
 const MODEL = 'catalog-minds';
 
-interface OneCall {
+interface CallMeasurement {
   readonly firstMilliseconds: number;
   readonly perTokenMilliseconds: number;
   readonly cpuMicroseconds: number;
 }
 
-async function timeCall(
+async function measureCall(
   url: string,
   headers: Record<string, string>,
   text: string,
-): Promise<OneCall> {
+): Promise<CallMeasurement> {
   const cpu = process.cpuUsage();
   const started = performance.now();
   const response = await request(`${url}/v1/chat/completions`, {
@@ -62,22 +62,22 @@
     }),
   });
   const reader = new EventStreamReader();
-  let first = 0;
+  let firstMilliseconds = 0;
   for await (const chunk of response.body as AsyncIterable<Buffer>) {
-    if (reader.push(chunk).length > 0 && first === 0) {
-      first = performance.now() - started;
+    if (reader.push(chunk).length > 0 && firstMilliseconds === 0) {
+      firstMilliseconds = performance.now() - started;
     }
   }
-  const whole = performance.now() - started;
+  const totalMilliseconds = performance.now() - started;
   const used = process.cpuUsage(cpu);
   return {
-    firstMilliseconds: first,
-    perTokenMilliseconds: (whole - first) / ANSWER_TOKENS,
+    firstMilliseconds,
+    perTokenMilliseconds: (totalMilliseconds - firstMilliseconds) / ANSWER_TOKENS,
     cpuMicroseconds: used.user + used.system,
   };
 }
 
-function timesOf(calls: readonly OneCall[]): CallTimes {
+function summarizeCalls(calls: readonly CallMeasurement[]): CallTimes {
   return {
     firstTokenMilliseconds: summarize(calls.map((call) => call.firstMilliseconds)),
     perTokenMilliseconds: summarize(calls.map((call) => call.perTokenMilliseconds)),
@@ -93,19 +93,19 @@
   const { seed, calls } = options;
   const cluster = await startLocalCluster({ deployment: LAKESHORE, seed });
   const key = { authorization: `Bearer ${localKeyOf('brandvold')}` };
-  const direct: OneCall[] = [];
-  const scheduled: OneCall[] = [];
+  const direct: CallMeasurement[] = [];
+  const scheduled: CallMeasurement[] = [];
   const node = cluster.urls[0]!;
-  await timeCall(node, key, 'warm up');
+  await measureCall(node, key, 'warm up');
   for (let index = 0; index < calls; index += 1) {
-    direct.push(await timeCall(cluster.engineUrl, {}, `direct ${index}`));
-    scheduled.push(await timeCall(node, key, `scheduled ${index}`));
+    direct.push(await measureCall(cluster.engineUrl, {}, `direct ${index}`));
+    scheduled.push(await measureCall(node, key, `scheduled ${index}`));
   }
   await cluster.stop();
   const directCpu = median(direct.map((call) => call.cpuMicroseconds)) / ANSWER_TOKENS;
   const scheduledCpu = median(scheduled.map((call) => call.cpuMicroseconds)) / ANSWER_TOKENS;
-  const directTimes = timesOf(direct);
-  const scheduledTimes = timesOf(scheduled);
+  const directTimes = summarizeCalls(direct);
+  const scheduledTimes = summarizeCalls(scheduled);
   return {
     seed,
     calls,
--- a/src/bench/program-runner.ts
+++ b/src/bench/program-runner.ts
@@ -38,15 +38,15 @@
 }
 
 /** Tries of one call before its program gives up. */
-const MAXIMUM_TRIES = 20;
-const TEXT_UNIT = 'wind rated sash unit ';
+const MAXIMUM_ATTEMPTS = 20;
+const FILLER_TEXT = 'wind rated sash unit ';
 
 /** A text of a number of tokens that differs from every other. */
 export function makeText(label: string, tokens: number, outputTokens: number): string {
   const characters = Math.max(8, tokens * 4);
-  const filler = TEXT_UNIT.repeat(Math.ceil(characters / TEXT_UNIT.length));
-  const mark = ` #${outputTokens}`;
-  return `${label} ${filler}`.slice(0, Math.max(label.length, characters - mark.length)) + mark;
+  const filler = FILLER_TEXT.repeat(Math.ceil(characters / FILLER_TEXT.length));
+  const marker = ` #${outputTokens}`;
+  return `${label} ${filler}`.slice(0, Math.max(label.length, characters - marker.length)) + marker;
 }
 
 /** What a runner is made with. */
@@ -55,7 +55,7 @@
   readonly port: CallerPort;
   readonly script: ProgramScript;
   readonly onStep?: (script: ProgramScript, nextStep: number) => void;
-  readonly onCall?: (call: CallerCall, waitedMilliseconds: number) => void;
+  readonly onCall?: (call: CallerCall, durationMilliseconds: number) => void;
   readonly done: (outcome: ProgramOutcome) => void;
 }
 
@@ -87,8 +87,8 @@
   }
 
   private runChildren(step: ProgramStep, done: () => void): void {
-    let left = step.children.length;
-    if (left === 0) {
+    let remaining = step.children.length;
+    if (remaining === 0) {
       done();
       return;
     }
@@ -98,8 +98,8 @@
         script,
         done: (outcome) => {
           this.refusals += outcome.refusals;
-          left -= 1;
-          if (left === 0) {
+          remaining -= 1;
+          if (remaining === 0) {
             done();
           }
         },
@@ -108,7 +108,7 @@
     }
   }
 
-  private makeCall(index: number, step: ProgramStep, tries: number): void {
+  private makeCall(index: number, step: ProgramStep, attempt: number): void {
     const { script, port, runtime, onCall } = this.options;
     const sequence = index + 1;
     const label = `${script.name}:${sequence}`;
@@ -128,22 +128,22 @@
         onCall?.(call, runtime.now() - sentAt);
         this.runStep(index + 1);
       } else {
-        this.handleFailure(index, step, tries, result.error);
+        this.handleFailure(index, step, attempt, result.error);
       }
     });
   }
 
-  private handleFailure(index: number, step: ProgramStep, tries: number, error: CallError): void {
+  private handleFailure(index: number, step: ProgramStep, attempt: number, error: CallError): void {
     this.refusals += 1;
-    const mayTryAgain = error.verdict === 'NotRun' || step.repeatable;
-    const final =
+    const isRetryable = error.verdict === 'NotRun' || step.repeatable;
+    const isFinal =
       error.tag === 'BudgetSpent' || error.tag === 'Stopped' || error.tag === 'Forbidden';
-    if (tries >= MAXIMUM_TRIES || !mayTryAgain || final) {
+    if (attempt >= MAXIMUM_ATTEMPTS || !isRetryable || isFinal) {
       this.finish(true);
       return;
     }
     const pause = Math.max(0.2, error.retryAfterSeconds) * 1_000;
-    this.options.runtime.setTimer(pause, () => this.makeCall(index, step, tries + 1));
+    this.options.runtime.setTimer(pause, () => this.makeCall(index, step, attempt + 1));
   }
 
   private finish(failed: boolean): void {
--- a/src/bench/program-script.ts
+++ b/src/bench/program-script.ts
@@ -41,8 +41,8 @@
   if (step.kind === 'tool') {
     return 0;
   }
-  const fresh = step.inputTokens + 2 * MESSAGE_OVERHEAD_TOKENS;
-  return fresh * costs.prefillMilliseconds + step.outputTokens * costs.decodeMilliseconds;
+  const newTokens = step.inputTokens + 2 * MESSAGE_OVERHEAD_TOKENS;
+  return newTokens * costs.prefillMilliseconds + step.outputTokens * costs.decodeMilliseconds;
 }
 
 /** Engine time a program needs from a step on, sub-agents included, all history cached. */
--- a/src/bench/scale.ts
+++ b/src/bench/scale.ts
@@ -29,21 +29,24 @@
   readonly inForceMax: number;
 }
 
-const ZONES = 15;
+const ZONE_COUNT = 15;
 const SHARDS_PER_NODE = 3;
 const MEASURED_MILLISECONDS = 10_000;
-const CHANGES = 12;
-const CHANGE_PERIOD_MILLISECONDS = 2_000;
-const LOOK_MILLISECONDS = 20;
-const LONGEST_SPREAD_MILLISECONDS = 30_000;
+const CHANGE_COUNT = 12;
+const CHANGE_INTERVAL_MILLISECONDS = 2_000;
+const POLL_INTERVAL_MILLISECONDS = 20;
+const MAXIMUM_PROPAGATION_MILLISECONDS = 30_000;
 
-function createCluster(options: ScaleOptions, count: (bytes: number) => void): SimulatedCluster {
-  const zones = Array.from({ length: ZONES }, (_, index) => `zone-${index}`);
+function createCluster(
+  options: ScaleOptions,
+  onMessageBytes: (bytes: number) => void,
+): SimulatedCluster {
+  const zones = Array.from({ length: ZONE_COUNT }, (_, index) => `zone-${index}`);
   return new SimulatedCluster({
     seed: options.seed,
     zones: zones.slice(0, options.nodes),
-    nodesPerZone: Math.max(1, Math.ceil(options.nodes / ZONES)),
-    betweenZones: 1,
+    nodesPerZone: Math.max(1, Math.ceil(options.nodes / ZONE_COUNT)),
+    interZoneMilliseconds: 1,
     shardCount: options.nodes * SHARDS_PER_NODE,
     services: [{ name: 'catalog-minds', kind: 'model', runners: 12, concurrency: 16 }],
     groups: Array.from({ length: 20 }, (_, index) => ({
@@ -51,11 +54,11 @@
       share: 1,
       budget: 1e9,
     })),
-    onMessage: (_from, message) => count(encodeFrame(encodeMessage(message)).length),
+    onMessage: (_from, message) => onMessageBytes(encodeFrame(encodeMessage(message)).length),
   });
 }
 
-function timeChange(cluster: SimulatedCluster, number: number): number {
+function measurePropagation(cluster: SimulatedCluster, number: number): number {
   const node = cluster.livingNodes()[number % cluster.livingNodes().length]!;
   const operator = { name: 'scale', mayChange: true };
   const statement = `set group group-${number} share ${number + 2}`;
@@ -65,18 +68,18 @@
   runStatement(node, statement, operator, `scale-${number}`, (result) => {
     revision = E.isRight(result) ? (result.right.revision ?? 0) : -1;
   });
-  const spread = (): boolean =>
+  const hasPropagated = (): boolean =>
     cluster
       .livingNodes()
       .every(
         (other) => other.configuration.current.groups.get(`group-${number}`)?.share === number + 2,
       );
-  while (!spread() && clock.now - started < LONGEST_SPREAD_MILLISECONDS) {
-    clock.runUntil(clock.now + LOOK_MILLISECONDS);
+  while (!hasPropagated() && clock.now - started < MAXIMUM_PROPAGATION_MILLISECONDS) {
+    clock.runUntil(clock.now + POLL_INTERVAL_MILLISECONDS);
   }
-  const took = clock.now - started;
-  clock.runUntil(clock.now + CHANGE_PERIOD_MILLISECONDS, () => revision !== 0);
-  return took;
+  const propagationMilliseconds = clock.now - started;
+  clock.runUntil(clock.now + CHANGE_INTERVAL_MILLISECONDS, () => revision !== 0);
+  return propagationMilliseconds;
 }
 
 /** Measures one size. */
@@ -101,9 +104,11 @@
   counting = false;
   global.gc?.();
   const heap = process.memoryUsage().heapUsed - heapBefore;
-  const spreads = Array.from({ length: CHANGES }, (_, number) => timeChange(cluster, number));
+  const propagationTimes = Array.from({ length: CHANGE_COUNT }, (_, number) =>
+    measurePropagation(cluster, number),
+  );
   const seconds = MEASURED_MILLISECONDS / 1_000;
-  const summary = summarize(spreads);
+  const summary = summarize(propagationTimes);
   return {
     nodes,
     shards: cluster.map.shardCount,
--- a/src/bench/simulated-caller.ts
+++ b/src/bench/simulated-caller.ts
@@ -1,14 +1,14 @@
 /** A caller in virtual time: reaches gateways over the simulated network, retries elsewhere. */
 import type { CallEvent, CallRequest } from '../model/call.js';
 import { notRun } from '../model/verdict.js';
-import type { NetworkEnd } from '../simulation/simulated-network.js';
+import type { NetworkEndpoint } from '../simulation/simulated-network.js';
 import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { CallerCall, CallerPort, CallerResult } from './program-runner.js';
 import type { ProgramScript } from './program-script.js';
 
 /** Patience of a caller, in milliseconds. */
-const TIMEOUT_MILLISECONDS = 600_000;
+const CALL_TIMEOUT_MILLISECONDS = 600_000;
 
 /** Builds the request of a caller's call. */
 export function requestOf(
@@ -39,53 +39,59 @@
 
 /** A port to a simulated cluster; each caller sticks to a node while it lives. */
 export class SimulatedCaller implements CallerPort {
-  private made = 0;
+  private requestCount = 0;
 
   constructor(
     private readonly cluster: SimulatedCluster,
-    private readonly end: NetworkEnd,
+    private readonly endpoint: NetworkEndpoint,
     private readonly runtime: Runtime,
   ) {}
 
   call(call: CallerCall, done: (result: CallerResult) => void): void {
     const { cluster, runtime } = this;
     const node = runtime.random.pick(cluster.nodeNames);
-    const target = cluster.endOf(node);
-    this.made += 1;
-    const name = `c-${this.end.process.name}-${this.made}`;
-    const request = requestOf(call, name, TIMEOUT_MILLISECONDS);
-    const refuse = (): void => {
+    const target = cluster.endpointOf(node);
+    this.requestCount += 1;
+    const name = `c-${this.endpoint.process.name}-${this.requestCount}`;
+    const request = requestOf(call, name, CALL_TIMEOUT_MILLISECONDS);
+    const failUndelivered = (): void => {
       done({ type: 'failed', error: notRun('Unavailable', 'no connection', 0.2) });
     };
-    const sending = { lastArrival: 0 };
-    const answering = { lastArrival: 0 };
+    const requestOrder = { lastArrival: 0 };
+    const responseOrder = { lastArrival: 0 };
     const deliver = (): void => {
       const gateway = cluster.node(node)?.gateway;
       gateway?.submit(request, false, (event) => {
         if (event.type !== 'piece') {
           const arrive = (): void => done(resultOf(event));
-          cluster.network.deliverInOrder(answering, target, this.end, arrive, () => undefined);
+          cluster.network.deliverInOrder(
+            responseOrder,
+            target,
+            this.endpoint,
+            arrive,
+            () => undefined,
+          );
         }
       });
     };
-    cluster.network.deliverInOrder(sending, this.end, target, deliver, refuse);
+    cluster.network.deliverInOrder(requestOrder, this.endpoint, target, deliver, failUndelivered);
   }
 
   endProgram(script: ProgramScript): void {
     const { cluster, runtime } = this;
     const node = runtime.random.pick(cluster.nodeNames);
-    this.made += 1;
-    const id = `e-${this.end.process.name}-${this.made}`;
-    const sending = { lastArrival: 0 };
+    this.requestCount += 1;
+    const id = `e-${this.endpoint.process.name}-${this.requestCount}`;
+    const requestOrder = { lastArrival: 0 };
     const deliver = (): void => {
       cluster
         .node(node)
         ?.gateway.requestProgram(id, 'end', script.name, script.group, () => undefined);
     };
     cluster.network.deliverInOrder(
-      sending,
-      this.end,
-      cluster.endOf(node),
+      requestOrder,
+      this.endpoint,
+      cluster.endpointOf(node),
       deliver,
       () => undefined,
     );
--- a/src/bench/slopes.ts
+++ b/src/bench/slopes.ts
@@ -27,7 +27,7 @@
 const MICROSECONDS_PER_NANOSECOND = 1e-3;
 
 /** Mean processor time of an operation, in microseconds, after a warm-up. */
-function timeEach(times: number, operation: (index: number) => void): number {
+function measureMeanMicroseconds(times: number, operation: (index: number) => void): number {
   for (let index = 0; index < Math.min(times, 2_000); index += 1) {
     operation(index);
   }
@@ -111,16 +111,16 @@
     pool.directory.add(holder, { name: ticket.program, tokens: 1_800 });
     policy.enqueue(ticket, 0);
   }
-  let made = waiting;
-  return timeEach(decisions, (index) => {
+  let ticketCount = waiting;
+  return measureMeanMicroseconds(decisions, (index) => {
     const placement = policy.choose(pool, index);
     if (placement === undefined) {
       return;
     }
     const { engine } = placement;
     // Its place is taken to be free again at once; another call takes its place in the queue.
-    made += 1;
-    const next = makeTicket(made, 40);
+    ticketCount += 1;
+    const next = makeTicket(ticketCount, 40);
     pool.directory.add(engine.engine, { name: next.program, tokens: 1_800 });
     policy.enqueue(next, index);
   });
@@ -159,7 +159,7 @@
   ];
   return messages.flatMap(([what, message]) => {
     const bytes = encodeMessage(message);
-    const cost = timeEach(20_000, () => {
+    const cost = measureMeanMicroseconds(20_000, () => {
       decodeMessage(encodeMessage(message));
     });
     return [
@@ -221,7 +221,7 @@
   const map = createShardMap(1_024, nodes);
   const milliseconds = Number(process.hrtime.bigint() - started) / 1e6;
   const leaders = new LeaderDirectory(map);
-  const lookup = timeEach(100_000, (index) => {
+  const lookup = measureMeanMicroseconds(100_000, (index) => {
     leaders.targetOf(index % 1_024);
   });
   return [
--- a/src/bench/start.ts
+++ b/src/bench/start.ts
@@ -25,13 +25,13 @@
   readonly once: boolean;
 }
 
-const PROGRESS_MILLISECONDS = 2_000;
+const PROGRESS_INTERVAL_MILLISECONDS = 2_000;
 /** Mean time between programs, in milliseconds. */
-const ARRIVAL_MILLISECONDS = 60;
+const ARRIVAL_INTERVAL_MILLISECONDS = 60;
 /** Pauses are shortened, so that a first run takes seconds. */
 const PAUSE_SCALE = 0.1;
 /** Longest program of a first run, in steps. */
-const LONGEST_PROGRAM = 8;
+const MAXIMUM_PROGRAM_STEPS = 8;
 
 function write(line: string): void {
   process.stdout.write(`${line}\n`);
@@ -42,7 +42,7 @@
     ...kind,
     make: (name, random) => {
       const script = kind.make(name, random);
-      const steps = script.steps.slice(0, LONGEST_PROGRAM).map((step) => ({
+      const steps = script.steps.slice(0, MAXIMUM_PROGRAM_STEPS).map((step) => ({
         ...step,
         pauseMilliseconds: step.pauseMilliseconds * PAUSE_SCALE,
       }));
@@ -62,7 +62,7 @@
   return new Promise((resolve) => {
     const progress = setInterval(() => {
       write(`  ${outcomes.length} of ${options.programs} programs finished`);
-    }, PROGRESS_MILLISECONDS);
+    }, PROGRESS_INTERVAL_MILLISECONDS);
     for (let index = 0; index < options.programs; index += 1) {
       const script = makeScript(kinds, `run-${options.seed}-${index}`, random);
       const runner = new ProgramRunner({
@@ -77,7 +77,7 @@
           }
         },
       });
-      runtime.setTimer(index * ARRIVAL_MILLISECONDS, () => runner.start());
+      runtime.setTimer(index * ARRIVAL_INTERVAL_MILLISECONDS, () => runner.start());
     }
   });
 }
@@ -98,8 +98,8 @@
   }
   write(table.toString());
   const totals = cluster.backEnds.map((backEnd) => backEnd.totals());
-  const idle = totals.reduce((sum, total) => sum + total.use.idle, 0);
-  const unused = totals.reduce((sum, total) => sum + total.use.neverReused, 0);
+  const idle = totals.reduce((sum, total) => sum + total.idleMemory.idle, 0);
+  const unused = totals.reduce((sum, total) => sum + total.idleMemory.neverReused, 0);
   const prefill = totals.reduce((sum, total) => sum + total.prefillTokens, 0);
   const cached = totals.reduce((sum, total) => sum + total.cachedTokens, 0);
   const percent = (part: number, whole: number): string =>
--- a/src/bench/workloads.ts
+++ b/src/bench/workloads.ts
@@ -25,7 +25,7 @@
   readonly outputMedian: number;
 }
 
-const LONGEST_PAUSE_MILLISECONDS = 60_000;
+const MAXIMUM_PAUSE_MILLISECONDS = 60_000;
 
 function clamp(value: number, low: number, high: number): number {
   return Math.round(Math.min(high, Math.max(low, value)));
@@ -34,7 +34,7 @@
 function chatStep(random: RandomSource, service: string, shape: ChatShape): ProgramStep {
   const pause = random.logNormal(shape.pauseMedian, shape.pauseSigma);
   return {
-    pauseMilliseconds: clamp(pause, 20, LONGEST_PAUSE_MILLISECONDS),
+    pauseMilliseconds: clamp(pause, 20, MAXIMUM_PAUSE_MILLISECONDS),
     service,
     kind: 'chat',
     inputTokens: clamp(random.logNormal(shape.inputMedian, 0.6), 10, 6_000),
--- a/src/emulator/answer-text.ts
+++ b/src/emulator/answer-text.ts
@@ -7,24 +7,24 @@
 import { hashText, hashToNumber } from '../runtime/hashing.js';
 
 /** Tokens of one generated stretch; four hexadecimal groups of a hash. */
-const TOKENS_PER_STRETCH = 5;
+const TOKENS_PER_CHUNK = 5;
 /** A message that ends in `#120` asks the emulator for 120 tokens. */
-const LENGTH_MARK = /#(\d+)$/;
-const SHORTEST_ANSWER_TOKENS = 24;
-const ANSWER_SPREAD_TOKENS = 96;
+const LENGTH_MARKER = /#(\d+)$/;
+const MINIMUM_ANSWER_TOKENS = 24;
+const ANSWER_TOKENS_RANGE = 96;
 
 /** Tokens the emulator answers a conversation with. */
 export function answerLength(messages: readonly ChatMessage[], maximumTokens: number): number {
   const last = messages[messages.length - 1]?.content ?? '';
-  const mark = LENGTH_MARK.exec(last);
-  const wanted =
-    mark === null
-      ? SHORTEST_ANSWER_TOKENS + (hashToNumber(last) % ANSWER_SPREAD_TOKENS)
-      : Number(mark[1]);
-  return Math.max(1, Math.min(wanted, maximumTokens));
+  const match = LENGTH_MARKER.exec(last);
+  const requestedTokens =
+    match === null
+      ? MINIMUM_ANSWER_TOKENS + (hashToNumber(last) % ANSWER_TOKENS_RANGE)
+      : Number(match[1]);
+  return Math.max(1, Math.min(requestedTokens, maximumTokens));
 }
 
-function stretch(digest: string, index: number): string {
+function createChunk(digest: string, index: number): string {
   const hash = hashText(`${digest}:${index}`);
   const words = [0, 3, 6, 9, 12].map((start) => hash.slice(start, start + 3));
   return `${words.join(' ')} `;
@@ -33,8 +33,8 @@
 /** Text of an answer of so many tokens to a conversation with this digest. */
 export function answerText(digest: string, tokens: number): string {
   let text = '';
-  for (let index = 0; index * TOKENS_PER_STRETCH < tokens; index += 1) {
-    text += stretch(digest, index);
+  for (let index = 0; index * TOKENS_PER_CHUNK < tokens; index += 1) {
+    text += createChunk(digest, index);
   }
   return text.slice(0, tokens * CHARACTERS_PER_TOKEN);
 }
--- a/src/emulator/back-end-server.ts
+++ b/src/emulator/back-end-server.ts
@@ -7,7 +7,7 @@
 import type { EmulatedBackEnd } from './emulated-back-end.js';
 import { readJson, sendEvent, sendJson } from './http-helpers.js';
 
-interface OrderExtension {
+interface RequestExtension {
   readonly call?: string;
   readonly program?: string;
   readonly fence?: Fence;
@@ -20,13 +20,13 @@
   readonly messages?: readonly ChatMessage[];
   readonly max_tokens?: number;
   readonly priority?: number;
-  readonly ivyloom?: OrderExtension;
+  readonly ivyloom?: RequestExtension;
 }
 
 interface InvocationBody {
   readonly service?: string;
   readonly payload?: string;
-  readonly ivyloom?: OrderExtension;
+  readonly ivyloom?: RequestExtension;
 }
 
 const NO_FENCE: Fence = { shard: -1, term: 0 };
@@ -67,7 +67,7 @@
     } else if (root === 'ivyloom' && kind === 'streams' && request.method === 'GET') {
       const shard = Number(url.searchParams.get('shard') ?? NO_FENCE.shard);
       const term = Number(url.searchParams.get('term') ?? 0);
-      this.backEnd.resume(name, { shard, term }, this.relayTo(response));
+      this.backEnd.resume(name, { shard, term }, this.streamTo(response));
     } else if (root === 'ivyloom' && kind === 'streams' && request.method === 'DELETE') {
       this.backEnd.cancel(name);
       sendJson(response, 200, {});
@@ -86,31 +86,31 @@
     const { messages = [], max_tokens, priority = 1, model = '' } = body;
     this.backEnd.start(
       {
-        ...this.orderOf(body.ivyloom, model),
+        ...this.createRequestFields(body.ivyloom, model),
         messages,
         payload: '',
         maximumTokens: max_tokens ?? DEFAULT_MAXIMUM_TOKENS,
         priority,
       },
-      this.relayTo(response, body.ivyloom?.continue_text),
+      this.streamTo(response, body.ivyloom?.continue_text),
     );
   }
 
   private startInvocation(body: InvocationBody, response: ServerResponse): void {
     this.backEnd.start(
       {
-        ...this.orderOf(body.ivyloom, body.service ?? ''),
+        ...this.createRequestFields(body.ivyloom, body.service ?? ''),
         messages: [],
         payload: body.payload ?? '',
         maximumTokens: 0,
         priority: 1,
       },
-      this.relayTo(response),
+      this.streamTo(response),
     );
   }
 
-  private orderOf(
-    extension: OrderExtension = {},
+  private createRequestFields(
+    extension: RequestExtension = {},
     service: string,
   ): {
     call: string;
@@ -131,37 +131,37 @@
     };
   }
 
-  private relayTo(response: ServerResponse, known = ''): BackEndListener {
-    let open = false;
-    let relayed = known.length;
+  private streamTo(response: ServerResponse, precedingText = ''): BackEndListener {
+    let isOpen = false;
+    let sentLength = precedingText.length;
     return (event: BackEndEvent) => {
       if (event.type === 'failed') {
-        this.relayFailure(response, open, event);
+        this.writeFailure(response, isOpen, event);
         return;
       }
-      if (!open) {
-        open = true;
+      if (!isOpen) {
+        isOpen = true;
         response.writeHead(200, { 'content-type': 'text/event-stream' });
       }
       if (event.type === 'piece') {
-        relayPiece(response, event.text);
-        relayed = event.offset + event.text.length;
+        writePiece(response, event.text);
+        sentLength = event.offset + event.text.length;
         return;
       }
-      relayPiece(response, event.text.slice(relayed));
-      this.relayEnd(response, event);
+      writePiece(response, event.text.slice(sentLength));
+      this.writeEnd(response, event);
     };
   }
 
-  private relayFailure(
+  private writeFailure(
     response: ServerResponse,
-    open: boolean,
+    isOpen: boolean,
     event: Extract<BackEndEvent, { type: 'failed' }>,
   ): void {
     const { verdict, detail } = event;
     if (!this.backEnd.isUp) {
       response.destroy();
-    } else if (open) {
+    } else if (isOpen) {
       sendEvent(response, JSON.stringify({ error: { verdict, detail } }));
       response.end();
     } else {
@@ -169,7 +169,7 @@
     }
   }
 
-  private relayEnd(
+  private writeEnd(
     response: ServerResponse,
     event: Extract<BackEndEvent, { type: 'finished' }>,
   ): void {
@@ -186,7 +186,7 @@
   }
 }
 
-function relayPiece(response: ServerResponse, text: string): void {
+function writePiece(response: ServerResponse, text: string): void {
   if (text === '') {
     return;
   }
--- a/src/emulator/emulated-back-end.ts
+++ b/src/emulator/emulated-back-end.ts
@@ -6,7 +6,7 @@
   BackEndReport,
   Fence,
 } from '../platform/back-end-port.js';
-import type { CacheUse } from './prefix-cache.js';
+import type { IdleMemory } from './prefix-cache.js';
 
 /** One order that began to run, as checkers see it. */
 export interface Execution {
@@ -24,13 +24,13 @@
   readonly cachedTokens: number;
   readonly generatedTokens: number;
   readonly busyMilliseconds: number;
-  readonly use: CacheUse;
+  readonly idleMemory: IdleMemory;
 }
 
 /** An emulated back end. */
 export interface EmulatedBackEnd {
   readonly name: string;
-  start(order: BackEndRequest, listener: BackEndListener): void;
+  start(request: BackEndRequest, listener: BackEndListener): void;
   resume(call: CallId, fence: Fence, listener: BackEndListener): void;
   cancel(call: CallId): void;
   hold(program: ProgramId, milliseconds: number, fence: Fence): void;
@@ -52,8 +52,8 @@
 
   /** Raises the fence; false when the order is stale. */
   admit(fence: Fence): boolean {
-    const known = this.terms.get(fence.shard) ?? 0;
-    if (fence.term < known) {
+    const highestTerm = this.terms.get(fence.shard) ?? 0;
+    if (fence.term < highestTerm) {
       return false;
     }
     this.terms.set(fence.shard, fence.term);
--- a/src/emulator/engine-model.ts
+++ b/src/emulator/engine-model.ts
@@ -51,7 +51,7 @@
 }
 
 interface Sequence {
-  readonly order: BackEndRequest;
+  readonly request: BackEndRequest;
   readonly chain: readonly PrefixLink[];
   readonly digest: string;
   readonly answer: string;
@@ -81,7 +81,7 @@
   private fences = new FenceGuard();
   private waiting: Sequence[] = [];
   private batch: Sequence[] = [];
-  private readonly byCall = new Map<CallId, Sequence>();
+  private readonly sequencesByCall = new Map<CallId, Sequence>();
   private readonly finished = new Map<CallId, FinishedSequence>();
   private stepping = false;
   private up = true;
@@ -115,31 +115,31 @@
     return this.options.cacheTokens ?? 120_000;
   }
 
-  start(order: BackEndRequest, listener: BackEndListener): void {
+  start(request: BackEndRequest, listener: BackEndListener): void {
     if (!this.up) {
       listener({ type: 'failed', verdict: 'NotRun', detail: 'connection refused' });
       return;
     }
-    if (!this.fences.admit(order.fence)) {
+    if (!this.fences.admit(request.fence)) {
       listener({ type: 'failed', verdict: 'NotRun', detail: 'stale order: a newer term is known' });
       return;
     }
-    if (this.byCall.has(order.call) || this.finished.has(order.call)) {
-      this.resume(order.call, order.fence, listener);
+    if (this.sequencesByCall.has(request.call) || this.finished.has(request.call)) {
+      this.resume(request.call, request.fence, listener);
       return;
     }
-    const sequence = this.createSequence(order, listener);
-    if (sequence.promptTokens + order.maximumTokens > this.capacity) {
+    const sequence = this.createSequence(request, listener);
+    if (sequence.promptTokens + request.maximumTokens > this.capacity) {
       listener({ type: 'failed', verdict: 'NotRun', detail: 'the prompt exceeds the memory' });
       return;
     }
-    const { call, program, service } = order;
+    const { call, program, service } = request;
     this.executions.push({ call, program, service, engine: this.name, at: this.runtime.now() });
-    this.byCall.set(call, sequence);
+    this.sequencesByCall.set(call, sequence);
     this.waiting.push(sequence);
     this.waiting.sort(
       (left, right) =>
-        left.order.priority - right.order.priority || left.arrivedAt - right.arrivedAt,
+        left.request.priority - right.request.priority || left.arrivedAt - right.arrivedAt,
     );
     this.step();
   }
@@ -153,13 +153,13 @@
       listener({ type: 'failed', verdict: 'MayHaveRun', detail: 'stale order' });
       return;
     }
-    const done = this.finished.get(call);
-    if (done !== undefined) {
-      listener({ type: 'piece', offset: 0, text: done.text });
-      listener({ type: 'finished', text: done.text, usage: done.usage });
+    const finishedSequence = this.finished.get(call);
+    if (finishedSequence !== undefined) {
+      listener({ type: 'piece', offset: 0, text: finishedSequence.text });
+      listener({ type: 'finished', text: finishedSequence.text, usage: finishedSequence.usage });
       return;
     }
-    const sequence = this.byCall.get(call);
+    const sequence = this.sequencesByCall.get(call);
     if (sequence === undefined) {
       listener({ type: 'failed', verdict: 'MayHaveRun', detail: 'the order is not known here' });
       return;
@@ -172,11 +172,11 @@
   }
 
   cancel(call: CallId): void {
-    const sequence = this.byCall.get(call);
+    const sequence = this.sequencesByCall.get(call);
     if (sequence === undefined) {
       return;
     }
-    this.byCall.delete(call);
+    this.sequencesByCall.delete(call);
     this.waiting = this.waiting.filter((other) => other !== sequence);
     this.batch = this.batch.filter((other) => other !== sequence);
     this.endLease(sequence);
@@ -198,14 +198,14 @@
     this.up = false;
     this.generation += 1;
     this.stepping = false;
-    const lost = [...this.byCall.values()];
-    this.byCall.clear();
+    const lostSequences = [...this.sequencesByCall.values()];
+    this.sequencesByCall.clear();
     this.finished.clear();
     this.waiting = [];
     this.batch = [];
     this.cache.clear();
     this.fences = new FenceGuard();
-    for (const sequence of lost) {
+    for (const sequence of lostSequences) {
       sequence.listener?.({ type: 'failed', verdict: 'MayHaveRun', detail: 'connection lost' });
     }
   }
@@ -228,17 +228,17 @@
       cachedTokens: this.cachedTokens,
       generatedTokens: this.generatedTokens,
       busyMilliseconds: this.busyMilliseconds,
-      use: this.cache.measureUse(),
+      idleMemory: this.cache.measureIdleMemory(),
     };
   }
 
-  private createSequence(order: BackEndRequest, listener: BackEndListener): Sequence {
-    const chain = chainOf(order.messages);
+  private createSequence(request: BackEndRequest, listener: BackEndListener): Sequence {
+    const chain = chainOf(request.messages);
     const promptTokens = chain.reduce((sum, link) => sum + link.tokens, 0);
-    const digest = digestConversation(order.messages);
-    const length = answerLength(order.messages, order.maximumTokens);
+    const digest = digestConversation(request.messages);
+    const length = answerLength(request.messages, request.maximumTokens);
     return {
-      order,
+      request,
       chain,
       digest,
       answer: answerText(digest, length),
@@ -246,14 +246,14 @@
       lease: undefined,
       prefillLeft: 0,
       promptTokens,
-      sentCharacters: order.continueText.length,
+      sentCharacters: request.continueText.length,
       arrivedAt: this.runtime.now(),
     };
   }
 
   private takeSnapshot(): BackEndReport {
     const loss = this.options.eventLoss ?? 0.1;
-    const evicted = this.cache.takeEvicted().filter(() => this.runtime.random.uniform() >= loss);
+    const evicted = this.cache.drainEvicted().filter(() => this.runtime.random.uniform() >= loss);
     return {
       running: this.batch.length,
       waiting: this.waiting.length,
@@ -269,13 +269,13 @@
     const maximumBatch = this.options.maximumBatch ?? 32;
     while (this.waiting.length > 0 && this.batch.length < maximumBatch) {
       const sequence = this.waiting[0]!;
-      const lease = this.cache.acquire(sequence.order.program, sequence.chain);
+      const lease = this.cache.acquire(sequence.request.program, sequence.chain);
       if (lease === undefined) {
         return;
       }
       sequence.lease = lease;
-      const continued = countTextTokens(sequence.order.continueText);
-      sequence.prefillLeft = sequence.promptTokens - lease.cachedTokens + continued;
+      const continuedTokens = countTextTokens(sequence.request.continueText);
+      sequence.prefillLeft = sequence.promptTokens - lease.cachedTokens + continuedTokens;
       this.prefillTokens += sequence.prefillLeft;
       this.cachedTokens += lease.cachedTokens;
       this.waiting.shift();
@@ -311,26 +311,26 @@
   /** Spends this step's prompt budget, most urgent first; returns the tokens computed. */
   private planPrefill(): number {
     let budget = this.options.chunkTokens ?? 2_048;
-    const full = budget;
+    const fullBudget = budget;
     const pending = this.batch.filter((sequence) => sequence.prefillLeft > 0);
-    pending.sort((left, right) => left.order.priority - right.order.priority);
+    pending.sort((left, right) => left.request.priority - right.request.priority);
     for (const sequence of pending) {
-      const part = Math.min(budget, sequence.prefillLeft);
-      sequence.prefillLeft -= part;
-      budget -= part;
+      const tokens = Math.min(budget, sequence.prefillLeft);
+      sequence.prefillLeft -= tokens;
+      budget -= tokens;
       if (budget <= 0) {
         break;
       }
     }
-    return full - budget;
+    return fullBudget - budget;
   }
 
   private plannedSteps(decoding: readonly Sequence[]): number {
-    const most = this.options.stepsPerEvent ?? 4;
-    const left = decoding.map((sequence) =>
+    const maximumSteps = this.options.stepsPerEvent ?? 4;
+    const remainingTokens = decoding.map((sequence) =>
       Math.ceil((sequence.answer.length - sequence.sentCharacters) / CHARACTERS_PER_TOKEN),
     );
-    return Math.max(1, Math.min(most, ...left));
+    return Math.max(1, Math.min(maximumSteps, ...remainingTokens));
   }
 
   private stepDuration(prefilled: number, decoding: number, steps: number): number {
@@ -341,7 +341,7 @@
   }
 
   private generate(sequence: Sequence, tokens: number): void {
-    if (this.byCall.get(sequence.order.call) !== sequence) {
+    if (this.sequencesByCall.get(sequence.request.call) !== sequence) {
       return;
     }
     const offset = sequence.sentCharacters;
@@ -357,8 +357,8 @@
   }
 
   private finish(sequence: Sequence): void {
-    const { order, answer, lease } = sequence;
-    this.byCall.delete(order.call);
+    const { request, answer, lease } = sequence;
+    this.sequencesByCall.delete(request.call);
     this.batch = this.batch.filter((other) => other !== sequence);
     const message: ChatMessage = { role: 'assistant', content: answer };
     const usage: Usage = {
@@ -372,8 +372,8 @@
     }
     this.endLease(sequence);
     const at = this.runtime.now();
-    this.finished.set(order.call, { text: answer, usage, at });
-    this.forgetOldAnswers(at);
+    this.finished.set(request.call, { text: answer, usage, at });
+    this.expireFinished(at);
     sequence.listener?.({ type: 'finished', text: answer, usage });
   }
 
@@ -384,7 +384,7 @@
     }
   }
 
-  private forgetOldAnswers(now: number): void {
+  private expireFinished(now: number): void {
     for (const [call, answer] of this.finished) {
       if (now - answer.at < FINISHED_RETENTION_MILLISECONDS) {
         return;
--- a/src/emulator/first-configuration.ts
+++ b/src/emulator/first-configuration.ts
@@ -8,14 +8,14 @@
   keyValue: KeyValueModel,
   documents: readonly ConfigurationDocument[],
 ): void {
-  const mark = { id: 'setup', by: 'bench', at: 0, statement: 'setup' };
+  const change = { id: 'setup', by: 'bench', at: 0, statement: 'setup' };
   const puts = documents.map((entry) => ({
     key: documentKey(entry.kind, entry.document.name),
-    value: encodeDocument(entry, mark),
+    value: encodeDocument(entry, change),
   }));
   keyValue.applyChange({
     guards: [],
-    puts: [...puts, { key: REVISION_KEY, value: mark.id }],
+    puts: [...puts, { key: REVISION_KEY, value: change.id }],
     deletes: [],
   });
 }
--- a/src/emulator/key-value-model.ts
+++ b/src/emulator/key-value-model.ts
@@ -54,10 +54,10 @@
 
   /** Applies a guarded change, at once. */
   applyChange(change: GuardedChange): ChangeResult {
-    const holds = change.guards.every(
+    const guardsHold = change.guards.every(
       (guard) => (this.pairs.get(guard.key)?.modRevision ?? 0) === guard.modRevision,
     );
-    if (!holds) {
+    if (!guardsHold) {
       return { applied: false, revision: this.revision };
     }
     this.revision += 1;
@@ -76,7 +76,7 @@
   }
 
   /** Takes one request out of the rate limit; false when it is used up. */
-  takeRequest(): boolean {
+  admitRequest(): boolean {
     const now = this.runtime.now();
     this.tokens = Math.min(this.rate, this.tokens + ((now - this.refilledAt) / 1_000) * this.rate);
     this.refilledAt = now;
@@ -107,7 +107,7 @@
 
   private request<Result>(
     client: Runtime,
-    changes: boolean,
+    isWrite: boolean,
     run: () => Result,
     listener: KeyValueListener<Result>,
   ): void {
@@ -117,20 +117,20 @@
     const timeout = this.options.timeoutMilliseconds ?? 1_000;
     if (this.isDown) {
       // A client that hears nothing cannot know whether the request arrived.
-      fail({ tag: 'Unavailable', mayHaveApplied: changes, detail: 'no answer' }, timeout);
+      fail({ tag: 'Unavailable', mayHaveApplied: isWrite, detail: 'no answer' }, timeout);
       return;
     }
-    if (!this.takeRequest()) {
+    if (!this.admitRequest()) {
       fail(
         { tag: 'RateLimited', mayHaveApplied: false, detail: 'too many requests' },
         this.latency,
       );
       return;
     }
-    const lost = changes && this.runtime.random.uniform() < this.answerLoss;
+    const isAnswerLost = isWrite && this.runtime.random.uniform() < this.answerLoss;
     this.runtime.setTimer(this.latency / 2, () => {
       const result = run();
-      if (lost) {
+      if (isAnswerLost) {
         fail({ tag: 'AnswerLost', mayHaveApplied: true, detail: 'no answer' }, timeout);
       } else {
         client.setTimer(this.latency / 2, () => listener(E.right(result)));
--- a/src/emulator/key-value-server.ts
+++ b/src/emulator/key-value-server.ts
@@ -18,11 +18,11 @@
   readonly create_request?: { readonly key: string };
 }
 
-function decode(text: string | undefined): string {
+function decodeBase64(text: string | undefined): string {
   return Buffer.from(text ?? '', 'base64').toString('utf8');
 }
 
-function encode(text: string): string {
+function encodeBase64(text: string): string {
   return Buffer.from(text, 'utf8').toString('base64');
 }
 
@@ -52,7 +52,7 @@
       request.socket.destroy();
       return;
     }
-    if (!this.model.takeRequest()) {
+    if (!this.model.admitRequest()) {
       sendJson(response, 429, { message: 'too many requests' });
       return;
     }
@@ -72,14 +72,14 @@
   }
 
   private range(body: { key: string; range_end?: string }, response: ServerResponse): void {
-    const key = decode(body.key);
+    const key = decodeBase64(body.key);
     const { revision, pairs } = this.model.readRange(key);
     const found = body.range_end === undefined ? pairs.filter((pair) => pair.key === key) : pairs;
     sendJson(response, 200, {
       header: { revision: String(revision) },
       kvs: found.map((pair) => ({
-        key: encode(pair.key),
-        value: encode(pair.value),
+        key: encodeBase64(pair.key),
+        value: encodeBase64(pair.value),
         mod_revision: String(pair.modRevision),
       })),
     });
@@ -89,14 +89,14 @@
     const operations = body.success ?? [];
     const change: GuardedChange = {
       guards: (body.compare ?? []).map((compare) => ({
-        key: decode(compare.key),
+        key: decodeBase64(compare.key),
         modRevision: Number(compare.mod_revision ?? 0),
       })),
       puts: operations.flatMap(({ request_put: put }) =>
-        put === undefined ? [] : [{ key: decode(put.key), value: decode(put.value) }],
+        put === undefined ? [] : [{ key: decodeBase64(put.key), value: decodeBase64(put.value) }],
       ),
       deletes: operations.flatMap(({ request_delete_range: range }) =>
-        range === undefined ? [] : [decode(range.key)],
+        range === undefined ? [] : [decodeBase64(range.key)],
       ),
     };
     const { applied, revision } = this.model.applyChange(change);
@@ -106,7 +106,7 @@
   private watch(body: WireWatch, response: ServerResponse): void {
     response.writeHead(200, { 'content-type': 'application/json' });
     response.write(`${JSON.stringify({ result: { created: true } })}\n`);
-    const stop = this.model.addWatcher(decode(body.create_request?.key), () => {
+    const stop = this.model.addWatcher(decodeBase64(body.create_request?.key), () => {
       response.write(`${JSON.stringify({ result: { events: [{}] } })}\n`);
     });
     response.on('close', stop);
--- a/src/emulator/prefix-cache.ts
+++ b/src/emulator/prefix-cache.ts
@@ -12,7 +12,7 @@
 }
 
 /** Memory kept without being in use, in token-milliseconds. */
-export interface CacheUse {
+export interface IdleMemory {
   /** All idle memory. */
   idle: number;
   /** Idle memory of entries that were never used again. */
@@ -27,11 +27,11 @@
   readonly parent: CacheEntry | undefined;
   readonly firstProgram: ProgramId;
   shared: boolean;
-  children: number;
+  childCount: number;
   /** Running sequences that use it. */
-  users: number;
+  leaseCount: number;
   /** Holds that cover it. */
-  holds: number;
+  holdCount: number;
   lastUsedAt: number;
   idleSince: number;
   idleTotal: number;
@@ -40,7 +40,7 @@
 
 interface ProgramHold {
   readonly leaf: CacheEntry;
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 /** A sequence's use of the cache, from its start to its end. */
@@ -56,7 +56,7 @@
   private readonly entries = new Map<string, CacheEntry>();
   private readonly programHolds = new Map<ProgramId, ProgramHold>();
   private readonly leaves = new Map<ProgramId, CacheEntry>();
-  private readonly useSoFar: CacheUse = { idle: 0, neverReused: 0, unusedStretches: 0 };
+  private readonly idleMemory: IdleMemory = { idle: 0, neverReused: 0, unusedStretches: 0 };
   private usedTokens = 0;
   private evicted: ProgramId[] = [];
 
@@ -72,16 +72,16 @@
 
   /** Takes the longest cached prefix into use and makes room for the rest; undefined if none. */
   acquire(program: ProgramId, chain: readonly PrefixLink[]): CacheLease | undefined {
-    const known = this.findPrefix(chain);
-    known.forEach((entry) => this.use(entry, program));
-    const missing = chain.slice(known.length);
+    const cachedEntries = this.findPrefix(chain);
+    cachedEntries.forEach((entry) => this.acquireEntry(entry, program));
+    const missing = chain.slice(cachedEntries.length);
     const needed = missing.reduce((sum, link) => sum + link.tokens, 0);
-    if (!this.makeRoom(needed)) {
-      known.forEach((entry) => this.leave(entry));
+    if (!this.ensureCapacity(needed)) {
+      cachedEntries.forEach((entry) => this.releaseEntry(entry));
       return undefined;
     }
-    const cachedTokens = known.reduce((sum, entry) => sum + entry.tokens, 0);
-    const lease: CacheLease = { program, cachedTokens, entries: known };
+    const cachedTokens = cachedEntries.reduce((sum, entry) => sum + entry.tokens, 0);
+    const lease: CacheLease = { program, cachedTokens, entries: cachedEntries };
     missing.forEach((link) => this.append(lease, link));
     return lease;
   }
@@ -91,7 +91,7 @@
     if (this.entries.has(link.digest)) {
       return true;
     }
-    if (!this.makeRoom(link.tokens)) {
+    if (!this.ensureCapacity(link.tokens)) {
       return false;
     }
     this.append(lease, link);
@@ -100,7 +100,7 @@
 
   /** Ends a lease; its memory stays until it is evicted or released. */
   release(lease: CacheLease): void {
-    lease.entries.forEach((entry) => this.leave(entry));
+    lease.entries.forEach((entry) => this.releaseEntry(entry));
     const leaf = lease.entries[lease.entries.length - 1];
     if (leaf !== undefined) {
       this.leaves.set(lease.program, leaf);
@@ -116,20 +116,20 @@
     }
     if (milliseconds <= 0) {
       this.leaves.delete(program);
-      this.drop(leaf);
+      this.removeUnshared(leaf);
       return;
     }
     forEachAncestor(leaf, (entry) => {
-      entry.holds += 1;
+      entry.holdCount += 1;
     });
-    this.programHolds.set(program, { leaf, until: this.now() + milliseconds });
+    this.programHolds.set(program, { leaf, expiresAt: this.now() + milliseconds });
   }
 
   /** Gives back the memory of holds that have lapsed. */
   expireHolds(): void {
     const now = this.now();
     for (const [program, hold] of [...this.programHolds]) {
-      if (hold.until <= now) {
+      if (hold.expiresAt <= now) {
         this.hold(program, 0);
       }
     }
@@ -147,20 +147,21 @@
   }
 
   /** Programs whose memory was pushed out since the last call. */
-  takeEvicted(): ProgramId[] {
+  drainEvicted(): ProgramId[] {
     const evicted = this.evicted;
     this.evicted = [];
     return evicted;
   }
 
   /** Idle memory so far, counting what is idle now as if the run ended. */
-  measureUse(): CacheUse {
-    const total = { ...this.useSoFar };
+  measureIdleMemory(): IdleMemory {
+    const total = { ...this.idleMemory };
     for (const entry of this.entries.values()) {
-      const stretch = entry.users > 0 ? 0 : (this.now() - entry.idleSince) * entry.tokens;
-      total.idle += entry.idleTotal + stretch;
-      total.neverReused += entry.reused ? 0 : entry.idleTotal + stretch;
-      total.unusedStretches += stretch;
+      const idleTokenTime =
+        entry.leaseCount > 0 ? 0 : (this.now() - entry.idleSince) * entry.tokens;
+      total.idle += entry.idleTotal + idleTokenTime;
+      total.neverReused += entry.reused ? 0 : entry.idleTotal + idleTokenTime;
+      total.unusedStretches += idleTokenTime;
     }
     return total;
   }
@@ -168,8 +169,8 @@
   /** Loses everything, as a crash does. */
   clear(): void {
     for (const entry of [...this.entries.values()]) {
-      entry.users = 0;
-      entry.children = 0;
+      entry.leaseCount = 0;
+      entry.childCount = 0;
       this.remove(entry);
     }
     this.programHolds.clear();
@@ -198,49 +199,49 @@
       parent,
       firstProgram: lease.program,
       shared: false,
-      children: 0,
-      users: 1,
-      holds: 0,
+      childCount: 0,
+      leaseCount: 1,
+      holdCount: 0,
       lastUsedAt: now,
       idleSince: now,
       idleTotal: 0,
       reused: false,
     };
     if (parent !== undefined) {
-      parent.children += 1;
+      parent.childCount += 1;
     }
     this.entries.set(link.digest, entry);
     this.usedTokens += link.tokens;
     lease.entries.push(entry);
   }
 
-  private use(entry: CacheEntry, program: ProgramId): void {
+  private acquireEntry(entry: CacheEntry, program: ProgramId): void {
     const now = this.now();
-    if (entry.users === 0) {
+    if (entry.leaseCount === 0) {
       entry.idleTotal += (now - entry.idleSince) * entry.tokens;
     }
-    entry.users += 1;
+    entry.leaseCount += 1;
     entry.reused = true;
     entry.shared ||= entry.firstProgram !== program;
     entry.lastUsedAt = now;
   }
 
-  private leave(entry: CacheEntry): void {
-    entry.users -= 1;
+  private releaseEntry(entry: CacheEntry): void {
+    entry.leaseCount -= 1;
     entry.lastUsedAt = this.now();
-    if (entry.users === 0) {
+    if (entry.leaseCount === 0) {
       entry.idleSince = this.now();
     }
   }
 
-  private makeRoom(needed: number): boolean {
+  private ensureCapacity(needed: number): boolean {
     while (this.usedTokens + needed > this.capacityTokens) {
       const victim = this.findVictim();
       if (victim === undefined) {
         return false;
       }
       this.evicted.push(victim.firstProgram);
-      this.dropHoldsOn(victim);
+      this.endHoldsOn(victim);
       this.remove(victim);
     }
     return true;
@@ -250,18 +251,18 @@
   private findVictim(): CacheEntry | undefined {
     let best: CacheEntry | undefined;
     for (const entry of this.entries.values()) {
-      if (entry.children > 0 || entry.users > 0) {
+      if (entry.childCount > 0 || entry.leaseCount > 0) {
         continue;
       }
-      if (best === undefined || isWorthLess(entry, best)) {
+      if (best === undefined || isEvictedBefore(entry, best)) {
         best = entry;
       }
     }
     return best;
   }
 
-  private dropHoldsOn(victim: CacheEntry): void {
-    if (victim.holds === 0) {
+  private endHoldsOn(victim: CacheEntry): void {
+    if (victim.holdCount === 0) {
       return;
     }
     for (const [program, hold] of [...this.programHolds]) {
@@ -276,15 +277,15 @@
     if (hold !== undefined) {
       this.programHolds.delete(program);
       forEachAncestor(hold.leaf, (entry) => {
-        entry.holds -= 1;
+        entry.holdCount -= 1;
       });
     }
   }
 
-  private drop(leaf: CacheEntry): void {
+  private removeUnshared(leaf: CacheEntry): void {
     let entry: CacheEntry | undefined = leaf;
     while (entry !== undefined && this.entries.get(entry.digest) === entry) {
-      const inUse = entry.children > 0 || entry.users > 0 || entry.holds > 0;
+      const inUse = entry.childCount > 0 || entry.leaseCount > 0 || entry.holdCount > 0;
       if (inUse || entry.shared) {
         return;
       }
@@ -295,22 +296,22 @@
   }
 
   private remove(entry: CacheEntry): void {
-    const stretch = (this.now() - entry.idleSince) * entry.tokens;
-    const idle = entry.idleTotal + stretch;
-    this.useSoFar.idle += idle;
-    this.useSoFar.unusedStretches += stretch;
-    this.useSoFar.neverReused += entry.reused ? 0 : idle;
+    const idleTokenTime = (this.now() - entry.idleSince) * entry.tokens;
+    const idle = entry.idleTotal + idleTokenTime;
+    this.idleMemory.idle += idle;
+    this.idleMemory.unusedStretches += idleTokenTime;
+    this.idleMemory.neverReused += entry.reused ? 0 : idle;
     this.entries.delete(entry.digest);
     this.usedTokens -= entry.tokens;
     if (entry.parent !== undefined) {
-      entry.parent.children -= 1;
+      entry.parent.childCount -= 1;
     }
   }
 }
 
-function isWorthLess(left: CacheEntry, right: CacheEntry): boolean {
-  const leftHeld = left.holds > 0;
-  const rightHeld = right.holds > 0;
+function isEvictedBefore(left: CacheEntry, right: CacheEntry): boolean {
+  const leftHeld = left.holdCount > 0;
+  const rightHeld = right.holdCount > 0;
   if (leftHeld !== rightHeld) {
     return rightHeld;
   }
--- a/src/emulator/relay-runner.ts
+++ b/src/emulator/relay-runner.ts
@@ -41,7 +41,7 @@
   readonly body: string;
   readonly headers: IncomingMessage['headers'];
   /** Whether its client left before the end. */
-  left: boolean;
+  clientDisconnected: boolean;
   /** Whether its connection took the whole answer. */
   isAnswered: boolean;
 }
@@ -63,10 +63,10 @@
 
 const STREAM_QUERY = 'stream';
 /** Queries by which a request asks for long answers or events, in bytes, and for a number of events. */
-const FILLING_QUERY = /fill=(\d+)/;
+const PADDING_QUERY = /fill=(\d+)/;
 const EVENTS_QUERY = /events=(\d+)/;
 
-function numberIn({ url = '' }: IncomingMessage, query: RegExp): number | undefined {
+function readQueryNumber({ url = '' }: IncomingMessage, query: RegExp): number | undefined {
   const value = query.exec(url)?.[1];
   return value === undefined ? undefined : Number(value);
 }
@@ -91,7 +91,7 @@
   }
 
   constructor(private readonly options: RelayRunnerOptions) {
-    this.server = createServer((request, response) => this.take(request, response));
+    this.server = createServer((request, response) => this.handleRequest(request, response));
     this.server.on('connection', (socket: Socket) => {
       this.connectionCount += 1;
       this.sockets.add(socket);
@@ -114,21 +114,23 @@
     });
   }
 
-  private take(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse): void {
     if (this.readPauseMilliseconds > 0) {
-      setTimeout(() => this.read(request, response), this.readPauseMilliseconds);
+      setTimeout(() => this.readBody(request, response), this.readPauseMilliseconds);
     } else {
-      this.read(request, response);
+      this.readBody(request, response);
     }
   }
 
-  private read(request: IncomingMessage, response: ServerResponse): void {
+  private readBody(request: IncomingMessage, response: ServerResponse): void {
     const chunks: Buffer[] = [];
     request.on('data', (chunk: Buffer) => chunks.push(chunk));
-    request.on('end', () => this.work(request, response, Buffer.concat(chunks).toString('utf8')));
+    request.on('end', () =>
+      this.runRequest(request, response, Buffer.concat(chunks).toString('utf8')),
+    );
   }
 
-  private work(request: IncomingMessage, response: ServerResponse, body: string): void {
+  private runRequest(request: IncomingMessage, response: ServerResponse, body: string): void {
     const { names, id, pauseMilliseconds = 1 } = this.options;
     const requestId = String(request.headers[names.requestId]);
     const expected = request.headers[names.expectedRunner];
@@ -148,7 +150,7 @@
       path,
       body,
       headers,
-      left: false,
+      clientDisconnected: false,
       isAnswered: false,
     };
     this.runs.push(run);
@@ -156,12 +158,12 @@
       run.isAnswered = true;
     });
     response.on('close', () => {
-      run.left = !response.writableFinished;
+      run.clientDisconnected = !response.writableFinished;
     });
-    setTimeout(() => this.answer(request, response, behaviour, requestId), pauseMilliseconds);
+    setTimeout(() => this.respond(request, response, behaviour, requestId), pauseMilliseconds);
   }
 
-  private answer(
+  private respond(
     request: IncomingMessage,
     response: ServerResponse,
     behaviour: RunnerBehaviour,
@@ -185,21 +187,21 @@
         return;
       default:
         if (request.url?.includes(STREAM_QUERY)) {
-          this.stream(request, response, behaviour, requestId);
+          this.respondStream(request, response, behaviour, requestId);
         } else {
-          this.answerPlain(request, response, behaviour, requestId);
+          this.respondPlain(request, response, behaviour, requestId);
         }
     }
   }
 
-  private answerPlain(
+  private respondPlain(
     request: IncomingMessage,
     response: ServerResponse,
     behaviour: RunnerBehaviour,
     requestId: string,
   ): void {
-    const filling = numberIn(request, FILLING_QUERY) ?? this.options.answerBytes ?? 0;
-    const body = `answer of ${this.options.id} to ${requestId}`.padEnd(filling, '.');
+    const paddedBytes = readQueryNumber(request, PADDING_QUERY) ?? this.options.answerBytes ?? 0;
+    const body = `answer of ${this.options.id} to ${requestId}`.padEnd(paddedBytes, '.');
     const length = { 'content-length': String(body.length) };
     if (behaviour === 'cutOff') {
       response.writeHead(200, { ...this.headersOf(requestId), ...length });
@@ -224,20 +226,20 @@
     }
   }
 
-  private stream(
+  private respondStream(
     request: IncomingMessage,
     response: ServerResponse,
     behaviour: RunnerBehaviour,
     requestId: string,
   ): void {
     const { pauseMilliseconds = 1, names } = this.options;
-    const eventCount = numberIn(request, EVENTS_QUERY) ?? this.options.eventCount ?? 4;
-    const filling = numberIn(request, FILLING_QUERY) ?? this.options.eventBytes ?? 0;
-    const first = Number(request.headers[names.lastEventId] ?? 0) + 1;
+    const eventCount = readQueryNumber(request, EVENTS_QUERY) ?? this.options.eventCount ?? 4;
+    const paddedBytes = readQueryNumber(request, PADDING_QUERY) ?? this.options.eventBytes ?? 0;
+    const firstEventId = Number(request.headers[names.lastEventId] ?? 0) + 1;
     const type = { 'content-type': 'text/event-stream' };
     const answeredId = behaviour === 'wrongId' ? 'another-request' : requestId;
     response.writeHead(200, { ...this.headersOf(answeredId), ...type });
-    const next = (id: number): void => {
+    const sendEvent = (id: number): void => {
       if (response.destroyed) {
         return;
       }
@@ -254,17 +256,19 @@
         return;
       }
       this.eventsSent += 1;
-      const isTaken = response.write(`id: ${id}\ndata: ${`event ${id}`.padEnd(filling, '.')}\n\n`);
-      const goOn = (): void => {
-        setTimeout(() => next(id + 1), pauseMilliseconds);
+      const isWritable = response.write(
+        `id: ${id}\ndata: ${`event ${id}`.padEnd(paddedBytes, '.')}\n\n`,
+      );
+      const scheduleNext = (): void => {
+        setTimeout(() => sendEvent(id + 1), pauseMilliseconds);
       };
-      if (isTaken) {
-        goOn();
+      if (isWritable) {
+        scheduleNext();
       } else {
-        response.once('drain', goOn);
+        response.once('drain', scheduleNext);
       }
     };
-    next(first);
+    sendEvent(firstEventId);
   }
 
   private headersOf(requestId: string): Record<string, string> {
--- a/src/emulator/tool-model.ts
+++ b/src/emulator/tool-model.ts
@@ -33,7 +33,7 @@
   readonly usage: Usage;
 }
 
-const SPREAD = 0.5;
+const DURATION_SIGMA = 0.5;
 
 /** See the head of this file. */
 export class ToolModel implements EmulatedBackEnd {
@@ -57,17 +57,17 @@
     return this.up;
   }
 
-  start(order: BackEndRequest, listener: BackEndListener): void {
-    if (!this.up || !this.fences.admit(order.fence)) {
+  start(request: BackEndRequest, listener: BackEndListener): void {
+    if (!this.up || !this.fences.admit(request.fence)) {
       const detail = this.up ? 'stale order: a newer term is known' : 'connection refused';
       listener({ type: 'failed', verdict: 'NotRun', detail });
       return;
     }
-    if (this.running.has(order.call) || this.results.has(order.call)) {
-      this.resume(order.call, order.fence, listener);
+    if (this.running.has(request.call) || this.results.has(request.call)) {
+      this.resume(request.call, request.fence, listener);
       return;
     }
-    const { call, program, service, payload } = order;
+    const { call, program, service, payload } = request;
     this.executions.push({ call, program, service, engine: this.name, at: this.runtime.now() });
     const run: ToolRun = { listener };
     this.running.set(call, run);
@@ -76,7 +76,9 @@
       return;
     }
     const median = this.options.medianMilliseconds ?? 60;
-    this.runtime.setTimer(random.logNormal(median, SPREAD), () => this.finish(call, run, payload));
+    this.runtime.setTimer(random.logNormal(median, DURATION_SIGMA), () =>
+      this.finish(call, run, payload),
+    );
   }
 
   resume(call: CallId, fence: Fence, listener: BackEndListener): void {
@@ -135,8 +137,14 @@
   }
 
   totals(): BackEndTotals {
-    const use = { idle: 0, neverReused: 0, unusedStretches: 0 };
-    return { prefillTokens: 0, cachedTokens: 0, generatedTokens: 0, busyMilliseconds: 0, use };
+    const idleMemory = { idle: 0, neverReused: 0, unusedStretches: 0 };
+    return {
+      prefillTokens: 0,
+      cachedTokens: 0,
+      generatedTokens: 0,
+      busyMilliseconds: 0,
+      idleMemory,
+    };
   }
 
   private finish(call: CallId, run: ToolRun, payload: string): void {
--- a/src/histories/history-caller.ts
+++ b/src/histories/history-caller.ts
@@ -2,7 +2,7 @@
 import type { CallEvent, CallRequest } from '../model/call.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
-import type { ConnectionOrder, NetworkEnd } from '../simulation/simulated-network.js';
+import type { ConnectionOrder, NetworkEndpoint } from '../simulation/simulated-network.js';
 import type { RecordedCall, RecordedRun } from './recorded-events.js';
 
 /** One call that a caller will make. */
@@ -26,7 +26,7 @@
 export interface HistoryCallerOptions {
   readonly cluster: SimulatedCluster;
   readonly run: RecordedRun;
-  readonly end: NetworkEnd;
+  readonly end: NetworkEndpoint;
   readonly runtime: Runtime;
   readonly plan: PlannedProgram;
   readonly done: () => void;
@@ -92,7 +92,7 @@
     const request = this.requestOf(planned, sequence);
     const call = createRecord(request, planned, node, cluster.clock.now);
     run.calls.push(call);
-    const target = cluster.endOf(node);
+    const target = cluster.endpointOf(node);
     const asking: ConnectionOrder = { lastArrival: 0 };
     const answering: ConnectionOrder = { lastArrival: 0 };
     const settle = (result: RecordedCall['result']): void => {
--- a/src/histories/history-gateway.ts
+++ b/src/histories/history-gateway.ts
@@ -74,7 +74,7 @@
   /** Begins a life. */
   start(patienceMilliseconds: number): void {
     const { host, zone, seeds, timings, links } = this.options;
-    const runtime = this.process.begin();
+    const runtime = this.process.start();
     this.version = 0;
     this.following = startStoreSync({
       runtime,
--- a/src/histories/power-loss-day.ts
+++ b/src/histories/power-loss-day.ts
@@ -67,7 +67,7 @@
     const from = this.clock.now;
     const { store } = this.replicas;
     store.retiring.add(name);
-    const isEmpty = (): boolean => store.finished.has(name);
+    const isEmpty = (): boolean => store.retired.has(name);
     if (this.clock.runUntil(from + EMPTYING_MILLISECONDS, isEmpty)) {
       this.emptiedAfter = this.clock.now - from;
       this.replicas.kill(name);
--- a/src/histories/replacement-day.ts
+++ b/src/histories/replacement-day.ts
@@ -107,7 +107,7 @@
 
   /** Draws a machine that the record names. */
   private takeMember(): string {
-    const members = this.replicas.namedMembers();
+    const members = this.replicas.recordedMembers();
     const name = this.random.pick(this.names.filter((each) => members.includes(each)));
     this.names.splice(this.names.indexOf(name), 1);
     return name;
@@ -131,7 +131,7 @@
     const name = this.takeMember();
     const { store } = this.replicas;
     store.retiring.add(name);
-    const isEmpty = (): boolean => store.finished.has(name);
+    const isEmpty = (): boolean => store.retired.has(name);
     if (!this.clock.runUntil(this.clock.now + EMPTYING_MILLISECONDS, isEmpty)) {
       this.violations.push(`${name} was not reported empty in ${EMPTYING_MILLISECONDS} ms`);
     }
--- a/src/histories/run-history.ts
+++ b/src/histories/run-history.ts
@@ -60,7 +60,7 @@
   return new SimulatedCluster({
     seed,
     zones: ['hall-erie', 'hall-huron', 'hall-superior'],
-    betweenZones: 1.5,
+    interZoneMilliseconds: 1.5,
     shardCount: 3,
     services: [
       { name: 'catalog-minds', kind: 'model', runners: 2, concurrency: 4 },
@@ -76,7 +76,7 @@
 }
 
 function watchRevisions(cluster: SimulatedCluster, run: RecordedRun): () => void {
-  const observer = cluster.createProcess('observer').begin();
+  const observer = cluster.createProcess('observer').start();
   const last = new Map<string, number>();
   return setRepeatingTimer(observer, 100, () => {
     for (const node of cluster.livingNodes()) {
@@ -149,7 +149,7 @@
   let running = programs.length;
   for (const plan of programs) {
     const process = cluster.createProcess(`caller-${plan.program}`);
-    const runtime = process.begin();
+    const runtime = process.start();
     const end = { process, zone: 'clients' };
     const caller = new HistoryCaller({
       cluster,
--- a/src/histories/split-day.ts
+++ b/src/histories/split-day.ts
@@ -35,7 +35,7 @@
 
   run(): SplitDayResult {
     this.begin();
-    const members = this.replicas.namedMembers();
+    const members = this.replicas.recordedMembers();
     const cutOff = Array.from(
       { length: this.cutOffCount },
       () => members.splice(this.random.integer(0, members.length - 1), 1)[0]!,
--- a/src/histories/turn-history.ts
+++ b/src/histories/turn-history.ts
@@ -24,7 +24,7 @@
 
 /** How a history is played. */
 export interface TurnHistoryOptions {
-  readonly planted?: PlantedFault;
+  readonly injectedFault?: PlantedFault;
   /** Replicas to begin with. @default three to five, by the seed */
   readonly replicaCount?: number;
   /** Replicas that the record is to name. @default all */
@@ -365,8 +365,8 @@
       this.wait(SETTLE_MILLISECONDS);
     }
     this.replicas.store.retiring.add(name);
-    this.clock.runUntil(this.clock.now + 10_000, () => this.replicas.store.finished.has(name));
-    if (!this.replicas.store.finished.has(name)) {
+    this.clock.runUntil(this.clock.now + 10_000, () => this.replicas.store.retired.has(name));
+    if (!this.replicas.store.retired.has(name)) {
       this.replicas.store.retiring.delete(name);
       return;
     }
--- a/src/simulation/simulated-back-ends.ts
+++ b/src/simulation/simulated-back-ends.ts
@@ -12,15 +12,15 @@
   Fence,
 } from '../platform/back-end-port.js';
 import type { Runtime } from '../runtime/runtime.js';
-import type { ConnectionOrder, NetworkEnd, SimulatedNetwork } from './simulated-network.js';
+import type { ConnectionOrder, NetworkEndpoint, SimulatedNetwork } from './simulated-network.js';
 
 /** What the port is made with. */
 export interface SimulatedBackEndsOptions {
   readonly network: SimulatedNetwork;
-  readonly end: NetworkEnd;
+  readonly endpoint: NetworkEndpoint;
   readonly runtime: Runtime;
   readonly backEnds: ReadonlyMap<EngineId, EmulatedBackEnd>;
-  readonly backEndEnds: ReadonlyMap<EngineId, NetworkEnd>;
+  readonly backEndEndpoints: ReadonlyMap<EngineId, NetworkEndpoint>;
 }
 
 /** Time after which a request into a cut link fails, in milliseconds. */
@@ -30,12 +30,12 @@
 export class SimulatedBackEnds implements BackEndPort {
   constructor(private readonly options: SimulatedBackEndsOptions) {}
 
-  start(engine: EngineId, order: BackEndRequest, listener: BackEndListener): CancelRequest {
+  start(engine: EngineId, request: BackEndRequest, listener: BackEndListener): CancelRequest {
     return this.openStream(
       engine,
-      order.call,
+      request.call,
       'NotRun',
-      (backEnd, back) => backEnd.start(order, back),
+      (backEnd, onEvent) => backEnd.start(request, onEvent),
       listener,
     );
   }
@@ -45,7 +45,7 @@
       engine,
       call,
       'MayHaveRun',
-      (backEnd, back) => backEnd.resume(call, fence, back),
+      (backEnd, onEvent) => backEnd.resume(call, fence, onEvent),
       listener,
     );
   }
@@ -59,76 +59,90 @@
   }
 
   report(engine: EngineId, listener: (report: BackEndReport) => void): void {
-    const { network, end, runtime } = this.options;
+    const { network, endpoint, runtime } = this.options;
     const target = this.find(engine);
-    if (target === undefined || !target.backEnd.isUp || !network.isConnected(end, target.end)) {
+    if (
+      target === undefined ||
+      !target.backEnd.isUp ||
+      !network.isConnected(endpoint, target.endpoint)
+    ) {
       runtime.setTimer(CONNECT_TIMEOUT_MILLISECONDS, () => listener(UNREACHABLE_REPORT));
       return;
     }
     this.sendTo(engine, (backEnd) => {
       const report = backEnd.report();
-      network.deliver(target.end, end, () => listener(report));
+      network.deliver(target.endpoint, endpoint, () => listener(report));
     });
   }
 
-  private find(engine: EngineId): { backEnd: EmulatedBackEnd; end: NetworkEnd } | undefined {
+  private find(
+    engine: EngineId,
+  ): { backEnd: EmulatedBackEnd; endpoint: NetworkEndpoint } | undefined {
     const backEnd = this.options.backEnds.get(engine);
-    const end = this.options.backEndEnds.get(engine);
-    return backEnd === undefined || end === undefined ? undefined : { backEnd, end };
+    const endpoint = this.options.backEndEndpoints.get(engine);
+    return backEnd === undefined || endpoint === undefined ? undefined : { backEnd, endpoint };
   }
 
-  private sendTo(engine: EngineId, act: (backEnd: EmulatedBackEnd) => void): void {
+  private sendTo(engine: EngineId, action: (backEnd: EmulatedBackEnd) => void): void {
     const target = this.find(engine);
     if (target !== undefined) {
-      this.options.network.deliver(this.options.end, target.end, () => act(target.backEnd));
+      this.options.network.deliver(this.options.endpoint, target.endpoint, () =>
+        action(target.backEnd),
+      );
     }
   }
 
   private openStream(
     engine: EngineId,
     call: CallId,
-    refusedVerdict: 'NotRun' | 'MayHaveRun',
-    open: (backEnd: EmulatedBackEnd, back: BackEndListener) => void,
+    verdictIfUnreachable: 'NotRun' | 'MayHaveRun',
+    open: (backEnd: EmulatedBackEnd, onEvent: BackEndListener) => void,
     listener: BackEndListener,
   ): CancelRequest {
-    const { network, end, runtime } = this.options;
-    let over = false;
-    const answers: ConnectionOrder = { lastArrival: 0 };
-    const tell = (event: BackEndEvent): void => {
-      if (over) {
+    const { network, endpoint, runtime } = this.options;
+    let hasEnded = false;
+    const responseOrder: ConnectionOrder = { lastArrival: 0 };
+    const emit = (event: BackEndEvent): void => {
+      if (hasEnded) {
         return;
       }
-      over = event.type !== 'piece';
+      hasEnded = event.type !== 'piece';
       listener(event);
     };
     const target = this.find(engine);
-    if (target === undefined || !network.isConnected(end, target.end)) {
+    if (target === undefined || !network.isConnected(endpoint, target.endpoint)) {
       const detail = 'no connection';
       runtime.setTimer(CONNECT_TIMEOUT_MILLISECONDS, () =>
-        tell({ type: 'failed', verdict: refusedVerdict, detail }),
+        emit({ type: 'failed', verdict: verdictIfUnreachable, detail }),
       );
       return () => {
-        over = true;
+        hasEnded = true;
       };
     }
-    const broken = (): void =>
-      tell({ type: 'failed', verdict: 'MayHaveRun', detail: 'the stream broke' });
-    const back = (event: BackEndEvent): void => {
+    const emitBroken = (): void =>
+      emit({ type: 'failed', verdict: 'MayHaveRun', detail: 'the stream broke' });
+    const onEvent = (event: BackEndEvent): void => {
       network.deliverInOrder(
-        answers,
-        target.end,
-        end,
-        () => tell(event),
+        responseOrder,
+        target.endpoint,
+        endpoint,
+        () => emit(event),
         () => undefined,
       );
-      if (!network.isConnected(target.end, end)) {
-        runtime.setTimer(CONNECT_TIMEOUT_MILLISECONDS, broken);
+      if (!network.isConnected(target.endpoint, endpoint)) {
+        runtime.setTimer(CONNECT_TIMEOUT_MILLISECONDS, emitBroken);
       }
     };
-    const opening: ConnectionOrder = { lastArrival: 0 };
-    network.deliverInOrder(opening, end, target.end, () => open(target.backEnd, back), broken);
+    const requestOrder: ConnectionOrder = { lastArrival: 0 };
+    network.deliverInOrder(
+      requestOrder,
+      endpoint,
+      target.endpoint,
+      () => open(target.backEnd, onEvent),
+      emitBroken,
+    );
     return () => {
-      over = true;
+      hasEnded = true;
       this.cancel(engine, call);
     };
   }
--- a/src/simulation/simulated-cluster.ts
+++ b/src/simulation/simulated-cluster.ts
@@ -23,7 +23,7 @@
 import { SimulatedBackEnds } from './simulated-back-ends.js';
 import { SimulatedDisk } from './simulated-disk.js';
 import { SimulatedNetwork } from './simulated-network.js';
-import type { NetworkEnd } from './simulated-network.js';
+import type { NetworkEndpoint } from './simulated-network.js';
 import { SimulatedProcess, silentLog } from './simulated-process.js';
 import { VirtualClock } from './virtual-clock.js';
 
@@ -52,7 +52,7 @@
   /** Nodes in each zone. @default 1 */
   readonly nodesPerZone?: number;
   /** One-way milliseconds between zones. */
-  readonly betweenZones: number;
+  readonly interZoneMilliseconds: number;
   readonly shardCount: number;
   readonly services: readonly SimulatedService[];
   readonly groups: readonly SimulatedGroup[];
@@ -65,7 +65,7 @@
 
 interface Machine {
   readonly placed: PlacedNode;
-  readonly end: NetworkEnd;
+  readonly endpoint: NetworkEndpoint;
   readonly disk: SimulatedDisk;
   node: IvyloomNode | undefined;
 }
@@ -81,17 +81,17 @@
   readonly keyValue: KeyValueModel;
   readonly map: ShardMap;
   readonly backEnds = new Map<EngineId, EmulatedBackEnd>();
-  private readonly backEndEnds = new Map<EngineId, NetworkEnd>();
+  private readonly backEndEndpoints = new Map<EngineId, NetworkEndpoint>();
   private readonly machines = new Map<NodeId, Machine>();
   private readonly placed: readonly PlacedNode[];
 
   constructor(readonly options: SimulatedClusterOptions) {
-    const { seed, zones, betweenZones } = options;
+    const { seed, zones, interZoneMilliseconds } = options;
     this.random = createRandom(seed, 'cluster');
     this.network = new SimulatedNetwork(this.clock, createRandom(seed, 'network'), {
-      betweenZones,
+      interZoneMilliseconds,
     });
-    this.keyValue = new KeyValueModel(this.createProcess('key-value').begin());
+    this.keyValue = new KeyValueModel(this.createProcess('key-value').start());
     this.placed = zones.flatMap((zone) =>
       Array.from({ length: options.nodesPerZone ?? 1 }, (_, index) => ({
         node: `${zone}-${index + 1}`,
@@ -127,12 +127,12 @@
 
   /** The process a node runs in. */
   processOf(name: NodeId): SimulatedProcess {
-    return this.machine(name).end.process;
+    return this.machine(name).endpoint.process;
   }
 
   /** The network end of a node. */
-  endOf(name: NodeId): NetworkEnd {
-    return this.machine(name).end;
+  endpointOf(name: NodeId): NetworkEndpoint {
+    return this.machine(name).endpoint;
   }
 
   /** Starts a node's process, from what its disk holds. */
@@ -141,7 +141,7 @@
     if (machine.node !== undefined) {
       return;
     }
-    const runtime = machine.end.process.begin();
+    const runtime = machine.endpoint.process.start();
     const node = this.createNode(machine, runtime);
     machine.node = node;
     node.start();
@@ -150,7 +150,7 @@
   /** Ends a node's process at once. */
   killNode(name: NodeId): void {
     const machine = this.machine(name);
-    machine.end.process.kill();
+    machine.endpoint.process.kill();
     machine.node = undefined;
   }
 
@@ -163,9 +163,9 @@
   leaveNode(name: NodeId, done: () => void = () => undefined): void {
     const machine = this.machine(name);
     // A signal to a process that stands still takes effect when it goes on.
-    machine.end.process.enter(() => {
+    machine.endpoint.process.execute(() => {
       machine.node?.leave(() => {
-        machine.end.process.kill();
+        machine.endpoint.process.kill();
         machine.node = undefined;
         done();
       });
@@ -197,9 +197,12 @@
   }
 
   private createMachine(placed: PlacedNode): void {
-    const end: NetworkEnd = { process: this.createProcess(placed.node), zone: placed.zone };
+    const endpoint: NetworkEndpoint = {
+      process: this.createProcess(placed.node),
+      zone: placed.zone,
+    };
     const disk = new SimulatedDisk(this.map);
-    this.machines.set(placed.node, { placed, end, disk, node: undefined });
+    this.machines.set(placed.node, { placed, endpoint, disk, node: undefined });
   }
 
   private createNode(machine: Machine, runtime: Runtime): IvyloomNode {
@@ -215,27 +218,27 @@
           const target = this.machines.get(to);
           this.options.onMessage?.(self, message);
           if (target !== undefined) {
-            this.network.deliver(machine.end, target.end, () =>
+            this.network.deliver(machine.endpoint, target.endpoint, () =>
               target.node?.receive(self, message),
             );
           }
         },
       },
       storage: machine.disk.open(runtime),
-      backEnds: this.connectBackEnds(machine.end, runtime),
+      backEnds: this.connectBackEnds(machine.endpoint, runtime),
       keyValue: this.keyValue.connect(runtime),
       limits: this.options.limits ?? DEFAULT_OWNER_LIMITS,
       createPolicy: this.options.createPolicy ?? (() => createPolicy('ivyloom')),
     });
   }
 
-  private connectBackEnds(end: NetworkEnd, runtime: Runtime): BackEndPort {
+  private connectBackEnds(endpoint: NetworkEndpoint, runtime: Runtime): BackEndPort {
     return new SimulatedBackEnds({
       network: this.network,
-      end,
+      endpoint,
       runtime,
       backEnds: this.backEnds,
-      backEndEnds: this.backEndEnds,
+      backEndEndpoints: this.backEndEndpoints,
     });
   }
 
@@ -251,13 +254,13 @@
     const name = `${service.name}-${index + 1}`;
     const zone = this.options.zones[index % this.options.zones.length]!;
     const process = this.createProcess(name);
-    const runtime = process.begin();
+    const runtime = process.start();
     const backEnd =
       service.kind === 'model'
         ? new EngineModel(runtime, { ...service.engine, name })
         : new ToolModel(runtime, { ...service.tool, name });
     this.backEnds.set(name, backEnd);
-    this.backEndEnds.set(name, { process, zone });
+    this.backEndEndpoints.set(name, { process, zone });
   }
 
   private listDocuments(): ConfigurationDocument[] {
--- a/src/simulation/simulated-disk.ts
+++ b/src/simulation/simulated-disk.ts
@@ -35,9 +35,9 @@
   /** Loses the newest entries of every log, as a torn write does; what was promised is known. */
   tearTails(count: number): void {
     for (const [shard, replica] of this.replicas) {
-      const promisedIndex = replica.snapshot.lastIndex + replica.entries.length;
+      const acknowledgedIndex = replica.snapshot.lastIndex + replica.entries.length;
       const entries = replica.entries.slice(0, Math.max(0, replica.entries.length - count));
-      this.replicas.set(shard, { ...replica, entries, acknowledgedIndex: promisedIndex });
+      this.replicas.set(shard, { ...replica, entries, acknowledgedIndex });
     }
   }
 
--- a/src/simulation/simulated-network.ts
+++ b/src/simulation/simulated-network.ts
@@ -5,7 +5,7 @@
 import type { VirtualClock } from './virtual-clock.js';
 
 /** One end of the network. */
-export interface NetworkEnd {
+export interface NetworkEndpoint {
   readonly process: SimulatedProcess;
   readonly zone: ZoneName;
 }
@@ -13,9 +13,9 @@
 /** How the network behaves. */
 export interface NetworkOptions {
   /** One-way milliseconds inside a zone. @default 0.2 */
-  readonly insideZone?: number;
+  readonly intraZoneMilliseconds?: number;
   /** One-way milliseconds between zones. */
-  readonly betweenZones: number;
+  readonly interZoneMilliseconds: number;
 }
 
 /** Keeps the order of one direction of a connection. */
@@ -33,7 +33,7 @@
   loss = 0;
   /** Most milliseconds added at random to each message. */
   extraDelay = 0;
-  private readonly cut = new Set<string>();
+  private readonly cutLinks = new Set<string>();
   private delivered = 0;
 
   constructor(
@@ -49,59 +49,59 @@
 
   /** Cuts both directions between two ends. */
   cutLink(left: string, right: string): void {
-    this.cut.add(`${left}>${right}`);
-    this.cut.add(`${right}>${left}`);
+    this.cutLinks.add(`${left}>${right}`);
+    this.cutLinks.add(`${right}>${left}`);
   }
 
   /** Cuts one direction. */
   cutOneWay(from: string, to: string): void {
-    this.cut.add(`${from}>${to}`);
+    this.cutLinks.add(`${from}>${to}`);
   }
 
   /** Heals every cut. */
   heal(): void {
-    this.cut.clear();
+    this.cutLinks.clear();
   }
 
   /** True when messages pass from one end to another. */
-  isConnected(from: NetworkEnd, to: NetworkEnd): boolean {
-    return !this.cut.has(`${from.process.name}>${to.process.name}`);
+  isConnected(from: NetworkEndpoint, to: NetworkEndpoint): boolean {
+    return !this.cutLinks.has(`${from.process.name}>${to.process.name}`);
   }
 
   /** Delivers a datagram, or loses it. */
-  deliver(from: NetworkEnd, to: NetworkEnd, receive: () => void): void {
+  deliver(from: NetworkEndpoint, to: NetworkEndpoint, receive: () => void): void {
     if (!this.isConnected(from, to) || this.random.uniform() < this.loss) {
       return;
     }
     this.clock.schedule(this.delay(from, to), () => {
       this.delivered += 1;
-      to.process.enter(receive);
+      to.process.execute(receive);
     });
   }
 
   /** Delivers over a connection: in order, never lost while the link is up, told when it is not. */
   deliverInOrder(
     connection: ConnectionOrder,
-    from: NetworkEnd,
-    to: NetworkEnd,
+    from: NetworkEndpoint,
+    to: NetworkEndpoint,
     receive: () => void,
-    broken: () => void,
+    onBroken: () => void,
   ): void {
     const { now } = this.clock;
     connection.lastArrival = Math.max(connection.lastArrival, now + this.delay(from, to));
     this.clock.schedule(connection.lastArrival - now, () => {
       if (this.isConnected(from, to) && to.process.isAlive) {
         this.delivered += 1;
-        to.process.enter(receive);
+        to.process.execute(receive);
       } else {
-        from.process.enter(broken);
+        from.process.execute(onBroken);
       }
     });
   }
 
-  private delay(from: NetworkEnd, to: NetworkEnd): number {
-    const { insideZone = 0.2, betweenZones } = this.options;
-    const usual = from.zone === to.zone ? insideZone : betweenZones;
-    return usual * (1 + this.random.uniform() * JITTER) + this.random.uniform() * this.extraDelay;
+  private delay(from: NetworkEndpoint, to: NetworkEndpoint): number {
+    const { intraZoneMilliseconds = 0.2, interZoneMilliseconds } = this.options;
+    const base = from.zone === to.zone ? intraZoneMilliseconds : interZoneMilliseconds;
+    return base * (1 + this.random.uniform() * JITTER) + this.random.uniform() * this.extraDelay;
   }
 }
--- a/src/simulation/simulated-process.ts
+++ b/src/simulation/simulated-process.ts
@@ -13,9 +13,9 @@
 export class SimulatedProcess {
   /** Added to the wall clock by a clock jump, in milliseconds. */
   wallOffset = 0;
-  private life = 0;
+  private incarnation = 0;
   private paused = false;
-  private delayed: (() => void)[] = [];
+  private deferred: (() => void)[] = [];
 
   constructor(
     readonly name: string,
@@ -26,7 +26,7 @@
 
   /** True while the process runs or is paused. */
   get isAlive(): boolean {
-    return this.life > 0;
+    return this.incarnation > 0;
   }
 
   /** True while it stands still. */
@@ -35,13 +35,13 @@
   }
 
   /** Begins a life and returns its surroundings. */
-  begin(): Runtime {
-    this.life = Math.abs(this.life) + 1;
-    const { life } = this;
+  start(): Runtime {
+    this.incarnation = Math.abs(this.incarnation) + 1;
+    const { incarnation } = this;
     return {
       now: () => this.clock.now,
       wallTime: () => Math.round(SIMULATION_EPOCH + this.clock.now + this.wallOffset),
-      setTimer: (delay, callback) => this.setTimer(life, delay, callback),
+      setTimer: (delay, callback) => this.setTimer(incarnation, delay, callback),
       random: this.random,
       log: this.log,
     };
@@ -49,9 +49,9 @@
 
   /** Ends the life at once. */
   kill(): void {
-    this.life = -Math.abs(this.life);
+    this.incarnation = -Math.abs(this.incarnation);
     this.paused = false;
-    this.delayed = [];
+    this.deferred = [];
   }
 
   /** Stops all activity until `resume`; what happens meanwhile is done then. */
@@ -62,20 +62,20 @@
   /** Goes on, with everything that became due in between. */
   resume(): void {
     this.paused = false;
-    const due = this.delayed;
-    this.delayed = [];
+    const due = this.deferred;
+    this.deferred = [];
     due.forEach((run) => this.clock.schedule(0, run));
   }
 
   /** Runs something in this life, now or when a pause ends; nothing when the life is over. */
-  enter(callback: () => void): void {
-    this.run(this.life, callback);
+  execute(callback: () => void): void {
+    this.run(this.incarnation, callback);
   }
 
-  private setTimer(life: number, delay: number, callback: () => void): CancelTimer {
+  private setTimer(incarnation: number, delay: number, callback: () => void): CancelTimer {
     let cancelled = false;
     const cancel = this.clock.schedule(delay, () =>
-      this.run(life, () => {
+      this.run(incarnation, () => {
         if (!cancelled) {
           callback();
         }
@@ -87,12 +87,12 @@
     };
   }
 
-  private run(life: number, callback: () => void): void {
-    if (life !== this.life || life <= 0) {
+  private run(incarnation: number, callback: () => void): void {
+    if (incarnation !== this.incarnation || incarnation <= 0) {
       return;
     }
     if (this.paused) {
-      this.delayed.push(() => this.run(life, callback));
+      this.deferred.push(() => this.run(incarnation, callback));
       return;
     }
     callback();
--- a/src/simulation/simulated-replicas.ts
+++ b/src/simulation/simulated-replicas.ts
@@ -32,63 +32,63 @@
 import { silentLog, SimulatedProcess } from './simulated-process.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-const WRITE_MILLISECONDS = 1;
-const LAZY_MILLISECONDS = 250;
+const WRITE_DELAY_MILLISECONDS = 1;
+const LAZY_WRITE_DELAY_MILLISECONDS = 250;
 /** Pause before a refused write is tried again. */
-const REFUSED_MILLISECONDS = 500;
+const WRITE_RETRY_DELAY_MILLISECONDS = 500;
 /** Delay of writes that are acknowledged before they are on disk: a planted fault. */
-const HASTY_MILLISECONDS = 2_000;
-const LINK_MILLISECONDS = 1;
+const EARLY_ACKNOWLEDGED_WRITE_DELAY_MILLISECONDS = 2_000;
+const LINK_DELAY_MILLISECONDS = 1;
 const LINK_JITTER_MILLISECONDS = 2;
-const STORE_MILLISECONDS = 4;
+const STORE_DELAY_MILLISECONDS = 4;
 
 /** A disk of one machine: what was written lasts, unless the disk is wiped. */
 class SimulatedTurnDisk {
   private state = emptyState();
   /** While true, writes are refused; they are tried again as the real storage does. */
-  refuses = false;
+  refusesWrites = false;
 
   wipe(): void {
     this.state = emptyState();
   }
 
   /** Tells everything that was written. */
-  load(take: (change: WrittenChange) => void): void {
+  load(visit: (change: WrittenChange) => void): void {
     const { meta, joining, entries, turns } = this.state;
     if (meta !== undefined) {
-      take({ tag: 'meta', meta });
+      visit({ tag: 'meta', meta });
     }
     if (joining !== undefined) {
-      take({ tag: 'joining', token: joining });
+      visit({ tag: 'joining', token: joining });
     }
-    entries.forEach((entry) => take({ tag: 'entry', entry }));
-    turns.forEach((turn) => take({ tag: 'turn', turn }));
+    entries.forEach((entry) => visit({ tag: 'entry', entry }));
+    turns.forEach((turn) => visit({ tag: 'turn', turn }));
   }
 
   open(runtime: Runtime, options: SimulatedReplicasOptions): TurnStorage {
-    const { planted, writeMilliseconds = WRITE_MILLISECONDS } = options;
+    const { injectedFault, writeMilliseconds = WRITE_DELAY_MILLISECONDS } = options;
     return {
       write: (changes, done, urgency = 'urgent') => {
-        if (planted === 'hastyAcknowledge') {
-          runtime.setTimer(HASTY_MILLISECONDS, () =>
+        if (injectedFault === 'hastyAcknowledge') {
+          runtime.setTimer(EARLY_ACKNOWLEDGED_WRITE_DELAY_MILLISECONDS, () =>
             changes.forEach((change) => this.apply(change)),
           );
           done(true);
           return;
         }
-        const pause = urgency === 'lazy' ? LAZY_MILLISECONDS : writeMilliseconds;
+        const delay = urgency === 'lazy' ? LAZY_WRITE_DELAY_MILLISECONDS : writeMilliseconds;
         // The timer dies with the process, and with it whatever was not yet written.
         const write = (): void => {
-          if (this.refuses) {
-            runtime.setTimer(REFUSED_MILLISECONDS, write);
+          if (this.refusesWrites) {
+            runtime.setTimer(WRITE_RETRY_DELAY_MILLISECONDS, write);
             return;
           }
           changes
-            .filter((change) => planted !== 'lostAccounts' || change.tag !== 'entry')
+            .filter((change) => injectedFault !== 'lostAccounts' || change.tag !== 'entry')
             .forEach((change) => this.apply(change));
           done(true);
         };
-        runtime.setTimer(pause, write);
+        runtime.setTimer(delay, write);
       },
     };
   }
@@ -139,7 +139,7 @@
   /** While true, it takes no reports on the emptying of machines. */
   refusesReports = false;
   readonly retiring = new Set<string>();
-  readonly finished = new Set<string>();
+  readonly retired = new Set<string>();
 
   /** Members that the stored record names. */
   get members(): readonly Member[] {
@@ -151,7 +151,7 @@
     return decodeMemberRecord(this.text)?.epoch ?? 0;
   }
 
-  portOf(runtime: Runtime, isCut: () => boolean): MembershipStore {
+  connect(runtime: Runtime, isCut: () => boolean): MembershipStore {
     return {
       readRecord: (): StoredRecord => {
         if (!this.reachable || isCut()) {
@@ -162,7 +162,7 @@
           : { tag: 'Present', text: this.text, revision: this.revision };
       },
       swapRecord: (expected, text, done) => {
-        runtime.setTimer(STORE_MILLISECONDS, () => {
+        runtime.setTimer(STORE_DELAY_MILLISECONDS, () => {
           const swapped = this.reachable && !isCut() && expected === this.revision;
           if (swapped) {
             this.text = text;
@@ -174,7 +174,7 @@
       retiringNodes: () => this.retiring,
       reportRetirement: (node, finished, done) => {
         if (finished && !this.refusesReports) {
-          this.finished.add(node);
+          this.retired.add(node);
         }
         done(!this.refusesReports);
       },
@@ -194,7 +194,7 @@
 
 /** How the replicas are played; the planted faults show that checks find them. */
 export interface SimulatedReplicasOptions {
-  readonly planted?: 'noRepair' | 'hastyAcknowledge' | 'lostAccounts';
+  readonly injectedFault?: 'noRepair' | 'hastyAcknowledge' | 'lostAccounts';
   readonly log?: LogFunction;
   /** Time that a synced write takes, in milliseconds. @default 1 */
   readonly writeMilliseconds?: number;
@@ -211,10 +211,10 @@
   readonly store = new SimulatedMembershipStore();
   private readonly machines = new Map<string, SimulatedMachine>();
   /** Pairs of names, `a b`, between which nothing passes. */
-  private readonly cuts = new Set<string>();
+  private readonly cutLinks = new Set<string>();
   /** Turns that replicas have sent one another to copy. */
   copiedTurns = 0;
-  private lastCall = 0;
+  private lastCallNumber = 0;
   private readonly log: LogFunction;
 
   constructor(
@@ -243,7 +243,7 @@
   /** Starts the process of a machine. */
   start(name: string): void {
     const machine = this.machine(name);
-    const runtime = machine.process.begin();
+    const runtime = machine.process.start();
     const directory = new MemberDirectory(runtime);
     const { id } = machine.member;
     const storage = machine.disk.open(runtime, this.options);
@@ -251,10 +251,10 @@
     const replica = new Replica({ id, runtime, storage, directory, quotaAllowance });
     machine.disk.load((change) => replica.restore(change));
     replica.endRestore();
-    if (this.options.planted === 'noRepair') {
+    if (this.options.injectedFault === 'noRepair') {
       replica.markReady('planted fault');
     }
-    const caller = this.callerOf(name, runtime, directory);
+    const caller = this.createCaller(name, runtime, directory);
     const { wantedMembers = Infinity } = this.options;
     const { catchUpMilliseconds = DEFAULT_CATCH_UP_MILLISECONDS } = this.options;
     const timings = membershipTimingsFor(catchUpMilliseconds);
@@ -263,16 +263,21 @@
     replica.holdsQuorum = () => sync.holdsQuorum;
     replica.hasReadEarlierEpochs = () => sync.hasReadEarlierEpochs;
     replica.silenceReports = () => sync.silenceReports();
-    if (this.options.planted === 'noRepair') {
+    if (this.options.injectedFault === 'noRepair') {
       sync.close();
     }
-    const isCut = (): boolean => this.cuts.has(`${name} store`);
-    const store = this.store.portOf(runtime, isCut);
-    const keeper = new MembershipController({ ...shared, self: machine.member, sync, store });
+    const isCut = (): boolean => this.cutLinks.has(`${name} store`);
+    const store = this.store.connect(runtime, isCut);
+    const membershipController = new MembershipController({
+      ...shared,
+      self: machine.member,
+      sync,
+      store,
+    });
     machine.replica = replica;
     machine.directory = directory;
     machine.close = () => {
-      keeper.close();
+      membershipController.close();
       sync.close();
       replica.close();
     };
@@ -293,7 +298,7 @@
 
   /** Lets the disk of a machine refuse writes, or take them again. */
   refuseWrites(name: string, refuses: boolean): void {
-    this.machine(name).disk.refuses = refuses;
+    this.machine(name).disk.refusesWrites = refuses;
   }
 
   /** Stops a process without ending it, and lets it go on. */
@@ -307,13 +312,13 @@
 
   /** Lets nothing pass between two; a name may also be `store` or a gateway's. */
   cut(left: string, right: string): void {
-    this.cuts.add(`${left} ${right}`);
-    this.cuts.add(`${right} ${left}`);
+    this.cutLinks.add(`${left} ${right}`);
+    this.cutLinks.add(`${right} ${left}`);
   }
 
   heal(left: string, right: string): void {
-    this.cuts.delete(`${left} ${right}`);
-    this.cuts.delete(`${right} ${left}`);
+    this.cutLinks.delete(`${left} ${right}`);
+    this.cutLinks.delete(`${right} ${left}`);
   }
 
   /** Machines whose process runs. */
@@ -322,7 +327,7 @@
   }
 
   /** Machines that the stored record names. */
-  namedMembers(): string[] {
+  recordedMembers(): string[] {
     return this.store.members.map(({ node }) => node);
   }
 
@@ -345,20 +350,20 @@
     knownTo: string,
   ): { client: TurnClient; process: SimulatedProcess } {
     const process = new SimulatedProcess(name, this.clock, this.random, this.log);
-    const runtime = process.begin();
+    const runtime = process.start();
     const directory = new MemberDirectory(runtime);
     directory.offerText(this.machine(knownTo).directory?.currentText ?? '', knownTo);
-    const caller = this.callerOf(name, runtime, directory);
+    const caller = this.createCaller(name, runtime, directory);
     return { client: new TurnClient({ runtime, directory, caller, zone }), process };
   }
 
   /** A gateway's client for quotas; it knows the members that a machine knows, and follows them. */
   quotaClient(name: string, knownTo: string): QuotaClient {
     const process = new SimulatedProcess(name, this.clock, this.random, this.log);
-    const runtime = process.begin();
+    const runtime = process.start();
     const directory = new MemberDirectory(runtime);
     directory.offerText(this.machine(knownTo).directory?.currentText ?? '', knownTo);
-    const caller = this.callerOf(name, runtime, directory);
+    const caller = this.createCaller(name, runtime, directory);
     return new QuotaClient({ runtime, directory, caller });
   }
 
@@ -371,22 +376,22 @@
   }
 
   private delay(): number {
-    return LINK_MILLISECONDS + this.random.uniform() * LINK_JITTER_MILLISECONDS;
+    return LINK_DELAY_MILLISECONDS + this.random.uniform() * LINK_JITTER_MILLISECONDS;
   }
 
-  private callerOf(from: string, runtime: Runtime, directory: MemberDirectory): ReplicaCaller {
+  private createCaller(from: string, runtime: Runtime, directory: MemberDirectory): ReplicaCaller {
     return {
       call: (member, request, timeout, listener) =>
         this.call(from, runtime, directory, member, request, timeout, listener),
       notify: (member, message) => {
-        this.clock.schedule(this.delay(), () => this.tell(from, member, message));
+        this.clock.schedule(this.delay(), () => this.deliverNotification(from, member, message));
       },
     };
   }
 
-  private tell(from: string, member: Member, message: OneWayMessage): void {
+  private deliverNotification(from: string, member: Member, message: OneWayMessage): void {
     const machine = this.machines.get(member.node);
-    if (machine?.replica !== undefined && !this.cuts.has(`${from} ${member.node}`)) {
+    if (machine?.replica !== undefined && !this.cutLinks.has(`${from} ${member.node}`)) {
       if (message.type === 'settle') {
         machine.replica.settle(message.entry);
       } else {
@@ -404,28 +409,28 @@
     timeout: number,
     listener: ReplyListener,
   ): void {
-    this.lastCall += 1;
-    let over = false;
+    this.lastCallNumber += 1;
+    let hasEnded = false;
     const finish = (reply: ReplicaReply | undefined): void => {
-      if (!over) {
-        over = true;
+      if (!hasEnded) {
+        hasEnded = true;
         listener(reply);
       }
     };
     runtime.setTimer(timeout, () => finish(undefined));
-    const numbered = { ...request, call: this.lastCall } as ReplicaRequest;
+    const numberedRequest = { ...request, call: this.lastCallNumber } as ReplicaRequest;
     const target = this.machines.get(member.node);
     const { replica } = target ?? {};
     this.clock.schedule(this.delay(), () => {
-      const gone = replica === undefined || target?.replica !== replica;
-      if (gone || this.cuts.has(`${from} ${member.node}`)) {
+      const isReplicaGone = replica === undefined || target?.replica !== replica;
+      if (isReplicaGone || this.cutLinks.has(`${from} ${member.node}`)) {
         return;
       }
       const serve = (): void =>
-        replica.handle(numbered, (reply) => {
+        replica.handle(numberedRequest, (reply) => {
           this.copiedTurns += reply.type === 'fetched' ? reply.turns.length : 0;
           this.clock.schedule(this.delay(), () => {
-            if (this.cuts.has(`${member.node} ${from}`)) {
+            if (this.cutLinks.has(`${member.node} ${from}`)) {
               return;
             }
             if (reply.type === 'members') {
@@ -435,7 +440,7 @@
             }
           });
         });
-      target?.process.enter(serve);
+      target?.process.execute(serve);
     });
   }
 }
--- a/src/simulation/virtual-clock.ts
+++ b/src/simulation/virtual-clock.ts
@@ -4,7 +4,7 @@
 
 interface ScheduledEvent {
   readonly at: number;
-  readonly order: number;
+  readonly sequence: number;
   run: (() => void) | undefined;
 }
 
@@ -12,10 +12,10 @@
 export class VirtualClock {
   private readonly events = new TinyQueue<ScheduledEvent>(
     [],
-    (left, right) => left.at - right.at || left.order - right.order,
+    (left, right) => left.at - right.at || left.sequence - right.sequence,
   );
   private time = 0;
-  private made = 0;
+  private scheduledCount = 0;
 
   /** Virtual milliseconds since the start. */
   get now(): number {
@@ -24,13 +24,17 @@
 
   /** Number of events made so far. */
   get eventCount(): number {
-    return this.made;
+    return this.scheduledCount;
   }
 
   /** Runs something later. */
   schedule(delay: number, run: () => void): CancelTimer {
-    this.made += 1;
-    const event: ScheduledEvent = { at: this.time + Math.max(0, delay), order: this.made, run };
+    this.scheduledCount += 1;
+    const event: ScheduledEvent = {
+      at: this.time + Math.max(0, delay),
+      sequence: this.scheduledCount,
+      run,
+    };
     this.events.push(event);
     return () => {
       event.run = undefined;
