--- a/features/steps/configuration-histories.steps.ts
+++ b/features/steps/configuration-histories.steps.ts
@@ -2,17 +2,17 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { runConfigurationHistory } from '../../src/histories/configuration-history.js';
-import type { PlantedConfigurationFault } from '../../src/histories/configuration-history.js';
+import type { InjectedConfigurationFault } from '../../src/histories/configuration-history.js';
 import {
-  fewestTroubles,
+  minimizeFaults,
   runConfigurationHistories,
 } from '../../src/histories/run-configuration-histories.js';
 import type { ConfigurationHistoriesResult } from '../../src/histories/run-configuration-histories.js';
 
 interface World {
   histories: ConfigurationHistoriesResult;
-  planted: PlantedConfigurationFault;
-  plantedGateways: number;
+  injectedFault: InjectedConfigurationFault;
+  gatewayCount: number;
   failingSeed: number | undefined;
 }
 
@@ -32,20 +32,23 @@
 When(
   'a history with the planted fault {string} and {int} gateways is sought among {int} seeds',
   function (this: World, fault: string, gateways: number, seeds: number) {
-    this.planted = fault as PlantedConfigurationFault;
-    this.plantedGateways = gateways;
+    this.injectedFault = fault as InjectedConfigurationFault;
+    this.gatewayCount = gateways;
     this.failingSeed = undefined;
     for (let seed = 1; seed <= seeds && this.failingSeed === undefined; seed += 1) {
-      const { violations } = runConfigurationHistory(seed, { gateways, planted: this.planted });
+      const { violations } = runConfigurationHistory(seed, {
+        gateways,
+        injectedFault: this.injectedFault,
+      });
       this.failingSeed = violations.length > 0 ? seed : undefined;
     }
   },
 );
 
 Then('one breaks a promise, also with the fewest of its troubles', function (this: World) {
-  const { failingSeed: seed, plantedGateways: gateways, planted } = this;
+  const { failingSeed: seed, gatewayCount: gateways, injectedFault } = this;
   assert.ok(seed !== undefined, 'no history noticed it');
-  const plan = fewestTroubles(seed, gateways, planted);
-  const { violations } = runConfigurationHistory(seed, { gateways, planted, plan });
+  const plan = minimizeFaults(seed, gateways, injectedFault);
+  const { violations } = runConfigurationHistory(seed, { gateways, injectedFault, plan });
   assert.ok(violations.length > 0);
 });
--- a/features/steps/power-loss-day.steps.ts
+++ b/features/steps/power-loss-day.steps.ts
@@ -1,14 +1,14 @@
 /** Steps about days that end with a loss of all power. */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
-import { playPowerLossDay } from '../../src/histories/power-loss-day.js';
-import type { PowerLossDayResult } from '../../src/histories/power-loss-day.js';
+import { runPowerLossScenario } from '../../src/histories/power-loss-scenario.js';
+import type { PowerLossScenarioResult } from '../../src/histories/power-loss-scenario.js';
 
 /** Turns that each day keeps at least: it lasts half a minute and writes some thirty times a second. */
-const LEAST_TURNS = 200;
+const MINIMUM_TURNS = 200;
 
 interface World {
-  days?: PowerLossDayResult[];
+  days?: PowerLossScenarioResult[];
 }
 
 When(
@@ -23,7 +23,7 @@
   ) {
     this.days = [];
     for (let seed = first; seed <= last; seed += 1) {
-      this.days.push(playPowerLossDay(seed, { replicaCount, wantedMembers, lossesAtOnce }));
+      this.days.push(runPowerLossScenario(seed, { replicaCount, wantedMembers, lossesAtOnce }));
     }
   },
 );
@@ -37,5 +37,5 @@
 });
 
 Then('turns were kept on each day', function (this: World) {
-  assert.ok(this.days!.length > 0 && this.days!.every(({ kept }) => kept >= LEAST_TURNS));
+  assert.ok(this.days!.length > 0 && this.days!.every(({ kept }) => kept >= MINIMUM_TURNS));
 });
--- a/features/steps/promises.steps.ts
+++ b/features/steps/promises.steps.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { CHECKERS } from '../../src/histories/checkers.js';
-import type { ConditionName } from '../../src/histories/checkers.js';
+import type { InvariantName } from '../../src/histories/checkers.js';
 import type { RecordedCall, RecordedRun } from '../../src/histories/recorded-events.js';
 import { runHistory } from '../../src/histories/run-history.js';
 import type { HistoryResult } from '../../src/histories/run-history.js';
@@ -64,7 +64,7 @@
   retryAfterSeconds: 1,
 } as const;
 
-const PLANTS: Readonly<Record<string, (run: RecordedRun) => void>> = {
+const MUTATIONS: Readonly<Record<string, (run: RecordedRun) => void>> = {
   'an execution out of order': (run) => {
     const call = run.calls.find((candidate) => candidate.sequence === 1)!;
     const { call: name, program, service } = call;
@@ -80,7 +80,7 @@
     (first!.history as unknown[]).push(second!.history[0]);
   },
   'a history that cannot be read': (run) => {
-    run.unreadable.push('p0');
+    run.unreadablePrograms.push('p0');
   },
   'a grant beyond the budget': (run) => {
     const account = run.accounts[0]!;
@@ -94,9 +94,9 @@
   },
   'crossed answers': (run) => {
     const [first, second] = answered(run, 'tool');
-    const kept = first!.result;
+    const firstResult = first!.result;
     first!.result = second!.result;
-    second!.result = kept;
+    second!.result = firstResult;
   },
   'a stream with a gap': (run) => {
     const call = answered(run, 'chat').find((candidate) => candidate.streaming)!;
@@ -133,14 +133,14 @@
   },
 };
 
-When('it is changed by {string}', function (this: PromisesWorld, plant: string) {
-  PLANTS[plant]!(this.run!);
+When('it is changed by {string}', function (this: PromisesWorld, mutation: string) {
+  MUTATIONS[mutation]!(this.run!);
 });
 
 Then(
   'the checker of {string} names a violation',
   function (this: PromisesWorld, condition: string) {
-    const found = CHECKERS[condition as ConditionName](this.run!);
+    const found = CHECKERS[condition as InvariantName](this.run!);
     assert.notDeepEqual(found, []);
   },
 );
--- a/features/steps/replaced-member.steps.ts
+++ b/features/steps/replaced-member.steps.ts
@@ -1,10 +1,13 @@
 /** Steps about lost machines and their successors. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { playReplacementDay } from '../../src/histories/replacement-day.js';
-import type { Replacement, ReplacementDayResult } from '../../src/histories/replacement-day.js';
-import { playSplitDay } from '../../src/histories/split-day.js';
-import type { SplitDayResult } from '../../src/histories/split-day.js';
+import { runReplacementScenario } from '../../src/histories/replacement-scenario.js';
+import type {
+  Replacement,
+  ReplacementScenarioResult,
+} from '../../src/histories/replacement-scenario.js';
+import { runPartitionScenario } from '../../src/histories/partition-scenario.js';
+import type { PartitionScenarioResult } from '../../src/histories/partition-scenario.js';
 import { createRandom } from '../../src/runtime/random.js';
 import { SimulatedProcess } from '../../src/simulation/simulated-process.js';
 import { VirtualClock } from '../../src/simulation/virtual-clock.js';
@@ -31,8 +34,8 @@
   bounds?: ReplicaBounds;
   sameZoneMembers?: number;
   observer?: { clock: VirtualClock; sync: ReplicaSync };
-  splits?: SplitDayResult[];
-  replacements?: ReplacementDayResult[];
+  splits?: PartitionScenarioResult[];
+  replacements?: ReplacementScenarioResult[];
 }
 
 When(
@@ -51,7 +54,7 @@
     this.replacements = [];
     for (let seed = first; seed <= last; seed += 1) {
       const options = { ...sizes, replacement, catchUpMilliseconds };
-      this.replacements.push(playReplacementDay(seed, options));
+      this.replacements.push(runReplacementScenario(seed, options));
     }
   },
 );
@@ -79,7 +82,9 @@
     this.splits = [];
     for (let seed = first; seed <= last; seed += 1) {
       const catchUpMilliseconds = SPLIT_CATCH_UP_MILLISECONDS;
-      this.splits.push(playSplitDay(seed, { ...options, catchUpMilliseconds }, cutOffCount));
+      this.splits.push(
+        runPartitionScenario(seed, { ...options, catchUpMilliseconds }, cutOffCount),
+      );
     }
   },
 );
--- a/features/steps/turn-histories.steps.ts
+++ b/features/steps/turn-histories.steps.ts
@@ -3,18 +3,18 @@
 import { Then, When } from '@cucumber/cucumber';
 import { TURN_FAULTS } from '../../src/histories/turn-faults.js';
 import { runTurnHistory } from '../../src/histories/turn-history.js';
-import type { PlantedFault, TurnHistoryResult } from '../../src/histories/turn-history.js';
+import type { InjectedFault, TurnHistoryResult } from '../../src/histories/turn-history.js';
 
 interface World {
   histories?: TurnHistoryResult[];
 }
 
-const PLANTED: Readonly<Record<string, PlantedFault>> = {
+const INJECTED_FAULTS: Readonly<Record<string, InjectedFault>> = {
   'an emptied replica copies nothing': 'noRepair',
   'replicas acknowledge before the disk': 'hastyAcknowledge',
   'accounts never reach the disks': 'lostAccounts',
 };
-const MOST_PLANTED_SEEDS = 60;
+const MAXIMUM_SEEDS = 60;
 
 When(
   'histories of turns with seeds {int} to {int} are played',
@@ -74,8 +74,8 @@
   'histories of turns are played with the planted fault {string}',
   function (this: World, fault: string) {
     this.histories = [];
-    for (let seed = 1; seed <= MOST_PLANTED_SEEDS; seed += 1) {
-      const history = runTurnHistory(seed, { injectedFault: PLANTED[fault]! });
+    for (let seed = 1; seed <= MAXIMUM_SEEDS; seed += 1) {
+      const history = runTurnHistory(seed, { injectedFault: INJECTED_FAULTS[fault]! });
       this.histories.push(history);
       // Service that is lost besides shows earlier with some faults, and is not what they are planted for.
       if (history.violations.some((violation) => !violation.startsWith('service'))) {
--- a/features/support/acknowledgement-model.ts
+++ b/features/support/acknowledgement-model.ts
@@ -3,7 +3,7 @@
  * time, and read from a random minimal set of members that the rule requires. There is no background replication, so
  * the rule alone has to preserve every write.
  */
-import { drawSeveral } from '../../src/histories/draw-several.js';
+import { pickDistinct } from '../../src/histories/pick-distinct.js';
 import type { RandomSource } from '../../src/runtime/random.js';
 import {
   MINIMUM_MEMBERS,
@@ -82,7 +82,7 @@
       return false;
     }
     this.writeCount += 1;
-    drawSeveral(this.random, complete, needed).forEach((member) =>
+    pickDistinct(this.random, complete, needed).forEach((member) =>
       member.writes.add(this.writeCount),
     );
     return true;
@@ -109,7 +109,7 @@
     if (readable.length < needed) {
       return false;
     }
-    for (const other of drawSeveral(this.random, readable, needed)) {
+    for (const other of pickDistinct(this.random, readable, needed)) {
       other.writes.forEach((write) => member.writes.add(write));
     }
     member.standing = 'complete';
--- a/features/support/simulated-key-space.ts
+++ b/features/support/simulated-key-space.ts
@@ -56,7 +56,7 @@
   }
 
   compact(): void {
-    this.store.forget();
+    this.store.compact();
   }
 
   /**
--- a/src/bench/chaos.ts
+++ b/src/bench/chaos.ts
@@ -11,7 +11,7 @@
 import { KeyValueServer } from '../emulator/key-value-server.js';
 import { checkRun } from '../histories/checkers.js';
 import type { Violation } from '../histories/checkers.js';
-import { emptyRun } from '../histories/recorded-events.js';
+import { createEmptyRun } from '../histories/recorded-events.js';
 import type { RecordedCall, RecordedRun } from '../histories/recorded-events.js';
 import type { Verdict } from '../model/verdict.js';
 import { createRandom } from '../runtime/random.js';
@@ -261,7 +261,7 @@
     if (response.statusCode === 200) {
       rig.run.histories.push(JSON.parse(text) as RecordedRun['histories'][number]);
     } else {
-      rig.run.unreadable.push(program);
+      rig.run.unreadablePrograms.push(program);
     }
   }
   const answer = await request(`${url}/v1/operator/statements`, {
@@ -296,7 +296,7 @@
   const rig: Rig = {
     seed: options.seed,
     daemons,
-    run: emptyRun(),
+    run: createEmptyRun(),
     random: createRandom(options.seed, 'chaos'),
     agent: new Agent({ connections: 64, headersTimeout: 40_000 }),
     faults: new Map(),
--- a/src/commands/bench-commands.ts
+++ b/src/commands/bench-commands.ts
@@ -4,9 +4,9 @@
 import type { Deployment } from '../bench/deployments.js';
 import { runExperiment } from '../bench/experiment.js';
 import { formatExperiment } from '../bench/experiment-report.js';
-import { runHistories, shrinkFaults } from '../histories/run-many.js';
+import { runHistories, shrinkFaults } from '../histories/run-histories.js';
 import { runConfigurationHistories } from '../histories/run-configuration-histories.js';
-import { playPowerLossDay } from '../histories/power-loss-day.js';
+import { runPowerLossScenario } from '../histories/power-loss-scenario.js';
 import { runTurnHistories } from '../histories/run-turn-histories.js';
 import { measureOverhead } from '../bench/overhead.js';
 import { measureScale } from '../bench/scale.js';
@@ -170,7 +170,7 @@
   };
   let hasViolations = false;
   for (let seed = seeds.first; seed <= seeds.last; seed += 1) {
-    const day = playPowerLossDay(seed, options);
+    const day = runPowerLossScenario(seed, options);
     hasViolations ||= day.violations.length > 0;
     writeLine(JSON.stringify(day));
   }
--- a/src/histories/checkers.ts
+++ b/src/histories/checkers.ts
@@ -6,12 +6,12 @@
 
 /** A promise that a run broke. */
 export interface Violation {
-  readonly condition: ConditionName;
+  readonly condition: InvariantName;
   readonly detail: string;
 }
 
 /** Names of the promises. */
-export type ConditionName =
+export type InvariantName =
   | 'order'
   | 'history'
   | 'budget'
@@ -27,11 +27,11 @@
 export type Checker = (run: RecordedRun) => string[];
 
 /** Time in which a leaving back end must have stopped receiving work, in milliseconds. */
-const LEAVING_MILLISECONDS = 5_000;
+const DRAIN_DEADLINE_MILLISECONDS = 5_000;
 /** Time in which an accepted change must be in force, in milliseconds. */
-const IN_FORCE_MILLISECONDS = 12_000;
+const APPLY_DEADLINE_MILLISECONDS = 12_000;
 
-function byProgram<Item extends { readonly program: string }>(
+function groupByProgram<Item extends { readonly program: string }>(
   items: readonly Item[],
 ): Map<string, Item[]> {
   const groups = new Map<string, Item[]>();
@@ -50,7 +50,7 @@
 export const checkOrder: Checker = (run) => {
   const sequences = new Map(run.calls.map((call) => [call.call, call.sequence]));
   const violations: string[] = [];
-  for (const [program, executions] of byProgram(run.executions)) {
+  for (const [program, executions] of groupByProgram(run.executions)) {
     let newest = 0;
     for (const execution of [...executions].sort((left, right) => left.at - right.at)) {
       const sequence = sequences.get(execution.call) ?? 0;
@@ -63,66 +63,69 @@
   return violations;
 };
 
-function answeredCall(calls: readonly RecordedCall[], sequence: number): RecordedCall | undefined {
+function findAnsweredCall(
+  calls: readonly RecordedCall[],
+  sequence: number,
+): RecordedCall | undefined {
   return calls.find((call) => call.sequence === sequence && call.result.type === 'answered');
 }
 
 /** True when a history continues at a place with these messages and an answer. */
 function continuesWith(
   history: readonly ChatMessage[],
-  place: number,
+  offset: number,
   messages: readonly ChatMessage[],
 ): boolean {
-  const here = history.slice(place, place + messages.length);
-  const same = here.every(
+  const actual = history.slice(offset, offset + messages.length);
+  const isSame = actual.every(
     (message, index) =>
       message.role === messages[index]?.role && message.content === messages[index]?.content,
   );
-  const answer = history[place + messages.length];
-  return same && here.length === messages.length && answer?.role === 'assistant';
+  const answer = history[offset + messages.length];
+  return isSame && actual.length === messages.length && answer?.role === 'assistant';
 }
 
-function checkOneHistory(recorded: RecordedHistory, calls: readonly RecordedCall[]): string[] {
+function checkProgramHistory(recorded: RecordedHistory, calls: readonly RecordedCall[]): string[] {
   const { program, history, historyDigest } = recorded;
   if (digestConversation(history) !== historyDigest) {
     return [`${program}: the digest does not match the history`];
   }
   const violations: string[] = [];
   const chats = calls.filter((call) => call.kind === 'chat');
-  const last = Math.max(0, ...chats.map((call) => call.sequence));
-  let place = 0;
-  for (let sequence = 1; sequence <= last; sequence += 1) {
-    const tries = chats.filter((call) => call.sequence === sequence);
-    const first = tries[0];
+  const lastSequence = Math.max(0, ...chats.map((call) => call.sequence));
+  let offset = 0;
+  for (let sequence = 1; sequence <= lastSequence; sequence += 1) {
+    const attempts = chats.filter((call) => call.sequence === sequence);
+    const first = attempts[0];
     if (first === undefined) {
       continue;
     }
-    const present = continuesWith(history, place, first.messages);
-    const answered = answeredCall(chats, sequence);
-    if (answered !== undefined && !present) {
+    const isPresent = continuesWith(history, offset, first.messages);
+    const answered = findAnsweredCall(chats, sequence);
+    if (answered !== undefined && !isPresent) {
       violations.push(`${program}: call ${sequence} was answered and is not in the history`);
     }
-    if (present) {
-      const answer = history[place + first.messages.length]?.content;
+    if (isPresent) {
+      const answer = history[offset + first.messages.length]?.content;
       const { result } = answered ?? first;
       if (result.type === 'answered' && result.text !== answer) {
         violations.push(`${program}: the history has another answer to call ${sequence}`);
       }
-      place += first.messages.length + 1;
+      offset += first.messages.length + 1;
     }
   }
-  if (place !== history.length) {
-    violations.push(`${program}: ${history.length - place} messages belong to no call of it`);
+  if (offset !== history.length) {
+    violations.push(`${program}: ${history.length - offset} messages belong to no call of it`);
   }
   return violations;
 }
 
 /** A program's history is never lost and never mixed with another's. */
 export const checkHistory: Checker = (run) => {
-  const calls = byProgram(run.calls);
-  const lost = run.unreadable.map((program) => `${program}: the history could not be read`);
+  const calls = groupByProgram(run.calls);
+  const lost = run.unreadablePrograms.map((program) => `${program}: the history could not be read`);
   const wrong = run.histories.flatMap((history) =>
-    checkOneHistory(history, calls.get(history.program) ?? []),
+    checkProgramHistory(history, calls.get(history.program) ?? []),
   );
   return [...lost, ...wrong];
 };
@@ -166,7 +169,7 @@
 /** A caller receives the whole answer to its own request. */
 export const checkAnswer: Checker = (run) => {
   const violations: string[] = [];
-  for (const [program, calls] of byProgram(run.calls)) {
+  for (const [program, calls] of groupByProgram(run.calls)) {
     const history = run.histories.find((recorded) => recorded.program === program)?.history;
     const chats = calls.filter((call) => call.kind === 'chat');
     for (const call of calls) {
@@ -195,35 +198,35 @@
   history: readonly ChatMessage[] | undefined,
 ): string | undefined {
   const first = call.messages[0];
-  const place = history?.findIndex((message) => message.content === first?.content) ?? -1;
-  if (history === undefined || place < 0 || chats.length === 0) {
+  const position = history?.findIndex((message) => message.content === first?.content) ?? -1;
+  if (history === undefined || position < 0 || chats.length === 0) {
     return undefined;
   }
-  const conversation = history.slice(0, place + call.messages.length);
+  const conversation = history.slice(0, position + call.messages.length);
   return expectedAnswer(conversation, call.maximumTokens);
 }
 
 /** What is reported as "not run" did not run. */
 export const checkNotRun: Checker = (run) => {
-  const ran = new Set(run.executions.map((execution) => execution.call));
+  const executedCalls = new Set(run.executions.map((execution) => execution.call));
   return run.calls
     .filter((call) => call.result.type === 'failed' && call.result.error.verdict === 'NotRun')
-    .filter((call) => ran.has(call.call))
+    .filter((call) => executedCalls.has(call.call))
     .map((call) => `${call.program}: call ${call.sequence} was reported as not run, yet it ran`);
 };
 
 /** A request marked as not repeatable runs at most once. */
 export const checkAtMostOnce: Checker = (run) => {
   const calls = new Map(run.calls.map((call) => [call.call, call]));
-  const runs = new Map<string, number>();
+  const executionCounts = new Map<string, number>();
   for (const execution of run.executions) {
     const call = calls.get(execution.call);
     if (call !== undefined && !call.repeatable) {
       const key = `${call.program}:${call.sequence}`;
-      runs.set(key, (runs.get(key) ?? 0) + 1);
+      executionCounts.set(key, (executionCounts.get(key) ?? 0) + 1);
     }
   }
-  return [...runs]
+  return [...executionCounts]
     .filter(([, count]) => count > 1)
     .map(([key, count]) => `${key} is not repeatable and ran ${count} times`);
 };
@@ -237,7 +240,7 @@
     const resumed = run.changes.find(
       (other) => other.resumes === change.drains && other.revision > change.revision,
     );
-    const from = change.at + LEAVING_MILLISECONDS;
+    const from = change.at + DRAIN_DEADLINE_MILLISECONDS;
     const until = resumed?.issuedAt ?? Infinity;
     return run.executions
       .filter((execution) => execution.engine === change.drains)
@@ -270,26 +273,26 @@
       }
     });
     if (run.livingNodes.includes(node)) {
-      violations.push(...lateChanges(run, node));
+      violations.push(...findLateChanges(run, node));
     }
   }
   return violations;
 };
 
-function lateChanges(run: RecordedRun, node: string): string[] {
-  const calmFrom = Math.max(0, ...run.disturbances.map((disturbance) => disturbance.until));
+function findLateChanges(run: RecordedRun, node: string): string[] {
+  const faultsEndedAt = Math.max(0, ...run.faultIntervals.map((interval) => interval.until));
   return run.changes.flatMap((change) => {
-    const due = Math.max(change.at, calmFrom) + IN_FORCE_MILLISECONDS;
+    const deadline = Math.max(change.at, faultsEndedAt) + APPLY_DEADLINE_MILLISECONDS;
     const inForce = run.revisions.find(
       (revision) => revision.node === node && revision.revision >= change.revision,
     );
-    const late = due < run.endedAt && (inForce === undefined || inForce.at > due);
-    return late ? [`${node} had revision ${change.revision} not in force in time`] : [];
+    const isLate = deadline < run.endedAt && (inForce === undefined || inForce.at > deadline);
+    return isLate ? [`${node} had revision ${change.revision} not in force in time`] : [];
   });
 }
 
 /** Every promise with its checker. */
-export const CHECKERS: Readonly<Record<ConditionName, Checker>> = {
+export const CHECKERS: Readonly<Record<InvariantName, Checker>> = {
   order: checkOrder,
   history: checkHistory,
   budget: checkBudget,
@@ -305,6 +308,6 @@
 /** Checks every promise. */
 export function checkRun(run: RecordedRun): Violation[] {
   return Object.entries(CHECKERS).flatMap(([condition, check]) =>
-    check(run).map((detail) => ({ condition: condition as ConditionName, detail })),
+    check(run).map((detail) => ({ condition: condition as InvariantName, detail })),
   );
 }
--- a/src/histories/configuration-history.ts
+++ b/src/histories/configuration-history.ts
@@ -13,16 +13,16 @@
 import { endOfPlan, planConfigurationHistory } from './configuration-plan.js';
 import type {
   ConfigurationPlan,
-  ConfigurationTroubleKind,
+  ConfigurationFaultKind,
   PlannedChange,
 } from './configuration-plan.js';
 import { CONFIGURATION_KEY, HistoryGateway, RUNNER_PREFIX } from './history-gateway.js';
 import type { HistoryLinks } from './history-gateway.js';
 import { HistoryStore } from './history-store.js';
-import { HistoryTroubles } from './history-troubles.js';
+import { ConfigurationFaultInjector } from './configuration-fault-injector.js';
 
 /** Faults planted to show that the checks find them. */
-export type PlantedConfigurationFault =
+export type InjectedConfigurationFault =
   /** An open watch is believed: nobody reads proofs. */
   | 'watchBelieved'
   /** Short reads answer from the past. */
@@ -36,7 +36,7 @@
 export interface ConfigurationHistoryOptions {
   readonly gateways: number;
   readonly plan?: ConfigurationPlan;
-  readonly planted?: PlantedConfigurationFault;
+  readonly injectedFault?: InjectedConfigurationFault;
   readonly log?: LogFunction;
 }
 
@@ -44,7 +44,7 @@
 export interface ConfigurationHistoryResult {
   readonly seed: number;
   readonly violations: readonly string[];
-  readonly troubles: readonly ConfigurationTroubleKind[];
+  readonly faults: readonly ConfigurationFaultKind[];
   readonly changes: number;
   /** Looks at gateways that were in touch. */
   readonly looks: number;
@@ -52,17 +52,17 @@
 }
 
 /** Time within which a change must be in force, and after a trouble in which nothing is owed, in milliseconds. */
-const APPLY_MILLISECONDS = 2_000;
-const CONTACT_MILLISECONDS = 3_000;
-const LOOK_MILLISECONDS = 50;
-const LINK_MILLISECONDS = 1.4;
-const ZONES = 3;
-const SEEDS = 3;
-const FETCH_LOST_MILLISECONDS = 600;
-const FIRST_PATIENCE_MILLISECONDS = 2_500;
-const MOST_VIOLATIONS = 5;
+const APPLY_DEADLINE_MILLISECONDS = 2_000;
+const RECOVERY_GRACE_MILLISECONDS = 3_000;
+const CHECK_INTERVAL_MILLISECONDS = 50;
+const LINK_DELAY_MILLISECONDS = 1.4;
+const ZONE_COUNT = 3;
+const SEED_HOST_COUNT = 3;
+const FETCH_TIMEOUT_MILLISECONDS = 600;
+const MINIMUM_START_DELAY_MILLISECONDS = 2_500;
+const MAXIMUM_VIOLATIONS = 5;
 /** Age that lists reach where short reads answer from the past, in milliseconds. */
-const PAST_MILLISECONDS = 4_000;
+const MAXIMUM_STALE_LIST_AGE_MILLISECONDS = 4_000;
 /** Times that ignore the bound. */
 const SLOW_TIMINGS: FreshnessTimings = {
   proofIntervalMilliseconds: 4_000,
@@ -71,7 +71,7 @@
 };
 
 /** A change that the store acknowledged. */
-interface Acknowledged {
+interface AcknowledgedChange {
   readonly at: number;
   /** Version of the configuration, or the key of a runner. */
   readonly version: number | undefined;
@@ -85,18 +85,18 @@
   private readonly random: RandomSource;
   private readonly store: HistoryStore;
   private readonly gateways: HistoryGateway[] = [];
-  private readonly byHost = new Map<string, HistoryGateway>();
+  private readonly gatewaysByHost = new Map<string, HistoryGateway>();
   /** Local time until which a gateway is out of touch, by host. */
-  private readonly outOfTouchUntil = new Map<string, number>();
-  private readonly acknowledged: Acknowledged[] = [];
+  private readonly exemptUntil = new Map<string, number>();
+  private readonly acknowledged: AcknowledgedChange[] = [];
   private readonly violations: string[] = [];
   private readonly plan: ConfigurationPlan;
-  private readonly troubles: HistoryTroubles;
+  private readonly faultInjector: ConfigurationFaultInjector;
   /** Changes that wait for the store to take writes again. */
-  private waiting: PlannedChange[] = [];
+  private pendingChanges: PlannedChange[] = [];
   private version = 0;
   private runnerCount = 0;
-  private looks = 0;
+  private checkCount = 0;
 
   constructor(
     private readonly seed: number,
@@ -105,54 +105,59 @@
     this.random = createRandom(seed, 'configuration history');
     this.store = new HistoryStore(this.clock);
     this.plan = options.plan ?? planConfigurationHistory(seed);
-    this.troubles = new HistoryTroubles({
+    this.faultInjector = new ConfigurationFaultInjector({
       clock: this.clock,
       store: this.store,
       gateways: this.gateways,
       random: this.random,
-      excuse: (gateway, milliseconds) => this.excuse(gateway, milliseconds),
-      change: (change) => this.change(change),
-      onStoreOpen: () => this.waiting.splice(0).forEach((change) => this.write(change)),
+      exempt: (gateway, milliseconds) => this.exempt(gateway, milliseconds),
+      applyChange: (change) => this.applyOrQueue(change),
+      onStoreWritable: () => this.pendingChanges.splice(0).forEach((change) => this.write(change)),
     });
   }
 
   run(): ConfigurationHistoryResult {
     this.write({ at: 0, what: 'configuration' });
     this.write({ at: 0, what: 'runnerComes' });
-    this.startAll();
-    if (this.options.planted === 'oldReads') {
-      this.keepListsOld();
+    this.startGateways();
+    if (this.options.injectedFault === 'oldReads') {
+      this.refreshStaleLists();
     }
-    const { changes, troubles } = this.plan;
-    changes.forEach((change) => this.clock.schedule(change.at, () => this.change(change)));
-    troubles.forEach((trouble) =>
-      this.clock.schedule(trouble.at, () => this.troubles.strike(trouble)),
+    const { changes, faults } = this.plan;
+    changes.forEach((change) => this.clock.schedule(change.at, () => this.applyOrQueue(change)));
+    faults.forEach((fault) =>
+      this.clock.schedule(fault.at, () => this.faultInjector.inject(fault)),
     );
     const end = endOfPlan(this.plan);
-    this.lookUntil(end);
+    this.checkUntil(end);
     this.clock.runUntil(end);
     const regressions = this.gateways.flatMap((gateway) => gateway.regressions);
-    const storeCalls = this.gateways.reduce((sum, { path }) => sum + path.callCount, 0);
+    const storeCalls = this.gateways.reduce(
+      (sum, { storeClient }) => sum + storeClient.callCount,
+      0,
+    );
     return {
       seed: this.seed,
-      violations: [...this.violations, ...regressions].slice(0, MOST_VIOLATIONS),
-      troubles: troubles.map(({ kind }) => kind),
+      violations: [...this.violations, ...regressions].slice(0, MAXIMUM_VIOLATIONS),
+      faults: faults.map(({ kind }) => kind),
       changes: this.acknowledged.length,
-      looks: this.looks,
+      looks: this.checkCount,
       storeCalls,
     };
   }
 
-  private startAll(): void {
-    const seeds = Array.from({ length: SEEDS }, (_, index) => `10.0.0.${index}`);
-    const isIgnored = this.options.planted === 'boundIgnored';
-    const timings = isIgnored ? SLOW_TIMINGS : freshnessTimingsFor(APPLY_MILLISECONDS);
+  private startGateways(): void {
+    const seeds = Array.from({ length: SEED_HOST_COUNT }, (_, index) => `10.0.0.${index}`);
+    const isBoundIgnored = this.options.injectedFault === 'boundIgnored';
+    const timings = isBoundIgnored
+      ? SLOW_TIMINGS
+      : freshnessTimingsFor(APPLY_DEADLINE_MILLISECONDS);
     for (let index = 0; index < this.options.gateways; index += 1) {
       const host = `10.0.0.${index}`;
       const { log } = this.options;
       const gateway = new HistoryGateway({
         host,
-        zone: `z${index % ZONES}`,
+        zone: `z${index % ZONE_COUNT}`,
         seeds,
         clock: this.clock,
         random: createRandom(this.seed, host),
@@ -161,48 +166,51 @@
         timings,
         ...(log === undefined ? {} : { log }),
       });
-      gateway.believesWatches = this.options.planted === 'watchBelieved';
-      gateway.path.readsOld = this.options.planted === 'oldReads';
+      gateway.skipsProofs = this.options.injectedFault === 'watchBelieved';
+      gateway.storeClient.readsStale = this.options.injectedFault === 'oldReads';
       this.gateways.push(gateway);
-      this.byHost.set(host, gateway);
-      const patience = FIRST_PATIENCE_MILLISECONDS * (1 + this.random.uniform());
-      gateway.start(index < SEEDS ? 0 : patience);
-      this.excuse(gateway, 2 * FIRST_PATIENCE_MILLISECONDS);
+      this.gatewaysByHost.set(host, gateway);
+      const startDelayMilliseconds = MINIMUM_START_DELAY_MILLISECONDS * (1 + this.random.uniform());
+      gateway.start(index < SEED_HOST_COUNT ? 0 : startDelayMilliseconds);
+      this.exempt(gateway, 2 * MINIMUM_START_DELAY_MILLISECONDS);
     }
   }
 
-  private keepListsOld(): void {
-    this.store.freezeOldLists();
-    this.later(PAST_MILLISECONDS, () => this.keepListsOld());
+  private refreshStaleLists(): void {
+    this.store.freezeStaleLists();
+    this.later(MAXIMUM_STALE_LIST_AGE_MILLISECONDS, () => this.refreshStaleLists());
   }
 
   private links(): HistoryLinks {
     const isCut = (from: string, to: string): boolean =>
-      this.troubles.cutHosts.has(from) || this.troubles.cutHosts.has(to);
+      this.faultInjector.isolatedHosts.has(from) || this.faultInjector.isolatedHosts.has(to);
     return {
       sendDatagram: (bytes, from, to) => {
-        if (!isCut(from, to) && this.random.uniform() >= this.troubles.loss) {
-          this.clock.schedule(LINK_MILLISECONDS, () => this.byHost.get(to)?.receive(bytes, from));
+        if (!isCut(from, to) && this.random.uniform() >= this.faultInjector.lossProbability) {
+          this.clock.schedule(LINK_DELAY_MILLISECONDS, () =>
+            this.gatewaysByHost.get(to)?.receive(bytes, from),
+          );
         }
       },
       fetchChanges: (from, of, revision, done) => {
-        this.clock.schedule(LINK_MILLISECONDS, () => {
-          const gateway = this.byHost.get(of);
+        this.clock.schedule(LINK_DELAY_MILLISECONDS, () => {
+          const gateway = this.gatewaysByHost.get(of);
           const changes: KeySpaceChanges | undefined = isCut(from, of)
             ? undefined
             : gateway?.changesSince(revision);
-          const pause = changes === undefined ? FETCH_LOST_MILLISECONDS : LINK_MILLISECONDS;
+          const pause =
+            changes === undefined ? FETCH_TIMEOUT_MILLISECONDS : LINK_DELAY_MILLISECONDS;
           this.clock.schedule(pause, () => done(changes));
         });
       },
     };
   }
 
-  private change(change: PlannedChange): void {
-    if (this.troubles.storeTakesWrites) {
+  private applyOrQueue(change: PlannedChange): void {
+    if (this.faultInjector.storeAcceptsWrites) {
       this.write(change);
     } else {
-      this.waiting.push(change);
+      this.pendingChanges.push(change);
     }
   }
 
@@ -212,7 +220,7 @@
       this.version += 1;
       this.store.put(CONFIGURATION_KEY, String(this.version));
       this.acknowledged.push({ at, version: this.version, runner: undefined, listed: true });
-      this.goBackIfPlanted();
+      this.injectRevert();
       return;
     }
     const listed = [...this.store.items.keys()].filter((key) => key.startsWith(RUNNER_PREFIX));
@@ -228,66 +236,70 @@
     }
   }
 
-  private goBackIfPlanted(): void {
-    if (this.options.planted === 'goesBack' && this.version % 5 === 0) {
+  private injectRevert(): void {
+    if (this.options.injectedFault === 'goesBack' && this.version % 5 === 0) {
       this.version -= 1;
       this.store.put(CONFIGURATION_KEY, String(this.version));
     }
   }
 
   /** Notes that a gateway owes nothing for some milliseconds and the time of contact after them. */
-  private excuse({ host }: HistoryGateway, milliseconds: number): void {
-    const until = this.clock.now + milliseconds + CONTACT_MILLISECONDS;
-    this.outOfTouchUntil.set(host, Math.max(until, this.outOfTouchUntil.get(host) ?? 0));
+  private exempt({ host }: HistoryGateway, milliseconds: number): void {
+    const until = this.clock.now + milliseconds + RECOVERY_GRACE_MILLISECONDS;
+    this.exemptUntil.set(host, Math.max(until, this.exemptUntil.get(host) ?? 0));
   }
 
   private later(milliseconds: number, action: () => void): void {
     this.clock.schedule(milliseconds, action);
   }
 
-  private lookUntil(end: number): void {
-    this.later(LOOK_MILLISECONDS, () => {
-      this.look();
+  private checkUntil(end: number): void {
+    this.later(CHECK_INTERVAL_MILLISECONDS, () => {
+      this.checkGateways();
       if (this.clock.now < end) {
-        this.lookUntil(end);
+        this.checkUntil(end);
       }
     });
   }
 
-  private look(): void {
+  private checkGateways(): void {
     const { now } = this.clock;
-    const owed = this.acknowledged.filter(({ at }) => at <= now - APPLY_MILLISECONDS);
-    const version = Math.max(0, ...owed.map((change) => change.version ?? 0));
+    const dueChanges = this.acknowledged.filter(
+      ({ at }) => at <= now - APPLY_DEADLINE_MILLISECONDS,
+    );
+    const version = Math.max(0, ...dueChanges.map((change) => change.version ?? 0));
     for (const gateway of this.gateways) {
-      if (now < (this.outOfTouchUntil.get(gateway.host) ?? 0) || !gateway.process.isAlive) {
+      if (now < (this.exemptUntil.get(gateway.host) ?? 0) || !gateway.process.isAlive) {
         continue;
       }
-      this.looks += 1;
+      this.checkCount += 1;
       if (gateway.version < version) {
-        this.violate(`${gateway.host} holds ${gateway.version} at ${now} ms, ${version} is owed`);
+        this.recordViolation(
+          `${gateway.host} holds ${gateway.version} at ${now} ms, ${version} is owed`,
+        );
       }
-      this.lookAtRunners(gateway, owed);
+      this.checkRunners(gateway, dueChanges);
     }
   }
 
-  private lookAtRunners(gateway: HistoryGateway, owed: readonly Acknowledged[]): void {
+  private checkRunners(gateway: HistoryGateway, dueChanges: readonly AcknowledgedChange[]): void {
     const { now } = this.clock;
     const { runners } = gateway;
-    for (const { runner, listed } of owed) {
+    for (const { runner, listed } of dueChanges) {
       if (runner === undefined) {
         continue;
       }
       if (!listed && runners.has(runner)) {
-        this.violate(`${gateway.host} still lists ${runner} at ${now} ms`);
+        this.recordViolation(`${gateway.host} still lists ${runner} at ${now} ms`);
       }
       if (listed && !runners.has(runner) && this.store.items.has(runner)) {
-        this.violate(`${gateway.host} does not list ${runner} at ${now} ms`);
+        this.recordViolation(`${gateway.host} does not list ${runner} at ${now} ms`);
       }
     }
   }
 
-  private violate(detail: string): void {
-    if (this.violations.length < MOST_VIOLATIONS) {
+  private recordViolation(detail: string): void {
+    if (this.violations.length < MAXIMUM_VIOLATIONS) {
       this.violations.push(detail);
     }
   }
--- a/src/histories/configuration-plan.ts
+++ b/src/histories/configuration-plan.ts
@@ -3,7 +3,7 @@
 import type { RandomSource } from '../runtime/random.js';
 
 /** Kinds of troubles. */
-export const CONFIGURATION_TROUBLES = [
+export const CONFIGURATION_FAULT_KINDS = [
   'storeSilent',
   'storeRefuses',
   'storeSlow',
@@ -20,11 +20,11 @@
 ] as const;
 
 /** One of these. */
-export type ConfigurationTroubleKind = (typeof CONFIGURATION_TROUBLES)[number];
+export type ConfigurationFaultKind = (typeof CONFIGURATION_FAULT_KINDS)[number];
 
 /** A trouble; times in milliseconds. */
-export interface ConfigurationTrouble {
-  readonly kind: ConfigurationTroubleKind;
+export interface ConfigurationFault {
+  readonly kind: ConfigurationFaultKind;
   readonly at: number;
   readonly lasts: number;
   /** Part of the gateways that it strikes, 0 to 1. */
@@ -40,25 +40,25 @@
 /** All that happens in a history. */
 export interface ConfigurationPlan {
   readonly changes: readonly PlannedChange[];
-  readonly troubles: readonly ConfigurationTrouble[];
+  readonly faults: readonly ConfigurationFault[];
 }
 
 /** Time at which the first trouble may come, in milliseconds: all gateways have started by then. */
-export const FIRST_TROUBLE_MILLISECONDS = 8_000;
+export const FIRST_FAULT_MILLISECONDS = 8_000;
 /** Time within which troubles begin, in milliseconds. */
-const TROUBLED_MILLISECONDS = 16_000;
-const MOST_TROUBLES = 4;
-const LONGEST_TROUBLE_MILLISECONDS = 9_000;
-const LONGEST_GAP_MILLISECONDS = 1_500;
+const FAULT_PERIOD_MILLISECONDS = 16_000;
+const MAXIMUM_FAULTS = 4;
+const MAXIMUM_FAULT_MILLISECONDS = 9_000;
+const MAXIMUM_CHANGE_GAP_MILLISECONDS = 1_500;
 /** Time after the last trouble in which changes go on, in milliseconds. */
-const CALM_MILLISECONDS = 7_000;
+const RECOVERY_MILLISECONDS = 7_000;
 
-function drawTroubles(random: RandomSource): ConfigurationTrouble[] {
-  const count = random.integer(1, MOST_TROUBLES);
+function drawFaults(random: RandomSource): ConfigurationFault[] {
+  const count = random.integer(1, MAXIMUM_FAULTS);
   return Array.from({ length: count }, () => ({
-    kind: random.pick(CONFIGURATION_TROUBLES),
-    at: FIRST_TROUBLE_MILLISECONDS + TROUBLED_MILLISECONDS * random.uniform(),
-    lasts: 300 + LONGEST_TROUBLE_MILLISECONDS * random.uniform(),
+    kind: random.pick(CONFIGURATION_FAULT_KINDS),
+    at: FIRST_FAULT_MILLISECONDS + FAULT_PERIOD_MILLISECONDS * random.uniform(),
+    lasts: 300 + MAXIMUM_FAULT_MILLISECONDS * random.uniform(),
     share: 0.05 + 0.55 * random.uniform(),
   }));
 }
@@ -69,7 +69,7 @@
   while (at < until) {
     const what = random.pick(['configuration', 'configuration', 'runnerComes', 'runnerLeaves']);
     changes.push({ at, what } as PlannedChange);
-    at += 50 + LONGEST_GAP_MILLISECONDS * random.uniform();
+    at += 50 + MAXIMUM_CHANGE_GAP_MILLISECONDS * random.uniform();
   }
   return changes;
 }
@@ -77,14 +77,14 @@
 /** The plan of a seed. */
 export function planConfigurationHistory(seed: number): ConfigurationPlan {
   const random = createRandom(seed, 'configuration plan');
-  const troubles = drawTroubles(random);
-  const ends = troubles.map(({ at, lasts }) => at + lasts);
-  const until = Math.max(FIRST_TROUBLE_MILLISECONDS, ...ends) + CALM_MILLISECONDS;
-  return { changes: drawChanges(random, until), troubles };
+  const faults = drawFaults(random);
+  const ends = faults.map(({ at, lasts }) => at + lasts);
+  const until = Math.max(FIRST_FAULT_MILLISECONDS, ...ends) + RECOVERY_MILLISECONDS;
+  return { changes: drawChanges(random, until), faults };
 }
 
 /** Time at which a plan is over, in milliseconds. */
 export function endOfPlan({ changes }: ConfigurationPlan): number {
   const last = changes.at(-1)?.at ?? 0;
-  return last + CALM_MILLISECONDS / 2;
+  return last + RECOVERY_MILLISECONDS / 2;
 }
--- a/src/histories/fault-injector.ts
+++ b/src/histories/fault-injector.ts
@@ -6,17 +6,17 @@
 import type { FaultKind, PlannedFault } from './fault-plan.js';
 import type { RecordedRun } from './recorded-events.js';
 
-const LOSS = 0.15;
+const MESSAGE_LOSS_PROBABILITY = 0.15;
 const EXTRA_DELAY_MILLISECONDS = 400;
 const CLOCK_JUMP_MILLISECONDS = 3_600_000;
-const MOST_TORN_ENTRIES = 6;
+const MAXIMUM_TORN_ENTRIES = 6;
 const OPERATOR = { name: 'operator', mayChange: true };
 
 /** See the head of this file. */
 export class FaultInjector {
   /** How often each kind struck. */
-  readonly struck = new Map<FaultKind, number>();
-  private changes = 0;
+  readonly faultCounts = new Map<FaultKind, number>();
+  private commandCount = 0;
   private tornNode: NodeId = '';
 
   constructor(
@@ -28,7 +28,7 @@
   /** Schedules faults; times count from now. */
   schedule(faults: readonly PlannedFault[]): void {
     for (const fault of faults) {
-      this.cluster.clock.schedule(fault.at, () => this.strike(fault));
+      this.cluster.clock.schedule(fault.at, () => this.inject(fault));
     }
   }
 
@@ -46,11 +46,11 @@
     }
   }
 
-  private strike(fault: PlannedFault): void {
-    this.struck.set(fault.kind, (this.struck.get(fault.kind) ?? 0) + 1);
+  private inject(fault: PlannedFault): void {
+    this.faultCounts.set(fault.kind, (this.faultCounts.get(fault.kind) ?? 0) + 1);
     const { now } = this.cluster.clock;
-    this.run.disturbances.push({ from: now, until: now + fault.lastsMilliseconds });
-    const heal = this.begin(fault);
+    this.run.faultIntervals.push({ from: now, until: now + fault.lastsMilliseconds });
+    const heal = this.startFault(fault);
     this.cluster.clock.schedule(fault.lastsMilliseconds, heal);
   }
 
@@ -63,7 +63,7 @@
     return this.engines[number % this.engines.length]!;
   }
 
-  private begin(fault: PlannedFault): () => void {
+  private startFault(fault: PlannedFault): () => void {
     const { cluster } = this;
     const node = this.nodeOf(fault.target);
     const engine = this.engineOf(fault.other);
@@ -73,7 +73,7 @@
         return () => cluster.startNode(node);
       case 'tornTail':
         this.kill(node);
-        this.tear(node, 1 + (fault.other % MOST_TORN_ENTRIES));
+        this.tearDisk(node, 1 + (fault.other % MAXIMUM_TORN_ENTRIES));
         return () => cluster.startNode(node);
       case 'processPause':
         cluster.processOf(node).pause();
@@ -94,19 +94,19 @@
         return () => undefined;
       }
       case 'plannedStop':
-        return this.stopAsPlanned(node);
+        return this.stopGracefully(node);
       case 'toolHang':
         return this.hangTools();
       default:
-        return this.beginServiceFault(fault, engine);
+        return this.startServiceFault(fault, engine);
     }
   }
 
-  private beginServiceFault(fault: PlannedFault, engine: EngineId): () => void {
+  private startServiceFault(fault: PlannedFault, engine: EngineId): () => void {
     const { network, keyValue } = this.cluster;
     switch (fault.kind) {
       case 'messageLoss':
-        network.loss = LOSS;
+        network.loss = MESSAGE_LOSS_PROBABILITY;
         return () => (network.loss = 0);
       case 'messageDelay':
         network.extraDelay = EXTRA_DELAY_MILLISECONDS;
@@ -116,14 +116,14 @@
         return () => (keyValue.isDown = false);
       case 'keyValueAnswerLoss':
         keyValue.answerLoss = 0.6;
-        this.change(`set group brandvold share ${1 + (fault.other % 5)}`, fault.target, {});
+        this.runCommand(`set group brandvold share ${1 + (fault.other % 5)}`, fault.target, {});
         return () => (keyValue.answerLoss = 0);
       case 'leavingBackEnd':
-        this.change(`drain engine ${engine}`, fault.target, { drains: engine });
-        return () => this.change(`resume engine ${engine}`, fault.target, { resumes: engine });
+        this.runCommand(`drain engine ${engine}`, fault.target, { drains: engine });
+        return () => this.runCommand(`resume engine ${engine}`, fault.target, { resumes: engine });
       default:
-        this.change(`set group brandvold share ${2 + (fault.other % 5)}`, fault.target, {});
-        this.change(`set group brandvold share ${7 + (fault.other % 5)}`, fault.target + 1, {});
+        this.runCommand(`set group brandvold share ${2 + (fault.other % 5)}`, fault.target, {});
+        this.runCommand(`set group brandvold share ${7 + (fault.other % 5)}`, fault.target + 1, {});
         return () => undefined;
     }
   }
@@ -136,7 +136,7 @@
   }
 
   /** One disk a run: three replicas stand the loss of one. */
-  private tear(node: NodeId, entries: number): void {
+  private tearDisk(node: NodeId, entries: number): void {
     if (this.tornNode === '') {
       this.tornNode = node;
       this.cluster.tearDisk(node, entries);
@@ -159,7 +159,7 @@
     return () => set(false);
   }
 
-  private stopAsPlanned(node: NodeId): () => void {
+  private stopGracefully(node: NodeId): () => void {
     const { cluster, run } = this;
     if (cluster.node(node) === undefined) {
       return () => undefined;
@@ -174,7 +174,7 @@
   }
 
   /** An operator runs a command on a node; an accepted one is recorded with its revision. */
-  private change(
+  private runCommand(
     statement: string,
     target: number,
     marks: { readonly drains?: string; readonly resumes?: string },
@@ -183,9 +183,9 @@
     if (node === undefined || this.cluster.processOf(this.nodeOf(target)).isPaused) {
       return;
     }
-    this.changes += 1;
+    this.commandCount += 1;
     const issuedAt = this.cluster.clock.now;
-    runStatement(node, statement, OPERATOR, `change-${this.changes}`, (result) => {
+    runStatement(node, statement, OPERATOR, `change-${this.commandCount}`, (result) => {
       if (E.isLeft(result) || result.right.revision === undefined) {
         return;
       }
--- a/src/histories/fault-plan.ts
+++ b/src/histories/fault-plan.ts
@@ -51,16 +51,16 @@
   readonly other: number;
 }
 
-const SHORTEST_FAULT_MILLISECONDS = 200;
-const LONGEST_FAULT_MILLISECONDS = 8_000;
+const MINIMUM_FAULT_MILLISECONDS = 200;
+const MAXIMUM_FAULT_MILLISECONDS = 8_000;
 /** Chance that a second fault strikes together with the first. */
-const DOUBLE_CHANCE = 0.35;
+const CONCURRENT_FAULT_PROBABILITY = 0.35;
 
 function planFault(random: RandomSource, at: number): PlannedFault {
   return {
     kind: random.pick(FAULT_KINDS),
     at,
-    lastsMilliseconds: random.integer(SHORTEST_FAULT_MILLISECONDS, LONGEST_FAULT_MILLISECONDS),
+    lastsMilliseconds: random.integer(MINIMUM_FAULT_MILLISECONDS, MAXIMUM_FAULT_MILLISECONDS),
     target: random.integer(0, 1_000),
     other: random.integer(0, 1_000),
   };
@@ -73,7 +73,7 @@
   for (let index = 0; index < count; index += 1) {
     const at = Math.round(random.uniform() * milliseconds);
     faults.push(planFault(random, at));
-    if (random.uniform() < DOUBLE_CHANCE) {
+    if (random.uniform() < CONCURRENT_FAULT_PROBABILITY) {
       faults.push(planFault(random, at + random.integer(0, 300)));
     }
   }
--- a/src/histories/history-caller.ts
+++ b/src/histories/history-caller.ts
@@ -26,20 +26,20 @@
 export interface HistoryCallerOptions {
   readonly cluster: SimulatedCluster;
   readonly run: RecordedRun;
-  readonly end: NetworkEndpoint;
+  readonly endpoint: NetworkEndpoint;
   readonly runtime: Runtime;
   readonly plan: PlannedProgram;
-  readonly done: () => void;
+  readonly onDone: () => void;
 }
 
 const TIMEOUT_MILLISECONDS = 15_000;
-const MAXIMUM_TRIES = 12;
-const RETRY_MILLISECONDS = 400;
+const MAXIMUM_ATTEMPTS = 12;
+const RETRY_DELAY_MILLISECONDS = 400;
 const MAXIMUM_ANSWER_TOKENS = 48;
 
 /** See the head of this file. */
 export class HistoryCaller {
-  private made = 0;
+  private sentCount = 0;
 
   constructor(private readonly options: HistoryCallerOptions) {}
 
@@ -48,53 +48,53 @@
     this.runCall(0, 1);
   }
 
-  private runCall(index: number, tries: number): void {
-    const { plan, runtime, done } = this.options;
+  private runCall(index: number, attempt: number): void {
+    const { plan, runtime, onDone } = this.options;
     const planned = plan.calls[index];
     if (planned === undefined) {
       this.endProgram();
-      done();
+      onDone();
       return;
     }
-    const pause = tries === 1 ? planned.pauseMilliseconds : RETRY_MILLISECONDS;
+    const pause = attempt === 1 ? planned.pauseMilliseconds : RETRY_DELAY_MILLISECONDS;
     runtime.setTimer(pause, () => {
-      this.send(planned, index + 1, (call) => this.afterCall(index, tries, call));
+      this.send(planned, index + 1, (call) => this.afterCall(index, attempt, call));
     });
   }
 
-  private afterCall(index: number, tries: number, call: RecordedCall): void {
+  private afterCall(index: number, attempt: number, call: RecordedCall): void {
     const { result } = call;
-    const { done } = this.options;
+    const { onDone } = this.options;
     if (result.type === 'answered') {
       this.runCall(index + 1, 1);
       return;
     }
-    const final =
+    const isFinal =
       result.type === 'failed' &&
       ['BudgetSpent', 'Stopped', 'Forbidden'].includes(result.error.tag);
-    if (final || tries >= MAXIMUM_TRIES) {
-      done();
+    if (isFinal || attempt >= MAXIMUM_ATTEMPTS) {
+      onDone();
       return;
     }
     // The sequence makes a repeat safe, whatever became of the try before.
-    const recorded = result.type === 'failed' && result.error.verdict !== 'NotRun';
-    if (recorded && !call.repeatable && tries > 3) {
+    const mayHaveRun = result.type === 'failed' && result.error.verdict !== 'NotRun';
+    if (mayHaveRun && !call.repeatable && attempt > 3) {
       this.runCall(index + 1, 1);
       return;
     }
-    this.runCall(index, tries + 1);
+    this.runCall(index, attempt + 1);
   }
 
   private send(planned: PlannedCall, sequence: number, done: (call: RecordedCall) => void): void {
-    const { cluster, run, end, runtime } = this.options;
+    const { cluster, run, endpoint, runtime } = this.options;
     const node = runtime.random.pick(cluster.nodeNames);
-    this.made += 1;
-    const request = this.requestOf(planned, sequence);
+    this.sentCount += 1;
+    const request = this.createRequest(planned, sequence);
     const call = createRecord(request, planned, node, cluster.clock.now);
     run.calls.push(call);
     const target = cluster.endpointOf(node);
-    const asking: ConnectionOrder = { lastArrival: 0 };
-    const answering: ConnectionOrder = { lastArrival: 0 };
+    const requestOrder: ConnectionOrder = { lastArrival: 0 };
+    const responseOrder: ConnectionOrder = { lastArrival: 0 };
     const settle = (result: RecordedCall['result']): void => {
       if (call.result.type === 'pending') {
         call.result = result;
@@ -102,32 +102,32 @@
         done(call);
       }
     };
-    const broken = (): void => settle({ type: 'broken' });
-    runtime.setTimer(2 * TIMEOUT_MILLISECONDS, broken);
+    const settleBroken = (): void => settle({ type: 'broken' });
+    runtime.setTimer(2 * TIMEOUT_MILLISECONDS, settleBroken);
     cluster.network.deliverInOrder(
-      asking,
-      end,
+      requestOrder,
+      endpoint,
       target,
       () => {
-        this.watchConnection(node, call, answering, broken);
+        this.watchConnection(node, call, responseOrder, settleBroken);
         // A leaving node has closed its listening socket after a while.
         if (cluster.node(node)?.acceptsConnections === false) {
-          settle({ type: 'failed', error: refusedConnection() });
+          settle({ type: 'failed', error: connectionRefusedError() });
           return;
         }
         const gateway = cluster.node(node)?.gateway;
-        const relay = (event: CallEvent): void =>
+        const forwardEvent = (event: CallEvent): void =>
           cluster.network.deliverInOrder(
-            answering,
+            responseOrder,
             target,
-            end,
+            endpoint,
             () => this.receive(call, event, settle),
-            broken,
+            settleBroken,
           );
-        gateway?.submit(request, planned.streaming, relay);
+        gateway?.submit(request, planned.streaming, forwardEvent);
       },
       // Nothing was sent: the connection was refused.
-      () => settle({ type: 'failed', error: refusedConnection() }),
+      () => settle({ type: 'failed', error: connectionRefusedError() }),
     );
   }
 
@@ -135,24 +135,24 @@
   private watchConnection(
     node: string,
     call: RecordedCall,
-    answering: ConnectionOrder,
-    broken: () => void,
+    responseOrder: ConnectionOrder,
+    settleBroken: () => void,
   ): void {
     const { cluster, runtime } = this.options;
-    const life = cluster.node(node);
-    const look = (): void => {
+    const instance = cluster.node(node);
+    const poll = (): void => {
       if (call.result.type !== 'pending') {
         return;
       }
       // The end of a connection arrives behind what was sent on it.
-      const allArrived = cluster.clock.now > answering.lastArrival;
-      if (allArrived && cluster.node(node) !== life) {
-        broken();
+      const allArrived = cluster.clock.now > responseOrder.lastArrival;
+      if (allArrived && cluster.node(node) !== instance) {
+        settleBroken();
         return;
       }
-      runtime.setTimer(100, look);
+      runtime.setTimer(100, poll);
     };
-    runtime.setTimer(100, look);
+    runtime.setTimer(100, poll);
   }
 
   private receive(
@@ -170,11 +170,11 @@
     }
   }
 
-  private requestOf(planned: PlannedCall, sequence: number): CallRequest {
+  private createRequest(planned: PlannedCall, sequence: number): CallRequest {
     const { plan } = this.options;
     const chat = planned.kind === 'chat';
     return {
-      call: `c-${plan.program}-${this.made}`,
+      call: `c-${plan.program}-${this.sentCount}`,
       program: plan.program,
       group: plan.group,
       service: planned.service,
@@ -203,7 +203,7 @@
   }
 }
 
-function refusedConnection(): {
+function connectionRefusedError(): {
   tag: 'Unavailable';
   verdict: 'NotRun';
   detail: string;
--- a/src/histories/history-gateway.ts
+++ b/src/histories/history-gateway.ts
@@ -12,7 +12,7 @@
 import type { LogFunction, Runtime } from '../runtime/runtime.js';
 import { SimulatedProcess } from '../simulation/simulated-process.js';
 import type { VirtualClock } from '../simulation/virtual-clock.js';
-import { StorePath } from './history-store.js';
+import { StoreClient } from './history-store.js';
 import type { HistoryStore } from './history-store.js';
 
 /** The operator's configuration, whose value is its version. */
@@ -49,39 +49,39 @@
 /** See the head of this file. */
 export class HistoryGateway {
   readonly host: string;
-  readonly path: StorePath;
+  readonly storeClient: StoreClient;
   readonly process: SimulatedProcess;
   /** Version in force in this life; 0 before the first. */
   version = 0;
   /** Times that a version older than the one in force came into force. */
   readonly regressions: string[] = [];
   /** Whether it reads no proofs; a planted fault. */
-  believesWatches = false;
-  private following: StoreSync | undefined;
+  skipsProofs = false;
+  private storeSync: StoreSync | undefined;
   private listener: DatagramListener = () => undefined;
 
   constructor(private readonly options: HistoryGatewayOptions) {
     const { host, clock, random, store, log } = options;
     this.host = host;
-    this.path = new StorePath(store);
-    const lines: LogFunction | undefined =
+    this.storeClient = new StoreClient(store);
+    const processLog: LogFunction | undefined =
       log === undefined
         ? undefined
         : (level, message, fields) => log(level, message, { node: host, at: clock.now, ...fields });
-    this.process = new SimulatedProcess(host, clock, random, lines);
+    this.process = new SimulatedProcess(host, clock, random, processLog);
   }
 
   /** Begins a life. */
-  start(patienceMilliseconds: number): void {
+  start(startDelayMilliseconds: number): void {
     const { host, zone, seeds, timings, links } = this.options;
     const runtime = this.process.start();
     this.version = 0;
-    this.following = startStoreSync({
+    this.storeSync = startStoreSync({
       runtime,
-      port: this.portOf(runtime),
+      port: this.createStorePort(runtime),
       timings,
       proofKey: CONFIGURATION_KEY,
-      onPut: (item) => this.takeItem(item),
+      onPut: (item) => this.applyItem(item),
       onRemoved: () => undefined,
       gossip: {
         host,
@@ -95,18 +95,18 @@
         onPlaces: () => undefined,
       },
       fetch: (target, done) =>
-        links.fetchChanges(host, target, this.following!.mirror.completeRevision, (changes) =>
+        links.fetchChanges(host, target, this.storeSync!.mirror.completeRevision, (changes) =>
           runtime.setTimer(0, () => {
             if (changes !== undefined) {
-              this.following!.mirror.applyChanges(changes);
+              this.storeSync!.mirror.applyChanges(changes);
             }
             done();
           }),
         ),
-      startDelayMilliseconds: patienceMilliseconds,
+      startDelayMilliseconds,
     });
-    if (this.believesWatches) {
-      this.following.freshness.close();
+    if (this.skipsProofs) {
+      this.storeSync.freshness.close();
     }
   }
 
@@ -114,7 +114,7 @@
   kill(): void {
     this.process.kill();
     this.listener = () => undefined;
-    this.following = undefined;
+    this.storeSync = undefined;
   }
 
   /** Hands over a datagram, unless the process stands still: then it is lost. */
@@ -126,18 +126,18 @@
 
   /** What one complete up to a revision lacks; undefined when nobody answers. */
   changesSince(revision: number): KeySpaceChanges | undefined {
-    const answers = this.process.isAlive && !this.process.isPaused;
-    return answers ? this.following?.mirror.changesSince(revision) : undefined;
+    const isResponsive = this.process.isAlive && !this.process.isPaused;
+    return isResponsive ? this.storeSync?.mirror.changesSince(revision) : undefined;
   }
 
   /** Runners that are listed here. */
   get runners(): ReadonlySet<string> {
-    const items = this.following?.mirror.list() ?? [];
+    const items = this.storeSync?.mirror.list() ?? [];
     const keys = items.map(({ key }) => key);
     return new Set(keys.filter((key) => key.startsWith(RUNNER_PREFIX)));
   }
 
-  private takeItem({ key, value }: StoredItem): void {
+  private applyItem({ key, value }: StoredItem): void {
     if (key !== CONFIGURATION_KEY) {
       return;
     }
@@ -160,15 +160,15 @@
   }
 
   /** Answers come to a life that stands still when it goes on, and never to a later one. */
-  private portOf(runtime: Runtime): KeySpacePort {
-    const { path } = this;
+  private createStorePort(runtime: Runtime): KeySpacePort {
+    const { storeClient } = this;
     return {
       list: (prefix, listener) =>
-        path.list(prefix, (result) => void runtime.setTimer(0, () => listener(result))),
+        storeClient.list(prefix, (result) => void runtime.setTimer(0, () => listener(result))),
       listStale: (prefix, listener) =>
-        path.listStale(prefix, (result) => void runtime.setTimer(0, () => listener(result))),
+        storeClient.listStale(prefix, (result) => void runtime.setTimer(0, () => listener(result))),
       watch: (prefix, after, wait, listener) =>
-        path.watch(
+        storeClient.watch(
           prefix,
           after,
           wait,
--- a/src/histories/history-store.ts
+++ b/src/histories/history-store.ts
@@ -16,15 +16,15 @@
 import type { VirtualClock } from '../simulation/virtual-clock.js';
 
 /** How a path answers. */
-export type PathMode = 'well' | 'silent' | 'refusing';
+export type StoreClientMode = 'well' | 'silent' | 'refusing';
 
 /** Time until a short call is answered, and given up, in milliseconds. */
-const ANSWER_MILLISECONDS = 4;
-const SHORT_CALL_MILLISECONDS = 1_500;
+const REPLY_DELAY_MILLISECONDS = 4;
+const CALL_TIMEOUT_MILLISECONDS = 1_500;
 const WATCH_SLACK_MILLISECONDS = 1_000;
-const WATCH_STEP_MILLISECONDS = 20;
+const WATCH_POLL_INTERVAL_MILLISECONDS = 20;
 
-const NO_ANSWER: KeySpaceError = { tag: 'Unreachable', detail: 'no answer in time' };
+const TIMED_OUT: KeySpaceError = { tag: 'Unreachable', detail: 'no answer in time' };
 const BUSY: KeySpaceError = { tag: 'Refused', detail: 'status 503' };
 
 /** What the store holds, and what of its past it remembers. */
@@ -32,14 +32,14 @@
   readonly items = new Map<string, StoredItem>();
   revision = 0;
   /** Time that an answer takes beyond the usual, in milliseconds. */
-  slowMilliseconds = 0;
+  extraLatencyMilliseconds = 0;
   /** While true, watches hear nothing of what changes. */
-  watchesDeaf = false;
+  suppressesWatches = false;
   /** Rises when waiting watches are cut. */
-  cuts = 0;
+  watchCutCount = 0;
   private history: ItemChange[] = [];
-  private forgottenBefore = 0;
-  private oldList: ItemList | undefined;
+  private compactedRevision = 0;
+  private staleList: ItemList | undefined;
 
   constructor(readonly clock: VirtualClock) {}
 
@@ -57,19 +57,19 @@
   }
 
   /** Drops the past, and cuts the watches that wait. */
-  forget(): void {
+  compact(): void {
     this.history = [];
-    this.forgottenBefore = this.revision;
-    this.cuts += 1;
+    this.compactedRevision = this.revision;
+    this.watchCutCount += 1;
   }
 
   /** Cheap lists answer from now on what the store holds now, until they are let go on. */
-  freezeOldLists(): void {
-    this.oldList = this.listOf('');
+  freezeStaleLists(): void {
+    this.staleList = this.listOf('');
   }
 
-  thawOldLists(): void {
-    this.oldList = undefined;
+  thawStaleLists(): void {
+    this.staleList = undefined;
   }
 
   listOf(prefix: string): ItemList {
@@ -77,13 +77,13 @@
     return { items, revision: this.revision };
   }
 
-  oldListOf(prefix: string): ItemList {
-    return this.oldList ?? this.listOf(prefix);
+  staleListOf(prefix: string): ItemList {
+    return this.staleList ?? this.listOf(prefix);
   }
 
   /** Changes after a revision; undefined when they are forgotten. */
   changesAfter(revision: number): readonly ItemChange[] | undefined {
-    if (revision < this.forgottenBefore) {
+    if (revision < this.compactedRevision) {
       return undefined;
     }
     return this.history.filter((change) => revisionOf(change) > revision);
@@ -95,28 +95,28 @@
 }
 
 /** One process's way to the store. */
-export class StorePath implements KeySpacePort {
-  mode: PathMode = 'well';
+export class StoreClient implements KeySpacePort {
+  mode: StoreClientMode = 'well';
   /** Whether lists that are asked for as proofs come from the past: a planted fault. */
-  readsOld = false;
+  readsStale = false;
   callCount = 0;
-  private connections = 0;
+  private connectionGeneration = 0;
 
   constructor(private readonly store: HistoryStore) {}
 
   /** Open connections go silent for good; new ones work. */
-  loseConnections(): void {
-    this.connections += 1;
+  dropConnections(): void {
+    this.connectionGeneration += 1;
   }
 
   list(prefix: string, listener: KeySpaceListener<ItemList>): void {
-    this.answer(SHORT_CALL_MILLISECONDS, listener, () =>
-      this.readsOld ? this.store.oldListOf(prefix) : this.store.listOf(prefix),
+    this.reply(CALL_TIMEOUT_MILLISECONDS, listener, () =>
+      this.readsStale ? this.store.staleListOf(prefix) : this.store.listOf(prefix),
     );
   }
 
   listStale(prefix: string, listener: KeySpaceListener<ItemList>): void {
-    this.answer(SHORT_CALL_MILLISECONDS, listener, () => this.store.oldListOf(prefix));
+    this.reply(CALL_TIMEOUT_MILLISECONDS, listener, () => this.store.staleListOf(prefix));
   }
 
   watch(
@@ -126,53 +126,53 @@
     listener: KeySpaceListener<ChangeList>,
   ): void {
     const { clock } = this.store;
-    const until = clock.now + wait;
-    const { connections } = this;
-    const { cuts } = this.store;
-    const look = (): void => {
-      if (connections !== this.connections || this.mode === 'silent') {
-        this.giveUpAt(until + WATCH_SLACK_MILLISECONDS, listener);
-      } else if (this.mode === 'refusing' || cuts !== this.store.cuts) {
+    const deadline = clock.now + wait;
+    const { connectionGeneration } = this;
+    const { watchCutCount } = this.store;
+    const poll = (): void => {
+      if (connectionGeneration !== this.connectionGeneration || this.mode === 'silent') {
+        this.timeOutAt(deadline + WATCH_SLACK_MILLISECONDS, listener);
+      } else if (this.mode === 'refusing' || watchCutCount !== this.store.watchCutCount) {
         listener(E.left(BUSY));
       } else {
         const changes = this.store.changesAfter(after);
         if (changes === undefined) {
           listener(E.left({ tag: 'HistoryLost' }));
-        } else if (!this.store.watchesDeaf && (changes.length > 0 || clock.now >= until)) {
+        } else if (!this.store.suppressesWatches && (changes.length > 0 || clock.now >= deadline)) {
           listener(E.right({ changes, revision: this.store.revision }));
         } else {
-          clock.schedule(WATCH_STEP_MILLISECONDS, look);
+          clock.schedule(WATCH_POLL_INTERVAL_MILLISECONDS, poll);
         }
       }
     };
-    this.begin(wait + WATCH_SLACK_MILLISECONDS, listener, look);
+    this.send(wait + WATCH_SLACK_MILLISECONDS, listener, poll);
   }
 
-  private answer<Result>(
+  private reply<Result>(
     deadline: number,
     listener: KeySpaceListener<Result>,
     result: () => Result,
   ): void {
-    this.begin(deadline, listener, () => listener(E.right(result())));
+    this.send(deadline, listener, () => listener(E.right(result())));
   }
 
   /** Lets a call arrive, unless the path keeps it from that. */
-  private begin<Result>(
+  private send<Result>(
     deadline: number,
     listener: KeySpaceListener<Result>,
     arrive: () => void,
   ): void {
     this.callCount += 1;
-    const { clock, slowMilliseconds } = this.store;
+    const { clock, extraLatencyMilliseconds } = this.store;
     const sentAt = clock.now;
-    const { connections } = this;
+    const { connectionGeneration } = this;
     if (this.mode === 'silent') {
-      this.giveUpAt(sentAt + deadline, listener);
+      this.timeOutAt(sentAt + deadline, listener);
       return;
     }
-    clock.schedule(ANSWER_MILLISECONDS + slowMilliseconds, () => {
-      if (connections !== this.connections || this.mode === 'silent') {
-        this.giveUpAt(sentAt + deadline, listener);
+    clock.schedule(REPLY_DELAY_MILLISECONDS + extraLatencyMilliseconds, () => {
+      if (connectionGeneration !== this.connectionGeneration || this.mode === 'silent') {
+        this.timeOutAt(sentAt + deadline, listener);
       } else if (this.mode === 'refusing') {
         listener(E.left(BUSY));
       } else {
@@ -181,8 +181,8 @@
     });
   }
 
-  private giveUpAt<Result>(time: number, listener: KeySpaceListener<Result>): void {
+  private timeOutAt<Result>(time: number, listener: KeySpaceListener<Result>): void {
     const { clock } = this.store;
-    clock.schedule(Math.max(0, time - clock.now), () => listener(E.left(NO_ANSWER)));
+    clock.schedule(Math.max(0, time - clock.now), () => listener(E.left(TIMED_OUT)));
   }
 }
--- a/src/histories/split-day.ts
+++ b/src/histories/partition-scenario.ts
@@ -3,11 +3,11 @@
  * two parts of the members go on, until the smaller one is taken out. Each turn is read, by a gateway that knows
  * nothing of it, as soon as it was kept: nobody may say that there is no such turn.
  */
-import { ReplicaDay } from './replica-day.js';
-import type { ReplicaDayOptions } from './replica-day.js';
+import { ReplicaScenario } from './replica-scenario.js';
+import type { ReplicaScenarioOptions } from './replica-scenario.js';
 
 /** What such a day showed. */
-export interface SplitDayResult {
+export interface PartitionScenarioResult {
   readonly seed: number;
   readonly kept: number;
   /** Changes of the members while they were split. */
@@ -15,26 +15,26 @@
   readonly violations: readonly string[];
 }
 
-const SPLIT_MILLISECONDS = 9_000;
-const READ_MILLISECONDS = 150;
+const PARTITION_MILLISECONDS = 9_000;
+const READ_TIMEOUT_MILLISECONDS = 150;
 /** Reads of one turn after it was kept, and the pause between them, in milliseconds. */
-const READS = 3;
-const READ_PAUSE_MILLISECONDS = 20;
+const READ_COUNT = 3;
+const READ_INTERVAL_MILLISECONDS = 20;
 
 /** See the head of this file. */
-class SplitDay extends ReplicaDay {
-  private reads = 0;
+class PartitionScenario extends ReplicaScenario {
+  private readCount = 0;
 
   constructor(
     seed: number,
-    options: ReplicaDayOptions,
+    options: ReplicaScenarioOptions,
     private readonly cutOffCount: number,
   ) {
     super(seed, 'split day', options);
   }
 
-  run(): SplitDayResult {
-    this.begin();
+  run(): PartitionScenarioResult {
+    this.startMachines();
     const members = this.replicas.recordedMembers();
     const cutOff = Array.from(
       { length: this.cutOffCount },
@@ -44,22 +44,22 @@
     const others = this.names.filter((name) => !cutOff.includes(name));
     cutOff.forEach((left) => others.forEach((right) => this.replicas.cut(left, right)));
     cutOff.forEach((left) => this.replicas.cut(left, 'store'));
-    this.wait(SPLIT_MILLISECONDS);
-    const { seed, kept, violations } = this;
+    this.wait(PARTITION_MILLISECONDS);
+    const { seed, storedTurns, violations } = this;
     const epochs = this.replicas.store.epoch - epoch;
-    return { seed, kept: kept.length, epochs, violations };
+    return { seed, kept: storedTurns.length, epochs, violations };
   }
 
-  protected override onKept(id: string): void {
-    for (let read = 0; read < READS; read += 1) {
-      this.clock.schedule(read * READ_PAUSE_MILLISECONDS, () => this.read(id));
+  protected override onTurnStored(id: string): void {
+    for (let read = 0; read < READ_COUNT; read += 1) {
+      this.clock.schedule(read * READ_INTERVAL_MILLISECONDS, () => this.read(id));
     }
   }
 
   private read(id: string): void {
-    this.reads += 1;
-    const client = this.client(`reader-${this.reads}`, `z${this.reads % 4}`);
-    client.readChain(id, READ_MILLISECONDS, (chain) => {
+    this.readCount += 1;
+    const client = this.client(`reader-${this.readCount}`, `z${this.readCount % 4}`);
+    client.readChain(id, READ_TIMEOUT_MILLISECONDS, (chain) => {
       if (chain.tag === 'missing') {
         this.violations.push(`${id} was kept and is denied`);
       }
@@ -68,10 +68,10 @@
 }
 
 /** Plays one day. */
-export function playSplitDay(
+export function runPartitionScenario(
   seed: number,
-  options: ReplicaDayOptions,
+  options: ReplicaScenarioOptions,
   cutOffCount: number,
-): SplitDayResult {
-  return new SplitDay(seed, options, cutOffCount).run();
+): PartitionScenarioResult {
+  return new PartitionScenario(seed, options, cutOffCount).run();
 }
--- a/src/histories/draw-several.ts
+++ b/src/histories/pick-distinct.ts
@@ -2,14 +2,14 @@
 import type { RandomSource } from '../runtime/random.js';
 
 /** As many different items as asked for, in the order in which they were drawn. */
-export function drawSeveral<Item>(
+export function pickDistinct<Item>(
   random: RandomSource,
   items: readonly Item[],
   count: number,
 ): Item[] {
-  const left = [...items];
+  const remaining = [...items];
   return Array.from(
     { length: count },
-    () => left.splice(random.integer(0, left.length - 1), 1)[0]!,
+    () => remaining.splice(random.integer(0, remaining.length - 1), 1)[0]!,
   );
 }
--- a/src/histories/power-loss-day.ts
+++ b/src/histories/power-loss-scenario.ts
@@ -2,11 +2,11 @@
  * A day of replicas that ends with a loss of all power: two machines are replaced, one is emptied, disks
  * are lost, the store of the members is away for long, then all power and some disks are lost at once.
  */
-import { ReplicaDay } from './replica-day.js';
-import type { ReplicaDayOptions } from './replica-day.js';
+import { ReplicaScenario } from './replica-scenario.js';
+import type { ReplicaScenarioOptions } from './replica-scenario.js';
 
 /** What a day showed. */
-export interface PowerLossDayResult {
+export interface PowerLossScenarioResult {
   readonly seed: number;
   /** Turns that were acknowledged. */
   readonly kept: number;
@@ -18,72 +18,77 @@
 }
 
 /** Events come up to this much later than planned, in milliseconds. */
-const DRAWN_MILLISECONDS = 1_500;
+const MAXIMUM_JITTER_MILLISECONDS = 1_500;
 /** Time that a machine has to be emptied. */
-const EMPTYING_MILLISECONDS = 8_000;
+const RETIREMENT_TIMEOUT_MILLISECONDS = 8_000;
 
 /** See the head of this file. */
-class PowerLossDay extends ReplicaDay {
+class PowerLossScenario extends ReplicaScenario {
   private emptiedAfter = Infinity;
 
-  constructor(seed: number, options: ReplicaDayOptions) {
+  constructor(seed: number, options: ReplicaScenarioOptions) {
     super(seed, 'power loss day', options);
   }
 
-  run(): PowerLossDayResult {
-    this.begin();
+  run(): PowerLossScenarioResult {
+    this.startMachines();
     this.replaceMachine();
-    this.waitAbout(4_000);
+    this.waitWithJitter(4_000);
     this.replaceMachine();
-    this.waitAbout(4_000);
-    const emptied = this.emptyMachine();
+    this.waitWithJitter(4_000);
+    const retiredName = this.retireMachine();
     this.loseDisks();
-    this.waitAbout(6_000);
+    this.waitWithJitter(6_000);
     this.replicas.store.reachable = false;
-    this.waitAbout(14_000);
+    this.waitWithJitter(14_000);
     this.replicas.store.reachable = true;
-    this.waitAbout(12_000);
-    this.checkEmptied(emptied);
+    this.waitWithJitter(12_000);
+    this.checkRetired(retiredName);
     this.loseAllPower();
-    this.watchService();
+    this.checkRecovery();
     this.checkTurns();
     const { seed, emptiedAfter, servedAfter, violations } = this;
-    return { seed, kept: this.kept.length, emptiedAfter, servedAfter, violations };
+    return { seed, kept: this.storedTurns.length, emptiedAfter, servedAfter, violations };
   }
 
-  private waitAbout(milliseconds: number): void {
-    this.wait(milliseconds + this.random.uniform() * DRAWN_MILLISECONDS);
+  private waitWithJitter(milliseconds: number): void {
+    this.wait(milliseconds + this.random.uniform() * MAXIMUM_JITTER_MILLISECONDS);
   }
 
   /** A machine is gone for good; an empty one comes later at another address. */
   private replaceMachine(): void {
-    this.replicas.kill(this.takeName());
-    this.waitAbout(1_000);
+    this.replicas.kill(this.removeRandomMachine());
+    this.waitWithJitter(1_000);
     this.addMachine();
   }
 
-  private emptyMachine(): string {
-    const name = this.takeName();
+  private retireMachine(): string {
+    const name = this.removeRandomMachine();
     const from = this.clock.now;
     const { store } = this.replicas;
     store.retiring.add(name);
-    const isEmpty = (): boolean => store.retired.has(name);
-    if (this.clock.runUntil(from + EMPTYING_MILLISECONDS, isEmpty)) {
+    const isRetired = (): boolean => store.retired.has(name);
+    if (this.clock.runUntil(from + RETIREMENT_TIMEOUT_MILLISECONDS, isRetired)) {
       this.emptiedAfter = this.clock.now - from;
       this.replicas.kill(name);
     }
     return name;
   }
 
-  private checkEmptied(name: string): void {
+  private checkRetired(name: string): void {
     if (this.emptiedAfter === Infinity) {
-      this.violations.push(`${name} was not reported empty in ${EMPTYING_MILLISECONDS} ms`);
+      this.violations.push(
+        `${name} was not reported empty in ${RETIREMENT_TIMEOUT_MILLISECONDS} ms`,
+      );
       this.replicas.kill(name);
     }
   }
 }
 
 /** Plays one day. */
-export function playPowerLossDay(seed: number, options: ReplicaDayOptions): PowerLossDayResult {
-  return new PowerLossDay(seed, options).run();
+export function runPowerLossScenario(
+  seed: number,
+  options: ReplicaScenarioOptions,
+): PowerLossScenarioResult {
+  return new PowerLossScenario(seed, options).run();
 }
--- a/src/histories/recorded-events.ts
+++ b/src/histories/recorded-events.ts
@@ -97,16 +97,16 @@
   /** Programs that were ended before the end of the run. */
   readonly endedPrograms: string[];
   /** Programs whose histories could not be read. */
-  readonly unreadable: string[];
+  readonly unreadablePrograms: string[];
   /** Nodes alive at the end. */
   readonly livingNodes: string[];
   /** Times between which something was broken: processes, links, the key-value service. */
-  readonly disturbances: { readonly from: number; readonly until: number }[];
+  readonly faultIntervals: { readonly from: number; readonly until: number }[];
   endedAt: number;
 }
 
 /** A run with nothing recorded yet. */
-export function emptyRun(): RecordedRun {
+export function createEmptyRun(): RecordedRun {
   return {
     calls: [],
     executions: [],
@@ -117,9 +117,9 @@
     accounts: [],
     holds: [],
     endedPrograms: [],
-    unreadable: [],
+    unreadablePrograms: [],
     livingNodes: [],
-    disturbances: [],
+    faultIntervals: [],
     endedAt: 0,
   };
 }
--- a/src/histories/replacement-day.ts
+++ b/src/histories/replacement-scenario.ts
@@ -4,8 +4,8 @@
  * one ceases to count as lost: when its successor has had the time allowed for catching up.
  */
 import { START_MILLISECONDS } from '../turns/membership-timings.js';
-import { ReplicaDay } from './replica-day.js';
-import type { ReplicaDayOptions } from './replica-day.js';
+import { ReplicaScenario } from './replica-scenario.js';
+import type { ReplicaScenarioOptions } from './replica-scenario.js';
 
 /** What happens besides on such a day. */
 export const REPLACEMENTS = [
@@ -30,13 +30,13 @@
 export type Replacement = (typeof REPLACEMENTS)[number];
 
 /** How such a day is played. */
-export interface ReplacementDayOptions extends ReplicaDayOptions {
+export interface ReplacementScenarioOptions extends ReplicaScenarioOptions {
   readonly replacement: Replacement;
   readonly catchUpMilliseconds: number;
 }
 
 /** What such a day showed. */
-export interface ReplacementDayResult {
+export interface ReplacementScenarioResult {
   readonly seed: number;
   /** Turns that were acknowledged. */
   readonly kept: number;
@@ -46,59 +46,59 @@
 }
 
 /** Longest time from the loss of a machine to the start of the one that replaces it, in milliseconds. */
-const LONGEST_PAUSE_MILLISECONDS = 8_000;
+const MAXIMUM_REPLACEMENT_DELAY_MILLISECONDS = 8_000;
 /** Time in which nothing happens before the first machine goes, in milliseconds: up to this. */
-const CALM_MILLISECONDS = 3_000;
+const MAXIMUM_IDLE_MILLISECONDS = 3_000;
 /** Time that a machine has to be emptied, in milliseconds. */
-const EMPTYING_MILLISECONDS = 8_000;
-const LONGEST_AWAY_MILLISECONDS = 8_000;
+const RETIREMENT_TIMEOUT_MILLISECONDS = 8_000;
+const MAXIMUM_OUTAGE_MILLISECONDS = 8_000;
 
 /** See the head of this file. */
-class ReplacementDay extends ReplicaDay {
+class ReplacementScenario extends ReplicaScenario {
   constructor(
     seed: number,
-    protected override readonly options: ReplacementDayOptions,
+    protected override readonly options: ReplacementScenarioOptions,
   ) {
     super(seed, 'replacement day', options);
   }
 
-  run(): ReplacementDayResult {
-    this.begin();
-    this.wait(this.random.uniform() * CALM_MILLISECONDS);
+  run(): ReplacementScenarioResult {
+    this.startMachines();
+    this.wait(this.random.uniform() * MAXIMUM_IDLE_MILLISECONDS);
     this.replaceBy(this.options.replacement);
     this.loseAllPower();
-    this.watchService();
+    this.checkRecovery();
     this.checkTurns();
     const { seed, servedAfter, violations } = this;
-    return { seed, kept: this.kept.length, servedAfter, violations };
+    return { seed, kept: this.storedTurns.length, servedAfter, violations };
   }
 
   private replaceBy(replacement: Replacement): void {
     switch (replacement) {
       case 'one':
-        return this.replace(this.takeMember());
+        return this.replace(this.removeRandomMember());
       case 'plannedAfterEmptied':
-        this.emptyMachine();
+        this.retireMachine();
         return this.replaceAsPlanned();
       case 'emptied':
-        return this.emptyDisk();
+        return this.wipeMachine();
       case 'planned':
         return this.replaceAsPlanned();
       case 'two':
-        this.replace(this.takeMember());
-        return this.replace(this.takeMember());
+        this.replace(this.removeRandomMember());
+        return this.replace(this.removeRandomMember());
       case 'both': {
-        const [first, second] = [this.takeMember(), this.takeMember()];
+        const [first, second] = [this.removeRandomMember(), this.removeRandomMember()];
         this.replicas.kill(first);
         this.replicas.kill(second);
-        this.wait(this.random.uniform() * LONGEST_PAUSE_MILLISECONDS);
+        this.wait(this.random.uniform() * MAXIMUM_REPLACEMENT_DELAY_MILLISECONDS);
         this.addMachine(START_MILLISECONDS);
         return this.startSuccessor();
       }
       case 'storeAway':
-        return this.replaceWhileStoreIsAway();
+        return this.replaceDuringStoreOutage();
       case 'retiring': {
-        const name = this.takeMember();
+        const name = this.removeRandomMember();
         this.replicas.store.retiring.add(name);
         return this.replace(name);
       }
@@ -106,7 +106,7 @@
   }
 
   /** Draws a machine that the record names. */
-  private takeMember(): string {
+  private removeRandomMember(): string {
     const members = this.replicas.recordedMembers();
     const name = this.random.pick(this.names.filter((each) => members.includes(each)));
     this.names.splice(this.names.indexOf(name), 1);
@@ -115,7 +115,7 @@
 
   private replace(name: string): void {
     this.replicas.kill(name);
-    this.wait(this.random.uniform() * LONGEST_PAUSE_MILLISECONDS);
+    this.wait(this.random.uniform() * MAXIMUM_REPLACEMENT_DELAY_MILLISECONDS);
     this.startSuccessor();
   }
 
@@ -127,54 +127,56 @@
   }
 
   /** Waits until a machine is reported empty, and takes it away. */
-  private emptyMachine(): void {
-    const name = this.takeMember();
+  private retireMachine(): void {
+    const name = this.removeRandomMember();
     const { store } = this.replicas;
     store.retiring.add(name);
-    const isEmpty = (): boolean => store.retired.has(name);
-    if (!this.clock.runUntil(this.clock.now + EMPTYING_MILLISECONDS, isEmpty)) {
-      this.violations.push(`${name} was not reported empty in ${EMPTYING_MILLISECONDS} ms`);
+    const isRetired = (): boolean => store.retired.has(name);
+    if (!this.clock.runUntil(this.clock.now + RETIREMENT_TIMEOUT_MILLISECONDS, isRetired)) {
+      this.violations.push(
+        `${name} was not reported empty in ${RETIREMENT_TIMEOUT_MILLISECONDS} ms`,
+      );
     }
     this.replicas.kill(name);
   }
 
-  private emptyDisk(): void {
+  private wipeMachine(): void {
     const name = this.random.pick(this.names);
     this.replicas.kill(name);
     this.replicas.wipe(name);
-    this.wait(this.random.uniform() * LONGEST_PAUSE_MILLISECONDS + START_MILLISECONDS);
+    this.wait(this.random.uniform() * MAXIMUM_REPLACEMENT_DELAY_MILLISECONDS + START_MILLISECONDS);
     this.replicas.start(name);
     this.wait(this.options.catchUpMilliseconds - START_MILLISECONDS);
   }
 
   private replaceAsPlanned(): void {
-    const old = this.takeMember();
+    const old = this.removeRandomMember();
     this.addMachine(START_MILLISECONDS);
-    this.wait(this.random.uniform() * CALM_MILLISECONDS);
+    this.wait(this.random.uniform() * MAXIMUM_IDLE_MILLISECONDS);
     this.replicas.kill(old);
     this.wait(this.options.catchUpMilliseconds);
   }
 
-  private replaceWhileStoreIsAway(): void {
+  private replaceDuringStoreOutage(): void {
     const { store } = this.replicas;
-    const isAwayFirst = this.random.uniform() < 0.5;
-    const old = this.takeMember();
-    store.reachable = !isAwayFirst;
+    const isOutageFirst = this.random.uniform() < 0.5;
+    const old = this.removeRandomMember();
+    store.reachable = !isOutageFirst;
     this.replicas.kill(old);
-    this.wait(this.random.uniform() * LONGEST_PAUSE_MILLISECONDS);
+    this.wait(this.random.uniform() * MAXIMUM_REPLACEMENT_DELAY_MILLISECONDS);
     this.addMachine(START_MILLISECONDS);
     this.wait(this.random.uniform() * this.options.catchUpMilliseconds);
     store.reachable = false;
-    this.wait(this.random.uniform() * LONGEST_AWAY_MILLISECONDS);
+    this.wait(this.random.uniform() * MAXIMUM_OUTAGE_MILLISECONDS);
     store.reachable = true;
     this.wait(this.options.catchUpMilliseconds);
   }
 }
 
 /** Plays one day. */
-export function playReplacementDay(
+export function runReplacementScenario(
   seed: number,
-  options: ReplacementDayOptions,
-): ReplacementDayResult {
-  return new ReplacementDay(seed, options).run();
+  options: ReplacementScenarioOptions,
+): ReplacementScenarioResult {
+  return new ReplacementScenario(seed, options).run();
 }
--- a/src/histories/run-configuration-histories.ts
+++ b/src/histories/run-configuration-histories.ts
@@ -1,15 +1,15 @@
 /** Plays many histories of configuration and sums up what they showed. */
 import { runConfigurationHistory } from './configuration-history.js';
-import type { PlantedConfigurationFault } from './configuration-history.js';
+import type { InjectedConfigurationFault } from './configuration-history.js';
 import { planConfigurationHistory } from './configuration-plan.js';
-import type { ConfigurationPlan, ConfigurationTrouble } from './configuration-plan.js';
+import type { ConfigurationPlan, ConfigurationFault } from './configuration-plan.js';
 
 /** A history that broke a promise. */
 export interface ConfigurationViolation {
   readonly seed: number;
   readonly details: readonly string[];
   /** The fewest troubles of its plan with which it still does. */
-  readonly troubles: readonly ConfigurationTrouble[];
+  readonly troubles: readonly ConfigurationFault[];
 }
 
 /** What many histories showed. */
@@ -26,17 +26,21 @@
 }
 
 /** Leaves out one trouble after another as long as the history still breaks a promise. */
-export function fewestTroubles(
+export function minimizeFaults(
   seed: number,
   gateways: number,
-  planted?: PlantedConfigurationFault,
+  injectedFault?: InjectedConfigurationFault,
 ): ConfigurationPlan {
   let plan = planConfigurationHistory(seed);
-  for (const trouble of plan.troubles) {
-    const fewer = { ...plan, troubles: plan.troubles.filter((each) => each !== trouble) };
-    const options = { gateways, plan: fewer, ...(planted === undefined ? {} : { planted }) };
+  for (const fault of plan.faults) {
+    const reducedPlan = { ...plan, faults: plan.faults.filter((each) => each !== fault) };
+    const options = {
+      gateways,
+      plan: reducedPlan,
+      ...(injectedFault === undefined ? {} : { injectedFault }),
+    };
     if (runConfigurationHistory(seed, options).violations.length > 0) {
-      plan = fewer;
+      plan = reducedPlan;
     }
   }
   return plan;
@@ -56,12 +60,12 @@
     sum.changes += history.changes;
     sum.looks += history.looks;
     sum.storeCalls += history.storeCalls;
-    for (const kind of history.troubles) {
+    for (const kind of history.faults) {
       troubles[kind] = (troubles[kind] ?? 0) + 1;
     }
     if (history.violations.length > 0) {
-      const fewest = fewestTroubles(seed, gateways).troubles;
-      violations.push({ seed, details: history.violations, troubles: fewest });
+      const minimalFaults = minimizeFaults(seed, gateways).faults;
+      violations.push({ seed, details: history.violations, troubles: minimalFaults });
     }
   }
   return { histories: lastSeed - firstSeed + 1, gateways, ...sum, troubles, violations };
--- a/src/histories/run-history.ts
+++ b/src/histories/run-history.ts
@@ -11,16 +11,16 @@
 import type { FaultKind, PlannedFault } from './fault-plan.js';
 import { HistoryCaller } from './history-caller.js';
 import type { PlannedCall, PlannedProgram } from './history-caller.js';
-import { emptyRun } from './recorded-events.js';
+import { createEmptyRun } from './recorded-events.js';
 import type { RecordedRun } from './recorded-events.js';
 
 /** Busy part of a history, in milliseconds. */
 export const BUSY_MILLISECONDS = 14_000;
 /** Time after the faults in which everything must come right, in milliseconds. */
-const CALM_MILLISECONDS = 45_000;
+const RECOVERY_MILLISECONDS = 45_000;
 /** Time after the last call in which memory must be given back, in milliseconds. */
 const SETTLE_MILLISECONDS = 16_000;
-const PROGRAMS = 6;
+const PROGRAM_COUNT = 6;
 const SMALL_BUDGET = 1_200;
 const AMPLE_BUDGET = 1_000_000_000;
 
@@ -34,19 +34,19 @@
 }
 
 function planCall(random: RandomSource, label: string): PlannedCall {
-  const tool = random.uniform() < 0.3;
+  const isTool = random.uniform() < 0.3;
   return {
-    service: tool ? 'order-desk' : 'catalog-minds',
-    kind: tool ? 'tool' : 'chat',
-    repeatable: !tool || random.uniform() < 0.3,
-    streaming: !tool && random.uniform() < 0.5,
-    text: tool ? `{"order":"${label}"}` : `${label} please #${random.integer(6, 40)}`,
+    service: isTool ? 'order-desk' : 'catalog-minds',
+    kind: isTool ? 'tool' : 'chat',
+    repeatable: !isTool || random.uniform() < 0.3,
+    streaming: !isTool && random.uniform() < 0.5,
+    text: isTool ? `{"order":"${label}"}` : `${label} please #${random.integer(6, 40)}`,
     pauseMilliseconds: random.exponential(500),
   };
 }
 
 function planPrograms(random: RandomSource): PlannedProgram[] {
-  return Array.from({ length: PROGRAMS }, (_, index) => {
+  return Array.from({ length: PROGRAM_COUNT }, (_, index) => {
     const program = `p${index}`;
     const group = index % 3 === 2 ? 'teranga' : 'brandvold';
     const calls = Array.from({ length: random.integer(3, 8) }, (_unused, turn) =>
@@ -77,14 +77,14 @@
 
 function watchRevisions(cluster: SimulatedCluster, run: RecordedRun): () => void {
   const observer = cluster.createProcess('observer').start();
-  const last = new Map<string, number>();
+  const lastRevisions = new Map<string, number>();
   return setRepeatingTimer(observer, 100, () => {
     for (const node of cluster.livingNodes()) {
       const { self } = node.options;
       const { revision } = node.configuration.current;
       // A process that has just begun has no configuration; it must not serve until it has.
-      if (revision > 0 && last.get(self) !== revision) {
-        last.set(self, revision);
+      if (revision > 0 && lastRevisions.get(self) !== revision) {
+        lastRevisions.set(self, revision);
         run.revisions.push({ node: self, revision, at: cluster.clock.now });
       }
     }
@@ -97,15 +97,15 @@
   programs: PlannedProgram[],
 ): void {
   const node = cluster.livingNodes()[0];
-  const called = new Set(
+  const answeredPrograms = new Set(
     run.calls.filter((call) => call.result.type === 'answered').map((call) => call.program),
   );
   for (const { program, group } of programs) {
     node?.gateway.requestProgram(`read-${program}`, 'history', program, group, (result) => {
       if (result.status === 200) {
         run.histories.push(JSON.parse(result.body) as RecordedRun['histories'][number]);
-      } else if (called.has(program)) {
-        run.unreadable.push(program);
+      } else if (answeredPrograms.has(program)) {
+        run.unreadablePrograms.push(program);
       }
     });
   }
@@ -116,10 +116,10 @@
     let granted = 0;
     let spent = 0;
     let reserved = 0;
-    const led = cluster
+    const ledShards = cluster
       .livingNodes()
       .flatMap((node) => node.listShards().filter((roles) => roles.host.canServe()));
-    for (const roles of led) {
+    for (const roles of ledShards) {
       const slice = roles.host.state.slices.get(name);
       granted += roles.host.state.ledgers.get(name)?.outstanding ?? 0;
       spent += slice?.spent ?? 0;
@@ -140,7 +140,7 @@
 /** Runs a history of a seed, with its own faults or given ones. */
 export function runHistory(seed: number, faults?: readonly PlannedFault[]): HistoryResult {
   const cluster = createCluster(seed);
-  const run = emptyRun();
+  const run = createEmptyRun();
   cluster.start();
   const stopWatching = watchRevisions(cluster, run);
   const programs = planPrograms(createRandom(seed, 'programs'));
@@ -150,14 +150,14 @@
   for (const plan of programs) {
     const process = cluster.createProcess(`caller-${plan.program}`);
     const runtime = process.start();
-    const end = { process, zone: 'clients' };
+    const endpoint = { process, zone: 'clients' };
     const caller = new HistoryCaller({
       cluster,
       run,
-      end,
+      endpoint,
       runtime,
       plan,
-      done: () => {
+      onDone: () => {
         running -= 1;
       },
     });
@@ -166,7 +166,7 @@
   const { clock } = cluster;
   clock.runUntil(clock.now + BUSY_MILLISECONDS);
   injector.healAll();
-  clock.runUntil(clock.now + CALM_MILLISECONDS, () => running === 0);
+  clock.runUntil(clock.now + RECOVERY_MILLISECONDS, () => running === 0);
   clock.runUntil(clock.now + SETTLE_MILLISECONDS);
   injector.healAll();
   readHistories(cluster, run, programs);
@@ -176,6 +176,6 @@
   stopWatching();
   run.livingNodes.push(...cluster.livingNodes().map((node) => node.options.self));
   run.endedAt = clock.now;
-  const { struck } = injector;
-  return { seed, violations: checkRun(run), faults: struck, calls: run.calls.length, run };
+  const { faultCounts } = injector;
+  return { seed, violations: checkRun(run), faults: faultCounts, calls: run.calls.length, run };
 }
--- a/src/histories/turn-history.ts
+++ b/src/histories/turn-history.ts
@@ -9,12 +9,12 @@
 import { SimulatedReplicas } from '../simulation/simulated-replicas.js';
 import { VirtualClock } from '../simulation/virtual-clock.js';
 import type { TurnClient } from '../turns/turn-client.js';
-import { drawSeveral } from './draw-several.js';
+import { pickDistinct } from './pick-distinct.js';
 import { TURN_FAULTS } from './turn-faults.js';
 import type { TurnFault } from './turn-faults.js';
 
 /** Faults planted to show that the checks find them. */
-export type PlantedFault =
+export type InjectedFault =
   /** A replica whose disk was lost counts at once and copies nothing. */
   | 'noRepair'
   /** A replica acknowledges what is not on its disk yet. */
@@ -24,7 +24,7 @@
 
 /** How a history is played. */
 export interface TurnHistoryOptions {
-  readonly injectedFault?: PlantedFault;
+  readonly injectedFault?: InjectedFault;
   /** Replicas to begin with. @default three to five, by the seed */
   readonly replicaCount?: number;
   /** Replicas that the record is to name. @default all */
@@ -49,20 +49,20 @@
   readonly faults: readonly TurnFault[];
 }
 
-const SETTLE_MILLISECONDS = 4_500;
+const RECOVERY_MILLISECONDS = 4_500;
 const FAULT_COUNT = 5;
 const PROGRAM_COUNT = 3;
 const BUDGET_TOKENS = 600;
-const MOST_TOKENS = 100;
-const OPERATION_MILLISECONDS = 700;
-const START_MILLISECONDS = 6_000;
+const MAXIMUM_TURN_TOKENS = 100;
+const OPERATION_TIMEOUT_MILLISECONDS = 700;
+const STARTUP_MILLISECONDS = 6_000;
 const RETENTION_MILLISECONDS = 600_000;
 
-interface ProgramBook {
+interface ProgramState {
   readonly name: string;
   lastTurn: string;
   body: string;
-  handedTokens: number;
+  deliveredTokens: number;
   turns: number;
 }
 
@@ -73,14 +73,14 @@
   private readonly replicas: SimulatedReplicas;
   private readonly names: string[] = [];
   private clients: TurnClient[] = [];
-  private readonly programs: ProgramBook[] = [];
-  private readonly bodies = new Map<string, string>();
+  private readonly programs: ProgramState[] = [];
+  private readonly storedBodies = new Map<string, string>();
   private readonly violations: string[] = [];
   private readonly faults: TurnFault[] = [];
   private granted = 0;
   private refused = 0;
   private unavailable = 0;
-  private stopped = false;
+  private isStopped = false;
   private turnCount = 0;
   private machineCount = 0;
 
@@ -97,26 +97,26 @@
     for (let index = 0; index < machineCount; index += 1) {
       this.addMachine();
     }
-    this.wait(START_MILLISECONDS);
+    this.wait(STARTUP_MILLISECONDS);
     this.clients = ['g1', 'g2'].map(
       (name) => this.replicas.client(name, 'z1', this.names[0]!).client,
     );
     for (let index = 0; index < PROGRAM_COUNT; index += 1) {
       const name = `p${index}`;
-      this.programs.push({ name, lastTurn: '', body: '', handedTokens: 0, turns: 0 });
+      this.programs.push({ name, lastTurn: '', body: '', deliveredTokens: 0, turns: 0 });
     }
     this.programs.forEach((program) => this.nextTurn(program));
     for (let index = 0; index < FAULT_COUNT; index += 1) {
-      this.strike(this.random.pick(TURN_FAULTS));
-      this.wait(SETTLE_MILLISECONDS);
+      this.injectFault(this.random.pick(TURN_FAULTS));
+      this.wait(RECOVERY_MILLISECONDS);
     }
-    this.stopped = true;
-    this.wait(SETTLE_MILLISECONDS);
+    this.isStopped = true;
+    this.wait(RECOVERY_MILLISECONDS);
     this.checkAll();
     return {
       seed: this.seed,
       violations: this.violations,
-      kept: this.bodies.size,
+      kept: this.storedBodies.size,
       granted: this.granted,
       refused: this.refused,
       unavailable: this.unavailable,
@@ -137,59 +137,59 @@
   }
 
   /** A turn: reserve, read the chain, keep, settle; then the next one. */
-  private nextTurn(program: ProgramBook): void {
-    if (this.stopped) {
+  private nextTurn(program: ProgramState): void {
+    if (this.isStopped) {
       return;
     }
     this.turnCount += 1;
     const turn = `t${this.turnCount}`;
     const client = this.random.pick(this.clients);
-    const again = (): void => {
+    const scheduleNext = (): void => {
       this.clock.schedule(this.random.exponential(120), () => this.nextTurn(program));
     };
     const request = {
       program: program.name,
       turn,
-      mostTokens: MOST_TOKENS,
+      mostTokens: MAXIMUM_TURN_TOKENS,
       budgetTokens: BUDGET_TOKENS,
     };
-    client.reserve(request, OPERATION_MILLISECONDS, (outcome) => {
+    client.reserve(request, OPERATION_TIMEOUT_MILLISECONDS, (outcome) => {
       if (outcome !== 'granted') {
-        this.noteRefusal(program, outcome);
-        again();
+        this.recordRefusal(program, outcome);
+        scheduleNext();
         return;
       }
       this.granted += 1;
-      this.readThenKeep(program, turn, client, again);
+      this.readThenStore(program, turn, client, scheduleNext);
     });
   }
 
-  private noteRefusal(program: ProgramBook, outcome: 'spent' | 'unavailable'): void {
+  private recordRefusal(program: ProgramState, outcome: 'spent' | 'unavailable'): void {
     if (outcome === 'unavailable') {
       this.unavailable += 1;
       return;
     }
     this.refused += 1;
-    if (program.handedTokens + MOST_TOKENS > BUDGET_TOKENS) {
+    if (program.deliveredTokens + MAXIMUM_TURN_TOKENS > BUDGET_TOKENS) {
       // A new program takes the place of one that is through.
-      program.handedTokens = 0;
+      program.deliveredTokens = 0;
       program.turns += 1;
       Object.assign(program, { name: `${program.name}'` });
     }
   }
 
-  private readThenKeep(
-    program: ProgramBook,
+  private readThenStore(
+    program: ProgramState,
     turn: string,
     client: TurnClient,
-    again: () => void,
+    scheduleNext: () => void,
   ): void {
-    const used = this.random.integer(0, MOST_TOKENS);
-    program.handedTokens += used;
-    if (program.handedTokens > BUDGET_TOKENS) {
-      this.violations.push(`budget: ${program.name} was handed ${program.handedTokens} tokens`);
+    const usedTokens = this.random.integer(0, MAXIMUM_TURN_TOKENS);
+    program.deliveredTokens += usedTokens;
+    if (program.deliveredTokens > BUDGET_TOKENS) {
+      this.violations.push(`budget: ${program.name} was handed ${program.deliveredTokens} tokens`);
     }
-    const keep = (before: string): void => {
+    const store = (before: string): void => {
       const input = `in ${turn};`;
       const output = `out ${turn};`;
       const kept = {
@@ -199,27 +199,27 @@
         output: Buffer.from(output),
         retentionMilliseconds: RETENTION_MILLISECONDS,
       };
-      client.storeTurn(kept, OPERATION_MILLISECONDS, (done) => {
-        client.settle(program.name, turn, MOST_TOKENS, used);
+      client.storeTurn(kept, OPERATION_TIMEOUT_MILLISECONDS, (done) => {
+        client.settle(program.name, turn, MAXIMUM_TURN_TOKENS, usedTokens);
         if (done) {
           program.lastTurn = turn;
           program.body = before + input + output;
-          this.bodies.set(turn, program.body);
+          this.storedBodies.set(turn, program.body);
         }
-        again();
+        scheduleNext();
       });
     };
     if (program.lastTurn === '') {
-      keep('');
+      store('');
       return;
     }
     const { lastTurn, body } = program;
-    client.readChain(lastTurn, OPERATION_MILLISECONDS, (chain) => {
+    client.readChain(lastTurn, OPERATION_TIMEOUT_MILLISECONDS, (chain) => {
       this.checkChain(lastTurn, body, chain);
       if (chain.tag === 'found') {
-        keep(body);
+        store(body);
       } else {
-        again();
+        scheduleNext();
       }
     });
   }
@@ -237,21 +237,21 @@
   }
 
   private checkAll(): void {
-    const { client } = this.replicas.client('checker', 'z2', this.aliveName());
-    let open = 0;
-    for (const [turn, body] of this.bodies) {
-      open += 1;
-      client.readChain(turn, OPERATION_MILLISECONDS, (chain) => {
-        open -= 1;
+    const { client } = this.replicas.client('checker', 'z2', this.activeName());
+    let pendingReads = 0;
+    for (const [turn, body] of this.storedBodies) {
+      pendingReads += 1;
+      client.readChain(turn, OPERATION_TIMEOUT_MILLISECONDS, (chain) => {
+        pendingReads -= 1;
         this.checkChain(turn, body, chain);
         if (chain.tag === 'unsure') {
           this.violations.push(`history: ${turn} can't be read after all faults ended`);
         }
       });
     }
-    this.wait(SETTLE_MILLISECONDS);
-    if (open > 0) {
-      this.violations.push(`history: ${open} reads never ended`);
+    this.wait(RECOVERY_MILLISECONDS);
+    if (pendingReads > 0) {
+      this.violations.push(`history: ${pendingReads} reads never ended`);
     }
     this.checkService(client);
   }
@@ -260,29 +260,29 @@
   private checkService(client: TurnClient): void {
     const request = { program: 'last', turn: 'last', mostTokens: 1, budgetTokens: 1 };
     let outcome = 'none';
-    client.reserve(request, OPERATION_MILLISECONDS, (ended) => {
+    client.reserve(request, OPERATION_TIMEOUT_MILLISECONDS, (ended) => {
       outcome = ended;
     });
-    this.wait(SETTLE_MILLISECONDS);
+    this.wait(RECOVERY_MILLISECONDS);
     if (outcome !== 'granted') {
       this.violations.push(`service: a reservation is ${outcome} after all faults ended`);
     }
   }
 
-  private aliveName(): string {
+  private activeName(): string {
     return this.replicas.activeNames()[0] ?? this.names[0]!;
   }
 
-  private strike(fault: TurnFault): void {
+  private injectFault(fault: TurnFault): void {
     this.faults.push(fault);
-    const lost = this.pickNames(this.names);
+    const lost = this.pickMachines(this.names);
     const name = lost[0]!;
     const { replicas } = this;
     const pause = this.random.integer(200, 3_500);
     switch (fault) {
       case 'kill':
       case 'wipe':
-        this.lose(lost, fault === 'wipe');
+        this.failMachines(lost, fault === 'wipe');
         this.wait(pause);
         lost.forEach((other) => replicas.start(other));
         return;
@@ -292,13 +292,13 @@
         replicas.resume(name);
         return;
       case 'cutGateway':
-        this.cutFor(name, ['g1', 'g2'], pause);
+        this.isolateFor(name, ['g1', 'g2'], pause);
         return;
       case 'cutPeers':
-        this.cutFor(name, this.names, pause);
+        this.isolateFor(name, this.names, pause);
         return;
       case 'cutStore':
-        this.cutFor(name, ['store'], pause);
+        this.isolateFor(name, ['store'], pause);
         return;
       case 'storeDown':
         replicas.store.reachable = false;
@@ -326,15 +326,15 @@
   }
 
   /** Names of machines that are lost at once. */
-  private pickNames(names: readonly string[]): string[] {
-    return drawSeveral(this.random, names, this.lossesAtOnce);
+  private pickMachines(names: readonly string[]): string[] {
+    return pickDistinct(this.random, names, this.lossesAtOnce);
   }
 
   private get lossesAtOnce(): number {
     return this.options.lossesAtOnce ?? 1;
   }
 
-  private lose(names: readonly string[], withDisks: boolean): void {
+  private failMachines(names: readonly string[], withDisks: boolean): void {
     for (const name of names) {
       this.replicas.kill(name);
       if (withDisks) {
@@ -343,7 +343,7 @@
     }
   }
 
-  private cutFor(name: string, others: readonly string[], pause: number): void {
+  private isolateFor(name: string, others: readonly string[], pause: number): void {
     others.forEach((other) => this.replicas.cut(name, other));
     this.wait(pause);
     others.forEach((other) => this.replicas.heal(name, other));
@@ -355,14 +355,14 @@
     this.names.splice(this.names.indexOf(name), 1);
     this.wait(pause);
     this.addMachine();
-    this.wait(SETTLE_MILLISECONDS);
+    this.wait(RECOVERY_MILLISECONDS);
   }
 
   /** A machine is emptied; once that is done it goes, and another loses its disk right after. */
   private retire(name: string): void {
     if (this.names.length < 2 * (this.lossesAtOnce + 1)) {
       this.addMachine();
-      this.wait(SETTLE_MILLISECONDS);
+      this.wait(RECOVERY_MILLISECONDS);
     }
     this.replicas.store.retiring.add(name);
     this.clock.runUntil(this.clock.now + 10_000, () => this.replicas.store.retired.has(name));
@@ -372,8 +372,8 @@
     }
     this.replicas.kill(name);
     this.names.splice(this.names.indexOf(name), 1);
-    const lost = this.pickNames(this.names);
-    this.lose(lost, true);
+    const lost = this.pickMachines(this.names);
+    this.failMachines(lost, true);
     this.wait(1_000);
     lost.forEach((other) => this.replicas.start(other));
   }
