--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,8 +1,8 @@
-# Seen: read in the code: an entry of another writer, with a service that is named and an address that is none, was taken
-#   for a runner; the first request to it threw where nothing catches, and every gateway that knew the entry ended.
-# Cause: an address was split at its last colon, and what came out of that was believed.
+# Seen: found by reading the code: an entry of another writer with a valid service and an invalid address was accepted
+#   as a runner; the first request to it threw an uncaught exception, which ended every gateway that knew the entry.
+# Cause: the address was split at its last colon, and the host and the port were not validated.
 Feature: Entries of runners that come from other writers
-  Scenario Outline: An entry that names no runner is refused
+  Scenario Outline: An entry that describes no valid runner is refused
     When the entry of a runner reads <entry>
     Then that entry is refused
 
@@ -23,19 +23,19 @@
       | []                                                                  |
       | {                                                                   |
 
-  Scenario: Whatever an entry reads, it is refused or names an address and places
-    Then any drawn entry is refused or names an address and places
+  Scenario: Any generated entry is refused or has a valid address and slots
+    Then any generated entry is refused or has a valid address and slots
 
-  Scenario: An entry that no longer names a runner takes it out of use, and the others hold
+  Scenario: An entry that becomes invalid takes its runner out of use, and other runners stay in use
     Given gateways know the runners "a" and "b"
-    When the entry of "a" is written over with bytes that can't be read, 50 times
+    When the entry of "a" is overwritten 50 times with bytes that can't be decoded
     Then only "b" is in use
-    And one line tells of it
-    When the entry of "a" is written as before
+    And one log line reports it
+    When the entry of "a" is restored
     Then "a" and "b" are in use
 
-  Scenario: Very many and very long entries of strangers are told in a bounded number of short lines
+  Scenario: Many long entries of other writers are reported in a bounded number of short log lines
     Given gateways know the runners "a" and "b"
-    When 2000 entries of strangers are written, each 100000 signs long, twice
+    When 2000 invalid entries of 100000 characters each are written twice
     Then "a" and "b" are in use
-    And at most 1001 lines of at most 400 signs tell of them
+    And at most 1001 log lines of at most 400 characters report them
--- a/features/steps/entries.steps.ts
+++ b/features/steps/entries.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about entries of runners that come from other writers. */
+/** Steps for entries of runners that come from other writers. */
 import assert from 'node:assert/strict';
 import { isIPv4 } from 'node:net';
 import { Given, Then, When } from '@cucumber/cucumber';
@@ -21,8 +21,9 @@
 interface World {
   entry?: string;
   itemTargets?: ItemTargets;
+  /** The `event` field of each log line. */
   loggedEvents?: string[];
-  /** Signs of the longest line. */
+  /** Characters of the longest set of log fields, as JSON. */
   longestLineLength?: number;
 }
 
@@ -34,7 +35,7 @@
   assert.ok(isLeft(decodeRunner('r', this.entry!)));
 });
 
-Then('any drawn entry is refused or names an address and places', function () {
+Then('any generated entry is refused or has a valid address and slots', function () {
   const arbitraryValue = fc.oneof(fc.string(), fc.json(), fc.integer(), fc.constant('10.0.0.1:80'));
   const entry = fc.record(
     {
@@ -64,7 +65,7 @@
     }),
     { numRuns: NUMBER_OF_RUNS },
   );
-  assert.ok(decodedCount > 0, 'no drawn entry named a runner');
+  assert.ok(decodedCount > 0, 'no generated entry was decoded as a runner');
 });
 
 function entryOf(hostNumber: number): string {
@@ -105,7 +106,7 @@
 );
 
 When(
-  "the entry of {string} is written over with bytes that can't be read, {int} times",
+  "the entry of {string} is overwritten {int} times with bytes that can't be decoded",
   function (this: World, name: string, times: number) {
     for (let time = 0; time < times; time += 1) {
       putEntry(this, name, '\uFFFD{');
@@ -113,7 +114,7 @@
   },
 );
 
-When('the entry of {string} is written as before', function (this: World, name: string) {
+When('the entry of {string} is restored', function (this: World, name: string) {
   putEntry(this, name, entryOf(1));
 });
 
@@ -133,7 +134,7 @@
 });
 
 When(
-  '{int} entries of strangers are written, each {int} signs long, twice',
+  '{int} invalid entries of {int} characters each are written twice',
   function (this: World, count: number, length: number) {
     const entry = JSON.stringify({ Service: SERVICE, Address: { text: 'x'.repeat(length) } });
     for (let index = 0; index < 2 * count; index += 1) {
@@ -143,14 +144,14 @@
 );
 
 Then(
-  'at most {int} lines of at most {int} signs tell of them',
+  'at most {int} log lines of at most {int} characters report them',
   function (this: World, maximumLines: number, maximumLength: number) {
     const lineCount = this.loggedEvents!.filter((event) => event === 'item.refused').length;
-    assert.ok(lineCount > 0 && lineCount <= maximumLines, `${lineCount} lines`);
-    assert.ok(this.longestLineLength! <= maximumLength, `${this.longestLineLength} signs`);
+    assert.ok(lineCount > 0 && lineCount <= maximumLines, `${lineCount} log lines`);
+    assert.ok(this.longestLineLength! <= maximumLength, `${this.longestLineLength} characters`);
   },
 );
 
-Then('one line tells of it', function (this: World) {
+Then('one log line reports it', function (this: World) {
   assert.equal(this.loggedEvents!.filter((event) => event === 'item.refused').length, 1);
 });
--- a/features/steps/store-client.steps.ts
+++ b/features/steps/store-client.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about the client of the platform's store, over a loopback socket. */
+/** Steps for the client of the platform's store, against a server on the loopback interface. */
 import assert from 'node:assert/strict';
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -18,7 +18,7 @@
   listResult?: ListResult;
 }
 
-/** Serves one body after another, whatever is asked. */
+/** Starts a server that answers each request with the next body, whatever the request is. */
 async function serveBodies(world: World, bodies: readonly string[]): Promise<void> {
   const remainingBodies = [...bodies];
   world.listServer = createServer((request, response) => {
@@ -35,7 +35,7 @@
 });
 
 Given(
-  'a store that answers a list in pages that stand at revisions {string}',
+  'a store that answers a list in pages at revisions {string}',
   async function (this: World, revisions: string) {
     const pages = revisions.split(' ').map(Number);
     const bodies = pages.map((At, page) =>
@@ -60,7 +60,7 @@
 });
 
 Then(
-  'it has the items of {int} pages and stands at revision {int}',
+  'the list has the items of {int} pages and revision {int}',
   function (this: World, pages: number, revision: number) {
     assert.ok(E.isRight(this.listResult!));
     assert.deepEqual(
@@ -71,6 +71,6 @@
   },
 );
 
-Then('it is refused', function (this: World) {
+Then('the list is refused', function (this: World) {
   assert.ok(E.isLeft(this.listResult!));
 });
