--- a/src/replication/applied-log.ts
+++ b/src/replication/applied-log.ts
@@ -5,10 +5,10 @@
 import type { ReplicaLog } from './replica-log.js';
 import type { ReplicaStateMachine } from './state-machine.js';
 
-/** Applied entries after which a snapshot replaces them. */
+/** Number of applied entries after which a snapshot replaces them. */
 const SNAPSHOT_AFTER_ENTRIES = 4000;
 
-/** What it is made with. */
+/** Dependencies of an `AppliedLog`. */
 export interface AppliedLogOptions<Outcome> {
   readonly log: ReplicaLog;
   readonly storage: ReplicaStorage;
@@ -16,7 +16,7 @@
   readonly pending: PendingProposals<Outcome>;
 }
 
-/** See the head of this file. */
+/** The applied part of one replica's log. */
 export class AppliedLog<Outcome> {
   private index: number;
 
@@ -25,7 +25,7 @@
     options.stateMachine.restore(options.log.snapshot.state);
   }
 
-  /** Newest index that is applied, and so known to be committed. */
+  /** Index of the newest applied entry; every applied entry is committed. */
   get lastIndex(): number {
     return this.index;
   }
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Replaces the state and the log by a leader's snapshot; calls back when it is on disk. */
+  /** Replaces the state and the log by a leader's snapshot; calls `done` when it is durable. */
   install(snapshot: Snapshot, done: () => void): void {
     const { log, stateMachine, storage } = this.options;
     log.compact(snapshot);
@@ -46,7 +46,7 @@
     storage.persist({ snapshot }, done);
   }
 
-  /** Replaces the applied part of the log by a snapshot when it has become long. */
+  /** Replaces the applied entries by a snapshot once there are enough of them. */
   takeSnapshotIfLong(voters: readonly NodeId[]): void {
     const { log, stateMachine, storage } = this.options;
     if (this.index - log.snapshot.lastIndex < SNAPSHOT_AFTER_ENTRIES) {
--- a/src/replication/ballot.ts
+++ b/src/replication/ballot.ts
@@ -1,27 +1,27 @@
-/** The votes of one election, or of the poll before it that asks whether an election could be won. */
+/** Counts the votes of an election or of the pre-vote before it. */
 import type { NodeId } from '../model/identifiers.js';
 
-/** Replicas that make a majority of a shard's voters. */
+/** Number of votes that form a majority of a shard's voters. */
 export function quorumOf(voters: readonly NodeId[]): number {
   return Math.floor(voters.length / 2) + 1;
 }
 
-/** See the head of this file. */
+/** Votes that one candidate has received for one term. */
 export class Ballot {
   private readonly votes: Set<NodeId>;
 
   /** A candidate votes for itself. */
   constructor(
     self: NodeId,
-    /** Whether this is the poll before an election (pre-vote), which changes no term. */
+    /** Whether this is a pre-vote, which asks if an election could be won and changes no term. */
     readonly preVote: boolean,
-    /** Term for which votes are asked. */
+    /** Term for which the candidate requests votes. */
     readonly term: number,
   ) {
     this.votes = new Set([self]);
   }
 
-  /** Takes a vote. */
+  /** Counts a vote; repeated votes of a voter count once. */
   add(voter: NodeId): void {
     this.votes.add(voter);
   }
--- a/src/replication/leader-directory.ts
+++ b/src/replication/leader-directory.ts
@@ -1,15 +1,15 @@
-/** Guesses which node leads each shard; corrected by refusals and by silence. */
+/** Caches the probable leader of each shard; updated by `notLeader` replies, timeouts and leader traffic. */
 import type { NodeId, ShardId } from '../model/identifiers.js';
 import type { ShardMap } from './shard-map.js';
 
-/** Leader guesses of one node. */
+/** One node's cache of shard leaders. */
 export class LeaderDirectory {
   private readonly hints = new Map<ShardId, NodeId>();
   private readonly attempts = new Map<ShardId, number>();
 
   constructor(private readonly map: ShardMap) {}
 
-  /** The node to ask next about a shard. */
+  /** The node to send a shard's next request to: the cached leader, else one of the voters in turn. */
   targetOf(shard: ShardId): NodeId {
     const hint = this.hints.get(shard);
     if (hint !== undefined) {
@@ -19,7 +19,7 @@
     return voters[(this.attempts.get(shard) ?? 0) % Math.max(1, voters.length)] ?? '';
   }
 
-  /** Takes a hint from a node that does not lead; an empty one tells only that it does not. */
+  /** Handles a `notLeader` reply; its hint is empty when the replying node knows no leader. */
   learn(shard: ShardId, hint: NodeId, from: NodeId): void {
     if (hint !== '' && hint !== from) {
       this.hints.set(shard, hint);
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Stops asking a node that did not answer. */
+  /** Moves on to the next voter after a node did not answer. */
   suspect(shard: ShardId, node: NodeId): void {
     if (this.targetOf(shard) !== node) {
       return;
@@ -37,7 +37,7 @@
     this.attempts.set(shard, (this.attempts.get(shard) ?? 0) + 1);
   }
 
-  /** Notes a node that has acted as the leader. */
+  /** Records a node that has acted as the shard's leader. */
   confirm(shard: ShardId, node: NodeId): void {
     this.hints.set(shard, node);
   }
--- a/src/replication/leader-progress.ts
+++ b/src/replication/leader-progress.ts
@@ -1,21 +1,21 @@
-/** What a leader knows of its followers: how far they agree and when they last answered. */
+/** Tracks how far each follower's log matches the leader's and when the follower last answered. */
 import type { NodeId } from '../model/identifiers.js';
 
-/** One follower. */
+/** Replication state of one follower. */
 export interface FollowerProgress {
   /** Index of the next entry to send. */
   nextIndex: number;
-  /** Newest index known to be stored there. */
+  /** Highest index known to be stored by the follower. */
   matchIndex: number;
-  /** Send time of the newest append this follower has answered, on the leader's clock. */
+  /** Send time of the newest append that the follower has answered, in milliseconds on the leader's clock. */
   acknowledgedAt: number;
 }
 
-/** Followers of one leadership. */
+/** Replication state of all followers during one leadership. */
 export class LeaderProgress {
   private readonly followers: Map<NodeId, FollowerProgress>;
 
-  /** `acknowledgedAt` is a time in the past: a lease starts only with real answers. */
+  /** `acknowledgedAt` must lie in the past: a lease starts only with answers to this leader. */
   constructor(
     private readonly voters: readonly NodeId[],
     private readonly self: NodeId,
@@ -28,22 +28,22 @@
     );
   }
 
-  /** One follower. */
+  /** State of one follower; undefined for the leader itself and for nodes that are not voters. */
   get(voter: NodeId): FollowerProgress | undefined {
     return this.followers.get(voter);
   }
 
-  /** Newest index that a quorum stores, given the leader's own. */
+  /** Highest index stored by a quorum, counting the leader's own. */
   quorumMatch(ownIndex: number): number {
     return this.quorumValue(ownIndex, (follower) => follower.matchIndex);
   }
 
-  /** Time since which a quorum is known to have supported the leader. */
+  /** Send time of the newest append that a quorum has answered, in milliseconds on the leader's clock. */
   quorumAcknowledgedAt(now: number): number {
     return this.quorumValue(now, (follower) => follower.acknowledgedAt);
   }
 
-  /** The follower that agrees farthest among those that answered since a time. */
+  /** The follower with the highest matching index among those that have answered since a time. */
   mostAdvanced(since: number): NodeId | undefined {
     const candidates = [...this.followers].filter(
       ([, follower]) => follower.acknowledgedAt >= since,
@@ -52,7 +52,7 @@
     return candidates[0]?.[0];
   }
 
-  /** The value that a majority of the voters reaches. */
+  /** The highest value that a majority of the voters reaches. */
   private quorumValue(own: number, valueOf: (follower: FollowerProgress) => number): number {
     const values = this.voters.map((voter) => {
       const follower = this.followers.get(voter);
--- a/src/replication/level-storage.ts
+++ b/src/replication/level-storage.ts
@@ -1,8 +1,8 @@
 /**
  * Durable storage of a node's replicas in one `classic-level` database under the data folder.
- * Changes of all replicas that come while a write is under way share the next synced write. The database
- * syncs what it writes, but not always the names of files that it has just made, so the folder is synced
- * before anything is acknowledged: one more sync a write, of a folder that has rarely changed.
+ * Changes of all replicas that arrive during a write share the next synced write. The database syncs the
+ * contents of its files, but not always the directory entries of new ones, so the folder is synced too
+ * before a write is acknowledged. The extra sync is cheap, since the folder rarely changes.
  */
 import { join } from 'node:path';
 import { ClassicLevel } from 'classic-level';
@@ -23,10 +23,11 @@
 interface ReplicaMeta {
   readonly term: number;
   readonly votedFor: NodeId;
-  /** Newest entry promised to be here; fewer found means a torn tail. */
+  /** Highest index written durably; a log that ends earlier has a torn tail. */
   readonly lastIndex: number;
 }
 
+/** What the database holds of one replica once all queued writes are done. */
 interface StoredReplicaState {
   meta: ReplicaMeta;
   snapshotIndex: number;
@@ -52,13 +53,13 @@
   return `replica/${shard}/entry/${String(index).padStart(INDEX_DIGITS, '0')}`;
 }
 
-/** An entry with its checksum, as stored. */
+/** Stored form of an entry: a checksum followed by the encoded entry in base64. */
 function encodeStoredEntry(entry: LogEntry): string {
   const text = Buffer.from(encodeEntry(entry)).toString('base64');
   return hashText(text) + text;
 }
 
-/** The entry of a stored value; undefined when it is damaged. */
+/** Decodes a stored entry; undefined when the value is damaged. */
 function decodeStoredEntry(value: string): LogEntry | undefined {
   const text = value.slice(CHECKSUM_DIGITS);
   if (hashText(text) !== value.slice(0, CHECKSUM_DIGITS)) {
@@ -71,21 +72,21 @@
   }
 }
 
-/** Replicas found in a data folder. */
+/** Result of opening a data folder. */
 export interface LoadedStorage {
   readonly storage: LevelStorage;
-  /** Shards whose logs ended before what was promised: their tails were torn. */
+  /** Shards whose logs have lost acknowledged entries at the end (torn tails). */
   readonly tornShards: readonly ShardId[];
 }
 
-/** See the head of this file. */
+/** Durable storage of a node's replicas and of its configuration. */
 export class LevelStorage implements NodeStorage {
   storedConfiguration?: { readonly revision: number; readonly documents: string };
   private readonly replicaStates = new Map<ShardId, StoredReplicaState>();
   private readonly loaded = new Map<ShardId, PersistedReplica>();
   private queue: PendingWrite[] = [];
   private writing = false;
-  /** Synced writes so far. */
+  /** Number of synced writes so far. */
   writeCount = 0;
 
   private constructor(
@@ -134,7 +135,7 @@
     };
   }
 
-  /** Closes the database when the last write is done. */
+  /** Closes the database after the write in progress. */
   async close(): Promise<void> {
     await this.database.close();
   }
@@ -213,7 +214,8 @@
       return;
     }
     this.writeDurably(operations).then(finish, (cause: unknown) => {
-      // Nothing may be acknowledged that is not on disk: the node stands still until replaced.
+      // A change that is not on disk must not be acknowledged. `writing` stays set, so that this
+      // process persists and acknowledges nothing more.
       const reason = cause instanceof Error ? cause.message : String(cause);
       this.runtime.log('error', 'disk write failed; this node stops replicating', { reason });
     });
@@ -224,7 +226,7 @@
     await syncFolder(this.folder);
   }
 
-  /** Reads one replica; true when its tail is torn. */
+  /** Loads one replica; returns true when its log has a torn tail. */
   private async readReplica(shard: ShardId, voters: readonly NodeId[]): Promise<boolean> {
     const metaText = await this.database.get(metaKey(shard));
     if (metaText === undefined) {
@@ -249,7 +251,7 @@
     return lastIndex < meta.lastIndex;
   }
 
-  /** Entries after the snapshot up to the first gap or damage. */
+  /** Reads the entries after the snapshot, up to the first missing or damaged one. */
   private async readEntries(shard: ShardId, snapshotIndex: number): Promise<LogEntry[]> {
     const entries: LogEntry[] = [];
     const range = {
--- a/src/replication/log-entry.ts
+++ b/src/replication/log-entry.ts
@@ -1,14 +1,14 @@
-/** Entries of a shard's replicated log. */
+/** Types of a shard's replicated log and of a replica's durable state. */
 import type { Command } from '../program/commands.js';
 import type { NodeId } from '../model/identifiers.js';
 
-/** One entry; its index follows from its place. */
+/** One log entry; its index follows from its position in the log. */
 export interface LogEntry {
   readonly term: number;
   readonly command: Command;
 }
 
-/** The state of a shard up to an index, with which the entries before it are replaced. */
+/** State of a shard after the entry at `lastIndex`; replaces all entries up to that one. */
 export interface Snapshot {
   readonly lastIndex: number;
   readonly lastTerm: number;
@@ -17,7 +17,7 @@
   readonly state: string;
 }
 
-/** What a replica must not forget when its process ends. */
+/** Durable state of a replica, kept across restarts. */
 export interface PersistedReplica {
   readonly term: number;
   /** Empty when no vote was given in this term. */
@@ -25,28 +25,29 @@
   readonly snapshot: Snapshot;
   readonly entries: readonly LogEntry[];
   /**
-   * Newest index the replica has acknowledged, when its disk has lost the end of the log. Until it
-   * has caught up it must not help to elect a leader: that could miss what was committed.
+   * Highest index that the replica has acknowledged; set only when its disk has lost the end of the
+   * log. Until the log reaches this index again, the replica must take no part in elections: a leader
+   * elected with its vote could lack committed entries.
    */
   readonly acknowledgedIndex?: number;
 }
 
-/** One change to a replica's persisted part; its parts take effect together. */
+/** A change to a replica's durable state; its parts are applied atomically. */
 export interface PersistChange {
   readonly vote?: { readonly term: number; readonly votedFor: NodeId };
-  /** Entries from `fromIndex` on are replaced by these. */
+  /** Replaces all entries from `fromIndex` on. */
   readonly append?: { readonly fromIndex: number; readonly entries: readonly LogEntry[] };
-  /** Entries up to the snapshot's index are dropped; `keepFromIndex` says what stays. */
+  /** Replaces the snapshot and drops the entries that it covers. */
   readonly snapshot?: Snapshot;
 }
 
 /** Durable storage of one replica. Changes become durable in the order they are given. */
 export interface ReplicaStorage {
-  /** Calls back when the change, and all before it, would survive the process's death. */
+  /** Calls `done` when the change and all earlier ones are durable. */
   persist(change: PersistChange, done: () => void): void;
 }
 
-/** A replica that was never written to. */
+/** Initial state of a new replica. */
 export function emptyReplica(voters: readonly NodeId[]): PersistedReplica {
   return {
     term: 0,
@@ -56,7 +57,7 @@
   };
 }
 
-/** Applies a change to the persisted part in memory; every storage shares this meaning. */
+/** The state after a change; defines the meaning of `PersistChange` for all storages. */
 export function applyChange(replica: PersistedReplica, change: PersistChange): PersistedReplica {
   let next = replica;
   if (change.vote !== undefined) {
--- a/src/replication/memory-storage.ts
+++ b/src/replication/memory-storage.ts
@@ -1,9 +1,9 @@
-/** Storage of a node without a data folder: nothing outlives the process. */
+/** Storage of a node without a data folder: keeps nothing across restarts. */
 import type { NodeStorage } from '../node/node-options.js';
 
 /**
- * Makes such a storage. A process with it must take a new node name at every start, since it has
- * forgotten its votes.
+ * Creates a storage that acknowledges every change at once and keeps none. A process that uses it must
+ * take a new node name at every start: under the old name it might vote twice in the same term.
  */
 export function createMemoryStorage(): NodeStorage {
   return {
--- a/src/replication/proposals.ts
+++ b/src/replication/proposals.ts
@@ -1,11 +1,11 @@
-/** Commands that a leader has appended and whose proposers wait for the outcome. */
+/** Tracks the commands that a leader has appended until their outcomes are known. */
 
-/** What became of a proposed command. */
+/** Outcome of a proposed command. */
 export type ProposalResult<Outcome> =
   | { readonly type: 'committed'; readonly outcome: Outcome }
-  /** Leadership was lost first: the command may or may not be committed later. */
+  /** Leadership was lost before the commit: the command may or may not be committed later. */
   | { readonly type: 'unknown' }
-  /** This replica does not lead: the command will never be committed. */
+  /** This replica is not the leader: the command was not appended and will never be committed. */
   | { readonly type: 'notLeader' };
 
 /** Receives the result of a proposal, exactly once. */
@@ -16,28 +16,28 @@
   readonly listener: ProposalListener<Outcome>;
 }
 
-/** See the head of this file; proposals by their index in the log. */
+/** Pending proposals of one leader, by their index in the log. */
 export class PendingProposals<Outcome> {
   private readonly byIndex = new Map<number, PendingProposal<Outcome>>();
 
-  /** Notes that an entry of a term waits at an index. */
+  /** Registers the listener of the entry that was appended at an index in a term. */
   add(index: number, term: number, listener: ProposalListener<Outcome>): void {
     this.byIndex.set(index, { term, listener });
   }
 
-  /** Tells who waits at an index, if anybody does, that an entry of a term was applied there. */
+  /** Reports the entry that was applied at an index to the proposal pending there, if any. */
   resolve(index: number, term: number, outcome: Outcome): void {
     const proposal = this.byIndex.get(index);
     if (proposal === undefined) {
       return;
     }
     this.byIndex.delete(index);
-    // An entry of another term took the place of the one that was proposed.
+    // An entry of another term has replaced the proposed one.
     const isSameTerm = proposal.term === term;
     proposal.listener(isSameTerm ? { type: 'committed', outcome } : { type: 'unknown' });
   }
 
-  /** Ends all proposals as unknown. */
+  /** Reports all pending proposals as `unknown`. */
   abandon(): void {
     const abandoned = [...this.byIndex.values()];
     this.byIndex.clear();
--- a/src/replication/raft-replica.ts
+++ b/src/replication/raft-replica.ts
@@ -1,7 +1,7 @@
 /**
  * One replica of a shard's log: elections with pre-vote, replication, leader leases, snapshots and
  * leadership transfer, after Ongaro's "Consensus: Bridging Theory and Practice" (2014).
- * Driven from outside by `tick` and `receive`; sends and persists through its ports.
+ * Driven by calls of `tick` and `receive`; sends and persists through its options.
  */
 import type { NodeId, ShardId } from '../model/identifiers.js';
 import type {
@@ -25,17 +25,17 @@
 import { ReplicaLog } from './replica-log.js';
 import type { ReplicaStateMachine } from './state-machine.js';
 
-/** Shortest time without a leader before an election, in milliseconds. */
+/** Minimum time without a leader before an election, in milliseconds. */
 export const ELECTION_TIMEOUT_MILLISECONDS = 600;
-/** Time between heartbeats of a leader, in milliseconds. */
+/** Interval of a leader's heartbeats, in milliseconds. */
 export const HEARTBEAT_INTERVAL_MILLISECONDS = 120;
-/** Part of the election timeout a lease lasts; the rest covers clocks running at unequal rates. */
+/** Duration of a lease as a fraction of the election timeout; the rest allows for clock drift. */
 const LEASE_FRACTION = 0.8;
 
-/** What a replica is at the moment. */
+/** Current role of a replica. */
 export type ReplicaRole = 'follower' | 'candidate' | 'leader';
 
-/** Everything a replica is made with. */
+/** Identity, dependencies and initial state of a replica. */
 export interface RaftReplicaOptions<Outcome> {
   readonly shard: ShardId;
   readonly self: NodeId;
@@ -44,7 +44,7 @@
   readonly persisted: PersistedReplica;
   readonly stateMachine: ReplicaStateMachine<Outcome>;
   readonly send: (to: NodeId, message: Message) => void;
-  /** Called when this replica starts or stops being a leader that has applied its whole past. */
+  /** Called with true when this replica leads and has applied all earlier terms, with false when that ends. */
   readonly onLeadership: (leading: boolean) => void;
 }
 
@@ -62,7 +62,7 @@
   private lastLeaderContactAt: number;
   private electionDeadline = 0;
   private lastHeartbeatAt = 0;
-  /** The election or poll under way; undefined when none is. */
+  /** Votes of the election or pre-vote in progress; undefined when there is none. */
   private ballot: Ballot | undefined;
   private progress: LeaderProgress;
   private readonly pending = new PendingProposals<Outcome>();
@@ -85,7 +85,7 @@
     this.commitIndex = persisted.snapshot.lastIndex;
     this.durableIndex = this.log.lastIndex;
     this.acknowledgedIndex = persisted.acknowledgedIndex ?? 0;
-    // A restarted voter has forgotten whose lease it supports: it waits one timeout out.
+    // A restarted voter does not know whose lease it supports, so it grants no vote for one timeout.
     this.lastLeaderContactAt = runtime.now();
     const { storage, stateMachine } = options;
     this.applied = new AppliedLog({ log: this.log, storage, stateMachine, pending: this.pending });
@@ -97,35 +97,33 @@
     return this.leader;
   }
 
-  /** Term of this replica. */
   get currentTerm(): number {
     return this.term;
   }
 
-  /** Members whose votes count. */
+  /** Nodes whose votes count. */
   get currentVoters(): readonly NodeId[] {
     return this.voters;
   }
 
-  /** Newest committed index known here. */
+  /** Highest index that this replica knows to be committed. */
   get committedIndex(): number {
     return this.commitIndex;
   }
 
-  /** What this replica is. */
   get currentRole(): ReplicaRole {
     return this.role;
   }
 
   /**
-   * True when this replica provably leads: a quorum has answered it within the lease, and every
-   * entry of earlier terms is applied. A leader that wakes from a pause finds its lease over.
+   * True when this replica is certain to be the leader: a quorum has answered it within the lease, and
+   * every entry of earlier terms is applied. After a long pause of the process the lease has expired.
    */
   canServe(): boolean {
     return this.role === 'leader' && this.serving && !this.transferring && this.holdsLease();
   }
 
-  /** Proposes a command; the listener hears of it exactly once. */
+  /** Proposes a command; the listener is called exactly once. */
   propose(command: Command, listener: ProposalListener<Outcome>): void {
     if (this.role !== 'leader' || this.transferring || this.stopped) {
       listener({ type: 'notLeader' });
@@ -134,7 +132,7 @@
     this.appendAsLeader(command, listener);
   }
 
-  /** To be called a few times per heartbeat period. */
+  /** Drives heartbeats and elections; must be called several times per heartbeat interval. */
   tick(): void {
     if (this.stopped) {
       return;
@@ -147,7 +145,7 @@
     }
   }
 
-  /** Handles one message of another replica of this shard. */
+  /** Handles a message from another replica of this shard. */
   receive(from: NodeId, message: ReplicationMessage): void {
     if (this.stopped) {
       return;
@@ -170,10 +168,10 @@
     }
   }
 
-  /** Hands leadership to the most advanced other voter; returns false when there is none. */
+  /** Transfers leadership to the most up-to-date responsive follower; false if none can take over. */
   transferLeadership(): boolean {
     if (this.role !== 'leader' || this.transferring) {
-      // A second try would put off the time at which the first one is given up.
+      // A second attempt would postpone the timeout of the first one.
       return this.transferring;
     }
     const activeSince = this.options.runtime.now() - ELECTION_TIMEOUT_MILLISECONDS;
@@ -192,21 +190,21 @@
     return true;
   }
 
-  /** From now on this replica votes and replicates but does not stand for election. */
+  /** Keeps this replica from becoming a candidate; it still votes and replicates. */
   disableCandidacy(): void {
     this.candidacyEnabled = false;
   }
 
-  /** Ends all activity; pending proposals end as unknown. */
+  /** Stops all activity and reports pending proposals as `unknown`. */
   stop(): void {
     this.stopped = true;
     this.pending.abandon();
   }
 
-  /** False while the log ends before what this replica has acknowledged. */
+  /** False while the log lacks entries that this replica has acknowledged. */
   private get canTakePartInElections(): boolean {
     if (this.log.lastIndex >= this.acknowledgedIndex) {
-      // Caught up once, it may well be shortened again by a leader: nothing is lost by that.
+      // Once the log has caught up, a leader may truncate it again without losing committed entries.
       this.acknowledgedIndex = 0;
     }
     return this.acknowledgedIndex === 0;
@@ -221,12 +219,12 @@
       this.lastHeartbeatAt = now;
       this.broadcastAppend();
     }
-    // A leader that no quorum answers steps down, so that its callers look elsewhere.
+    // A leader without answers from a quorum steps down, so that callers look for another one.
     if (now - this.progress.quorumAcknowledgedAt(now) > 2 * ELECTION_TIMEOUT_MILLISECONDS) {
       this.becomeFollower(this.term, '');
     }
-    // The order to take over may still arrive late and then bypasses the lease, so a leader that
-    // tried to hand over never serves again in this term.
+    // A delayed `timeoutNow` may still start an election that bypasses the lease, so a leader whose
+    // transfer has timed out must not serve again in this term.
     if (this.transferring && now - this.transferStartedAt > ELECTION_TIMEOUT_MILLISECONDS) {
       this.becomeFollower(this.term, '');
     }
@@ -292,7 +290,7 @@
     const heardFromLeaderRecently =
       this.options.runtime.now() - this.lastLeaderContactAt < ELECTION_TIMEOUT_MILLISECONDS;
     const isLeaderProtected = this.role === 'leader' ? this.holdsLease() : heardFromLeaderRecently;
-    // Supporting a lease means electing nobody else while it may still be in use.
+    // A voter that supports a leader's lease elects no other node while the lease may be in use.
     if ((isLeaderProtected && !message.transfer) || !this.canTakePartInElections) {
       this.replyToVote(from, message, false);
       return;
@@ -453,7 +451,7 @@
       return;
     }
     const entries = this.log.entriesFrom(progress.nextIndex);
-    // Optimistic: a lost message shows as a refusal of the next one.
+    // Assumes delivery: after a lost message the follower rejects the next one.
     progress.nextIndex += entries.length;
     this.options.send(to, {
       type: 'appendEntries',
@@ -526,7 +524,7 @@
     } else if (this.durableIndex >= matchIndex) {
       finish();
     } else {
-      // Already in memory but still being written: answer when that write is done.
+      // The entries are in memory but not durable yet: the reply waits for the write in progress.
       this.options.storage.persist({}, finish);
     }
     this.commitTo(Math.min(message.commitIndex, matchIndex));
@@ -554,7 +552,7 @@
     }
     progress.acknowledgedAt = Math.max(progress.acknowledgedAt, message.sentAt);
     if (!message.success) {
-      // A follower whose disk lost its newest entries agrees less far than it once did.
+      // The match index goes back when the follower's disk has lost its newest entries.
       progress.matchIndex = Math.min(progress.matchIndex, message.matchIndex);
       progress.nextIndex = message.matchIndex + 1;
       this.sendAppend(from);
@@ -591,7 +589,7 @@
       return;
     }
     const index = this.progress.quorumMatch(this.durableIndex);
-    // Only entries of the own term are committed by counting (Raft, section 5.4.2).
+    // Only entries of the current term are committed by counting replicas (Raft, section 5.4.2).
     if (index > this.commitIndex && this.log.termAt(index) === this.term) {
       this.commitTo(index);
       this.scheduleFlush();
--- a/src/replication/replica-log.ts
+++ b/src/replication/replica-log.ts
@@ -1,10 +1,10 @@
 /** The log of one replica in memory: entries after a snapshot, addressed by index from 1. */
 import type { LogEntry, Snapshot } from './log-entry.js';
 
-/** Most entries carried by one message. */
+/** Maximum number of entries in one message. */
 export const MAXIMUM_ENTRIES_PER_MESSAGE = 256;
 
-/** Entries after a snapshot. */
+/** Snapshot of one replica and the entries after it. */
 export class ReplicaLog {
   private entries: LogEntry[];
 
@@ -43,13 +43,13 @@
     return this.entries[index - this.base.lastIndex - 1];
   }
 
-  /** A bounded run of entries from an index on. */
+  /** At most `MAXIMUM_ENTRIES_PER_MESSAGE` entries, from an index on. */
   entriesFrom(index: number): LogEntry[] {
     const start = index - this.base.lastIndex - 1;
     return this.entries.slice(start, start + MAXIMUM_ENTRIES_PER_MESSAGE);
   }
 
-  /** Replaces everything from an index on. */
+  /** Replaces all entries from an index on. */
   replaceFrom(index: number, entries: readonly LogEntry[]): void {
     this.entries.length = index - this.base.lastIndex - 1;
     for (const entry of entries) {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Drops the entries a snapshot covers. */
+  /** Replaces the entries that a snapshot covers; drops all entries if the log conflicts with it. */
   compact(snapshot: Snapshot): void {
     const matchesSnapshot = this.termAt(snapshot.lastIndex) === snapshot.lastTerm;
     const dropped = snapshot.lastIndex - this.base.lastIndex;
--- a/src/replication/shard-host.ts
+++ b/src/replication/shard-host.ts
@@ -1,4 +1,4 @@
-/** The part of a shard that the roles above it use: its state, its leadership and its log. */
+/** One replica of a shard with the state machine that applies its log to the shard state. */
 import type { NodeId, ShardId } from '../model/identifiers.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Message, ReplicationMessage } from '../wire/messages.js';
@@ -12,7 +12,7 @@
 import type { ReplicaRole } from './raft-replica.js';
 import type { ProposalListener } from './proposals.js';
 
-/** Everything a shard host is made with. */
+/** Identity, dependencies and initial state of a shard host. */
 export interface ShardHostOptions {
   readonly shard: ShardId;
   readonly self: NodeId;
@@ -23,7 +23,7 @@
   readonly onLeadership: (leading: boolean) => void;
 }
 
-/** One replica with its state. */
+/** Gives a shard's roles access to its state, its leadership and its log. */
 export class ShardHost {
   readonly shard: ShardId;
   private current: ShardState = emptyShardState();
@@ -43,58 +43,58 @@
     });
   }
 
-  /** The state as applied here; proven current only while `canServe`. */
+  /** State after the entries applied so far; certain to be current only while `canServe()` is true. */
   get state(): ShardState {
     return this.current;
   }
 
-  /** Term of the replica. */
+  /** Current term of the replica. */
   get term(): number {
     return this.replica.currentTerm;
   }
 
-  /** The node believed to lead. */
+  /** The node believed to lead the shard; empty when unknown. */
   get leaderHint(): NodeId {
     return this.replica.leaderHint;
   }
 
-  /** What this replica is. */
+  /** Current role of the replica. */
   get role(): ReplicaRole {
     return this.replica.currentRole;
   }
 
-  /** Newest committed index known here. */
+  /** Highest index that the replica knows to be committed. */
   get committedIndex(): number {
     return this.replica.committedIndex;
   }
 
-  /** True when this node provably leads the shard now. */
+  /** True when this node is certain to lead the shard. */
   canServe(): boolean {
     return this.replica.canServe();
   }
 
-  /** Proposes a command. */
+  /** Proposes a command; the listener is called exactly once. */
   propose(command: Command, listener: ProposalListener<CommandOutcome>): void {
     this.replica.propose(command, listener);
   }
 
-  /** Drives elections and heartbeats. */
+  /** Drives elections and heartbeats; must be called several times per heartbeat interval. */
   tick(): void {
     this.replica.tick();
   }
 
-  /** Handles a replica's message. */
+  /** Handles a message from another replica of this shard. */
   receive(from: NodeId, message: ReplicationMessage): void {
     this.replica.receive(from, message);
   }
 
-  /** Hands leadership over and does not take it again. */
+  /** Transfers leadership and keeps this replica from becoming a candidate again. */
   transferLeadership(): boolean {
     this.replica.disableCandidacy();
     return this.replica.transferLeadership();
   }
 
-  /** Ends all activity. */
+  /** Stops all activity and reports pending proposals as `unknown`. */
   stop(): void {
     this.replica.stop();
   }
--- a/src/replication/shard-map.ts
+++ b/src/replication/shard-map.ts
@@ -1,4 +1,4 @@
-/** Which nodes replicate which shard, and which shard a program, group or service belongs to. */
+/** Maps shards to the nodes that replicate them, and programs, groups and services to shards. */
 import { hashText, hashToNumber } from '../runtime/hashing.js';
 import type {
   GroupName,
@@ -10,19 +10,19 @@
 } from '../model/identifiers.js';
 import { rootOf } from '../program/program-name.js';
 
-/** Replicas of a shard, in distinct zones where there are enough. */
+/** Number of replicas of a shard; in distinct zones if there are enough zones. */
 export const REPLICAS_PER_SHARD = 3;
 
-/** A node that may hold replicas. */
+/** A node that may hold replicas, and its zone. */
 export interface PlacedNode {
   readonly node: NodeId;
   readonly zone: ZoneName;
 }
 
-/** Placement of a region's shards. */
+/** Assignment of a region's shards to nodes. */
 export interface ShardMap {
   readonly shardCount: number;
-  /** Voters of each shard, by its number. */
+  /** Voters of each shard, indexed by shard number. */
   readonly voters: readonly (readonly NodeId[])[];
 }
 
@@ -32,7 +32,7 @@
   return scored.map((entry) => entry.node);
 }
 
-/** Picks a shard's voters by rendezvous hashing, one a zone before a second in any. */
+/** Chooses a shard's voters by rendezvous hashing; reuses a zone only if there are too few zones. */
 export function chooseVoters(shard: ShardId, nodes: readonly PlacedNode[]): NodeId[] {
   const ranked = rankNodes(shard, nodes);
   const chosen: PlacedNode[] = [];
@@ -50,18 +50,18 @@
   return chosen.map((node) => node.node).sort();
 }
 
-/** Places every shard. */
+/** Chooses the voters of every shard. */
 export function createShardMap(shardCount: number, nodes: readonly PlacedNode[]): ShardMap {
   const voters = Array.from({ length: shardCount }, (_, shard) => chooseVoters(shard, nodes));
   return { shardCount, voters };
 }
 
-/** The shard that keeps a program, with all its sub-agents. */
+/** The shard that stores a program and all its sub-agents. */
 export function shardOfProgram(map: ShardMap, program: ProgramId): ShardId {
   return hashToNumber(`program:${rootOf(program)}`) % map.shardCount;
 }
 
-/** The shard that keeps a group's ledger. */
+/** The shard that stores a group's ledger. */
 export function shardOfGroup(map: ShardMap, group: GroupName): ShardId {
   return hashToNumber(`group:${group}`) % map.shardCount;
 }
--- a/src/replication/state-machine.ts
+++ b/src/replication/state-machine.ts
@@ -1,12 +1,12 @@
-/** The state machine above a replicated log. */
+/** Interface of the state machine that a replicated log drives. */
 import type { Command } from '../program/commands.js';
 
-/** See the head of this file. Every call happens in the order of the log. */
+/** State machine of one replica; its methods are called in log order. */
 export interface ReplicaStateMachine<Outcome> {
-  /** Applies one committed command; must depend on nothing else. */
+  /** Applies one committed command; the result may depend only on the state and the command. */
   apply(command: Command): Outcome;
   /** Serializes the whole state. */
   save(): string;
-  /** Replaces the whole state; an empty text is the initial state. */
+  /** Replaces the whole state; an empty string stands for the initial state. */
   restore(state: string): void;
 }
