--- a/src/wire/call-fields.ts
+++ b/src/wire/call-fields.ts
@@ -1,4 +1,4 @@
-/** Fields that messages and log commands share: calls, answers, errors. */
+/** Codecs that messages and log commands share: calls, answers, errors. */
 import { CALL_CLASSES } from '../model/call.js';
 import { CALL_ERROR_TAGS, VERDICTS } from '../model/verdict.js';
 import {
@@ -13,20 +13,20 @@
   TaggedUnion,
 } from './fields.js';
 
-/** Roles in wire order; append only. */
+/** Roles in wire order; append-only. */
 const CHAT_ROLES = ['system', 'user', 'assistant', 'tool'] as const;
 
-/** `ChatMessage`. */
+/** Codec of `ChatMessage`. */
 export const chatMessage = record({ role: oneOf(CHAT_ROLES), content: longText });
 
-/** `Usage`. */
+/** Codec of `Usage`. */
 export const usage = record({
   promptTokens: float64,
   cachedTokens: float64,
   completionTokens: float64,
 });
 
-/** `CallError`. */
+/** Codec of `CallError`. */
 export const callError = record({
   tag: oneOf(CALL_ERROR_TAGS),
   verdict: oneOf(VERDICTS),
@@ -34,7 +34,7 @@
   retryAfterSeconds: float64,
 });
 
-/** `CallRequest`. */
+/** Codec of `CallRequest`. */
 export const callRequest = record({
   call: shortText,
   program: shortText,
@@ -52,10 +52,10 @@
   receivedText: longText,
 });
 
-/** `Answer`. */
+/** Codec of `Answer`. */
 export const answer = record({ call: shortText, sequence: uint32, text: longText, usage });
 
-/** `CallEvent`. */
+/** Codec of `CallEvent`. */
 export const callEvent = new TaggedUnion([
   { type: 'piece', fields: { offset: uint32, text: longText } },
   { type: 'answered', fields: { answer } },
--- a/src/wire/command-codec.ts
+++ b/src/wire/command-codec.ts
@@ -1,4 +1,4 @@
-/** Bytes of log entries, on the wire and on disk. Branches are append only. */
+/** Codec of log entries, on the wire and on disk. Branches are append-only: their positions are encoded. */
 import { PROGRAM_ENDS } from '../program/commands.js';
 import type { LogEntry } from '../replication/log-entry.js';
 import { callError, callRequest, usage } from './call-fields.js';
@@ -25,7 +25,7 @@
 const callKey = { program: shortText, sequence: uint32, call: shortText };
 const sliceKey = { group: shortText, number: uint32 };
 
-/** `Command`. */
+/** Codec of `Command`. */
 export const command = new TaggedUnion([
   { type: 'noop', fields: {} },
   { type: 'changeVoters', fields: { voters: listOf(shortText) } },
@@ -45,15 +45,15 @@
   { type: 'withdrawIntent', fields: { ...callKey, engine: shortText } },
 ]);
 
-/** `LogEntry`. */
+/** Codec of `LogEntry`. */
 export const logEntry = record({ term: uint32, command });
 
-/** Bytes of one entry. */
+/** Encodes one log entry. */
 export function encodeEntry(entry: LogEntry): Uint8Array {
   return encodeField(logEntry, entry);
 }
 
-/** One entry from its bytes; throws when they are not one. */
+/** Decodes one log entry; throws if the bytes are invalid. */
 export function decodeEntry(bytes: Uint8Array): LogEntry {
   return decodeField(logEntry, bytes) as LogEntry;
 }
--- a/src/wire/fields.ts
+++ b/src/wire/fields.ts
@@ -1,48 +1,48 @@
-/** Field types of the messages between nodes, built on `restructure`. */
+/** Field types of the binary codecs, built on the streams of `restructure`. */
 import * as r from 'restructure';
 
-/** Bytes of a whole number, and of what tells the length of a list. */
+/** Size of a 32-bit integer, also as the length of a list, in bytes. */
 const LENGTH_BYTES = 4;
 
-/** Bytes of the number fields below. */
+/** Sizes of the other numbers, in bytes. */
 const DOUBLE_BYTES = 8;
 const SHORT_BYTES = 2;
 
-// The library's own number fields look their method up by a name put together at each call.
+// Replace the number fields of the library, which build the name of a stream method at each call.
 
-/** A whole number from 0 to 2^32 - 1. */
+/** An unsigned 32-bit integer, big-endian. */
 export const uint32: r.Field = {
   decode: (stream) => stream.readUInt32BE(),
   encode: (stream, value) => stream.writeUInt32BE(value as number),
   size: () => LENGTH_BYTES,
 };
-/** A whole number from 0 to 2^16 - 1. */
+/** An unsigned 16-bit integer, big-endian. */
 export const uint16: r.Field = {
   decode: (stream) => stream.readUInt16BE(),
   encode: (stream, value) => stream.writeUInt16BE(value as number),
   size: () => SHORT_BYTES,
 };
-/** Any number: times, amounts, costs. */
+/** A 64-bit floating-point number, big-endian: times, amounts, costs. */
 export const float64: r.Field = {
   decode: (stream) => stream.readDoubleBE(),
   encode: (stream, value) => stream.writeDoubleBE(value as number),
   size: () => DOUBLE_BYTES,
 };
-/** True or false. */
+/** A boolean in one byte. */
 export const bool: r.Field = {
   decode: (stream) => stream.readUInt8() !== 0,
   encode: (stream, value) => stream.writeUInt8(value === true ? 1 : 0),
   size: () => 1,
 };
 
-/** The bytes of a stream with the methods of a buffer, not copied. */
+/** A stream's bytes as a `Buffer`, without copying them. */
 function asBuffer({ buffer }: { readonly buffer: Uint8Array }): Buffer {
   return Buffer.isBuffer(buffer)
     ? buffer
     : Buffer.from(buffer.buffer, buffer.byteOffset, buffer.byteLength);
 }
 
-/** A text in UTF-8 behind its length. The library's own makes a decoder anew for each text. */
+/** A UTF-8 string after its length. The string field of the library creates a decoder for each value. */
 class TextField implements r.Field {
   constructor(private readonly length: r.Field) {}
 
@@ -65,14 +65,14 @@
   }
 }
 
-/** A text of at most 64 KB: names and short details. */
+/** A string of at most 65,535 bytes: names and short details. */
 export const shortText: r.Field = new TextField(uint16);
-/** A text bounded only by the frame: contents and states. */
+/** A string limited only by the frame: contents and serialized states. */
 export const longText: r.Field = new TextField(uint32);
 
 /**
- * A list of at most 2^32 - 1 elements, bounded by the frame. Bytes are those of the library's own list,
- * whose hidden properties on every list cost more than its elements.
+ * A list of at most 2^32 - 1 elements, limited by the frame. Encoded like the list of the library, which
+ * is slower since it adds hidden properties to every list.
  */
 class ListField implements r.Field {
   constructor(private readonly element: r.Field) {}
@@ -103,12 +103,12 @@
   }
 }
 
-/** A list of elements of one kind. */
+/** A list of elements of one field type. */
 export function listOf(element: r.Field): r.Field {
   return new ListField(element);
 }
 
-/** One of a fixed list of names, in their order. */
+/** One of a fixed list of names, encoded as its position; an unknown position decodes to the number. */
 export function oneOf(names: readonly string[]): r.Field {
   const numbers = new Map(names.map((name, number) => [name, number]));
   return {
@@ -119,7 +119,7 @@
     encode: (stream, value) => {
       const number = numbers.get(value as string);
       if (number === undefined) {
-        throw new WireError(`unknown name ${String(value)}`);
+        throw new WireError(`unknown enumeration value ${String(value)}`);
       }
       stream.writeUInt8(number);
     },
@@ -128,8 +128,8 @@
 }
 
 /**
- * Fields one after another; bytes are those of the library's own record, without its pointers. Plain loops: most
- * processes encode some thousand messages only, and iterators cost the most before they are optimised.
+ * Fields in sequence, encoded like the struct of the library, but without pointers. The loops are indexed
+ * since iterators are slow in code that runs too rarely to be optimised.
  */
 class RecordField implements r.Field {
   private readonly names: readonly string[];
@@ -144,7 +144,7 @@
     return this.decodeInto({}, stream);
   }
 
-  /** Sets the fields of a value. */
+  /** Decodes the fields into an object. */
   decodeInto(value: Record<string, unknown>, stream: r.DecodeStream): Record<string, unknown> {
     const { names, fields } = this;
     for (let index = 0; index < fields.length; index += 1) {
@@ -172,18 +172,18 @@
   }
 }
 
-/** A record of fields. */
+/** A record whose fields are encoded in the order of the keys. */
 export function record(fields: Record<string, r.Field>): r.Field {
   return new RecordField(fields);
 }
 
-/** A tag that no branch of a union has, or a value beyond its bounds. */
+/** A value that can't be encoded, or bytes that can't be decoded. */
 export class WireError extends Error {}
 
-/** A branch that a newer build has: what follows its number can't be told here. */
+/** A union tag of a newer build; the bytes after it can't be decoded by this build. */
 export class UnknownKindError extends WireError {
   constructor(readonly kind: number) {
-    super(`unknown tag ${kind}`);
+    super(`unknown union tag ${kind}`);
   }
 }
 
@@ -194,7 +194,7 @@
   readonly fields: Record<string, r.Field>;
 }
 
-/** A tagged union, told apart by its `type` property; the branch's place is its number. */
+/** A union discriminated by the `type` property; a branch's position is its tag in the encoding. */
 export class TaggedUnion implements r.Field {
   private readonly records: readonly RecordField[];
   private readonly numbers: ReadonlyMap<string, number>;
@@ -224,30 +224,32 @@
     return 1 + this.records[this.numberOf(value)]!.size(value);
   }
 
-  /** Number of a branch. Throws on a name that none has. */
+  /** Tag of a value's branch; throws if no branch has its type. */
   numberOf(value: unknown): number {
     const { type } = value as { type: string };
     const number = this.numbers.get(type);
     if (number === undefined) {
-      throw new WireError(`unknown type ${type}`);
+      throw new WireError(`unknown union type ${type}`);
     }
     return number;
   }
 }
 
-/** Encodes a value into bytes, each of which a field sets. */
+/** Encodes a value. The buffer needs no initialisation, since the fields write every byte. */
 export function encodeField(field: r.Field, value: unknown): Uint8Array {
   const buffer = Buffer.allocUnsafe(field.size(value));
   field.encode(new r.EncodeStream(buffer), value);
   return buffer;
 }
 
-/** Decodes a value that must fill the bytes exactly. */
+/** Decodes a value; throws unless it takes up all the bytes. */
 export function decodeField(field: r.Field, bytes: Uint8Array): unknown {
   const stream = new r.DecodeStream(bytes);
   const value = field.decode(stream);
   if (stream.pos !== bytes.length) {
-    throw new WireError(`${bytes.length} bytes given, ${stream.pos} understood`);
+    throw new WireError(
+      `message has ${bytes.length} bytes, but its fields take ${stream.pos} bytes`,
+    );
   }
   return value;
 }
--- a/src/wire/framing.ts
+++ b/src/wire/framing.ts
@@ -1,10 +1,10 @@
-/** Frames on a byte stream: four bytes of length, then the content; lengths are bounded. */
+/** Frames on a byte stream: a big-endian length of four bytes, then the content. */
 
-/** Longest content of a frame, in bytes. */
+/** Maximum content of a frame, in bytes. */
 export const MAXIMUM_FRAME_BYTES = 64 * 1024 * 1024;
 const LENGTH_BYTES = 4;
 
-/** Puts content into a frame. */
+/** Encodes content as a frame. */
 export function encodeFrame(content: Uint8Array): Buffer {
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + content.length);
   frame.writeUInt32BE(content.length, 0);
@@ -12,14 +12,14 @@
   return frame;
 }
 
-/** Cuts a byte stream into the contents of frames. */
+/** Splits a byte stream into the contents of its frames. */
 export class FrameReader {
   private chunks: Buffer[] = [];
   private bufferedBytes = 0;
 
   constructor(private readonly maximumBytes = MAXIMUM_FRAME_BYTES) {}
 
-  /** Takes a chunk; returns the contents that are complete. Throws on a frame beyond the bound. */
+  /** Adds a chunk; returns the contents that are now complete. Throws if a frame is too long. */
   push(chunk: Buffer): Buffer[] {
     this.chunks.push(chunk);
     this.bufferedBytes += chunk.length;
@@ -39,7 +39,9 @@
     }
     const length = this.chunks[0]!.readUInt32BE(0);
     if (length > this.maximumBytes) {
-      throw new RangeError(`frame of ${length} bytes exceeds ${this.maximumBytes}`);
+      throw new RangeError(
+        `frame of ${length} bytes exceeds the maximum of ${this.maximumBytes} bytes`,
+      );
     }
     const end = LENGTH_BYTES + length;
     if (this.bufferedBytes < end) {
--- a/src/wire/message-codec.ts
+++ b/src/wire/message-codec.ts
@@ -1,4 +1,4 @@
-/** Bytes of the messages between nodes. Branches are append only; a new version may add some. */
+/** Codec of the messages between nodes. Branches are append-only: their positions are encoded. */
 import * as E from 'fp-ts/lib/Either.js';
 import { CALL_CLASSES } from '../model/call.js';
 import type { NodeId } from '../model/identifiers.js';
@@ -20,7 +20,7 @@
 import { FINISH_OUTCOMES, PROGRAM_ACTIONS } from './messages.js';
 import type { Message } from './messages.js';
 
-/** Version of the protocol; a node refuses connections of another. */
+/** Version of the protocol; a node closes connections that use a different one. */
 export const PROTOCOL_VERSION = 1;
 
 const shardTerm = { shard: uint32, term: uint32 };
@@ -151,12 +151,12 @@
   { type: 'poolAcknowledgement', fields: { shard: uint32 } },
 ]);
 
-/** Bytes of a message. */
+/** Encodes a message. */
 export function encodeMessage(value: Message): Uint8Array {
   return encodeField(message, value);
 }
 
-/** A message from its bytes, or what is wrong with them. */
+/** Decodes a message; on the left, why the bytes are invalid. */
 export function decodeMessage(bytes: Uint8Array): E.Either<string, Message> {
   return E.tryCatch(
     () => decodeField(message, bytes) as Message,
@@ -164,22 +164,22 @@
   );
 }
 
-/** First frame of a connection: who speaks, and which version. */
+/** First frame of a connection: identifies the sender and its protocol version. */
 export interface Hello {
   readonly version: number;
-  /** Name of the cluster; a node of another one is refused. */
+  /** Name of the cluster; connections from other clusters are closed. */
   readonly cluster: string;
   readonly node: NodeId;
 }
 
 const hello = record({ version: uint32, cluster: shortText, node: shortText });
 
-/** Bytes of a hello. */
+/** Encodes a hello. */
 export function encodeHello(value: Hello): Uint8Array {
   return encodeField(hello, value);
 }
 
-/** A hello from its bytes, or what is wrong with them. */
+/** Decodes a hello; on the left, why the bytes are invalid. */
 export function decodeHello(bytes: Uint8Array): E.Either<string, Hello> {
   return E.tryCatch(
     () => decodeField(hello, bytes) as Hello,
--- a/src/wire/messages.ts
+++ b/src/wire/messages.ts
@@ -1,4 +1,4 @@
-/** Every message one node sends another, as a tagged union. Fields are plain data, never changed. */
+/** The messages between nodes, as a tagged union of immutable plain data. */
 import type {
   CallId,
   EngineId,
@@ -11,7 +11,7 @@
 import type { CallClass, CallEvent, CallRequest, Usage } from '../model/call.js';
 import type { LogEntry } from '../replication/log-entry.js';
 
-/** Leader to follower: entries after a known point; empty as a heartbeat. */
+/** Leader to follower: the entries after `previousIndex`; none in a heartbeat. */
 export interface AppendEntries {
   readonly type: 'appendEntries';
   readonly shard: ShardId;
@@ -19,28 +19,28 @@
   readonly previousIndex: number;
   readonly previousTerm: number;
   readonly commitIndex: number;
-  /** Leader's monotonic milliseconds, echoed by the reply; basis of its lease. */
+  /** Send time in milliseconds on the leader's monotonic clock; echoed by the reply, extends the lease. */
   readonly sentAt: number;
   readonly entries: readonly LogEntry[];
 }
 
-/** Follower to leader: how far its log now agrees. */
+/** Follower to leader: how far its log matches the leader's. */
 export interface AppendReply {
   readonly type: 'appendReply';
   readonly shard: ShardId;
   readonly term: number;
   readonly success: boolean;
-  /** Last index known to agree; on a refusal, where to try next. */
+  /** Highest index known to match; on failure, the index after which the leader should retry. */
   readonly matchIndex: number;
   readonly sentAt: number;
 }
 
-/** Candidate to voter. */
+/** Candidate to voter: requests a vote. */
 export interface VoteRequest {
   readonly type: 'voteRequest';
   readonly shard: ShardId;
   readonly term: number;
-  /** A pre-vote asks whether an election could be won and changes no state. */
+  /** True for a pre-vote, which asks whether an election could be won and changes no state. */
   readonly preVote: boolean;
   /** True when the leader itself asked for the election (leadership transfer). */
   readonly transfer: boolean;
@@ -48,7 +48,7 @@
   readonly lastTerm: number;
 }
 
-/** Voter to candidate. */
+/** Voter to candidate: grants or denies a vote. */
 export interface VoteReply {
   readonly type: 'voteReply';
   readonly shard: ShardId;
@@ -76,21 +76,21 @@
   readonly term: number;
 }
 
-/** Gateway to a shard's leader: run this call; may be repeated with the same call identifier. */
+/** Gateway to a shard's leader: runs a call; may be sent again with the same call identifier. */
 export interface SubmitCall {
   readonly type: 'submitCall';
   readonly shard: ShardId;
   readonly request: CallRequest;
 }
 
-/** Owner to gateway: one event of a call. */
+/** Shard owner to gateway: one event of a call. */
 export interface CallEventMessage {
   readonly type: 'callEvent';
   readonly call: CallId;
   readonly event: CallEvent;
 }
 
-/** The asked node does not lead the shard; the hint may be empty. */
+/** Reply of a node that does not lead the shard; `hint` is the node believed to lead, or empty. */
 export interface NotLeader {
   readonly type: 'notLeader';
   readonly shard: ShardId;
@@ -98,22 +98,22 @@
   readonly hint: NodeId;
 }
 
-/** Gateway to an owner: do you still know these calls? Sent about once a second. */
+/** Gateway to shard owner: asks which of its calls the owner still tracks. Sent about once a second. */
 export interface CallProbe {
   readonly type: 'callProbe';
   readonly calls: readonly CallId[];
 }
 
-/** Owner to gateway: of the probed calls, those it does not know. */
+/** Shard owner to gateway: which of the probed calls it does not track. */
 export interface CallProbeReply {
   readonly type: 'callProbeReply';
   readonly probed: readonly CallId[];
   readonly unknown: readonly CallId[];
 }
 
-/** What can be asked of a shard's leader about a program. */
+/** Actions on a program that a gateway can request from the shard's leader. */
 export type ProgramAction = 'open' | 'describe' | 'history' | 'end' | 'stop' | 'findCall';
-/** Every program action, in wire order; append only. */
+/** Every program action, in wire order; append-only. */
 export const PROGRAM_ACTIONS: readonly ProgramAction[] = [
   'open',
   'describe',
@@ -123,15 +123,15 @@
   'findCall',
 ];
 
-/** Gateway to a shard's leader: act on, or read, one program. `call` names this request. */
+/** Gateway to a shard's leader: reads or changes one program. `call` identifies the request. */
 export interface ProgramRequest {
   readonly type: 'programRequest';
   readonly shard: ShardId;
   readonly call: CallId;
   readonly action: ProgramAction;
-  /** The program; for `findCall`, the call that is looked for. */
+  /** The program; for `findCall`, the call to look up. */
   readonly program: ProgramId;
-  /** Group of the asker; empty for an operator. */
+  /** Group of the caller; empty for an operator. */
   readonly group: GroupName;
 }
 
@@ -143,7 +143,7 @@
   readonly body: string;
 }
 
-/** One call waiting for a back end, as the pool scheduler needs to see it. */
+/** A call that waits for an engine, with the properties that scheduling depends on. */
 export interface CallTicket {
   readonly call: CallId;
   readonly program: ProgramId;
@@ -152,31 +152,31 @@
   readonly repeatable: boolean;
   readonly promptTokens: number;
   readonly maximumTokens: number;
-  /** Turns the program has finished. */
+  /** Number of turns that the program has finished. */
   readonly turn: number;
-  /** Cost units the program has been served so far, with its children. */
+  /** Cost units spent so far on the program and its sub-agents. */
   readonly attainedService: number;
   /** Milliseconds since the program's first call. */
   readonly programAge: number;
   /** Milliseconds since this call was accepted. */
   readonly waited: number;
-  /** Milliseconds left until the caller gives up. */
+  /** Milliseconds left until the call's deadline. */
   readonly deadlineIn: number;
-  /** Names of the prefixes this prompt starts with, longest first, with their tokens. */
+  /** Prefixes of the prompt, longest first. */
   readonly prefixes: readonly PromptPrefix[];
   /** True when the program ends with this call. */
   readonly endsProgram: boolean;
-  /** Engine the call must not go to again, or empty. */
+  /** Engine that must not get the call again; empty for none. */
   readonly avoidEngine: EngineId;
 }
 
-/** A prefix of a prompt that an engine may still hold. */
+/** A prefix of a prompt, which an engine may have cached. */
 export interface PromptPrefix {
   readonly name: string;
   readonly tokens: number;
 }
 
-/** A call that runs on an engine, as its owner sees it. */
+/** A call that runs on an engine according to its shard owner. */
 export interface RunningCall {
   readonly call: CallId;
   readonly engine: EngineId;
@@ -184,39 +184,39 @@
   readonly group: GroupName;
 }
 
-/** Owner to pool scheduler: everything this owner has in the pool; also how a call is enqueued. */
+/** Shard owner to pool scheduler: the owner's calls in the pool. Also enqueues new calls. */
 export interface PoolReport {
   readonly type: 'poolReport';
   readonly service: ServiceName;
   /** The pool's shard. */
   readonly shard: ShardId;
-  /** The shard whose calls these are. */
+  /** Shard that owns the calls. */
   readonly from: ShardId;
-  /** True when calls not listed are no longer this owner's. */
+  /** True when the report lists all calls of the owner; the scheduler drops its others. */
   readonly complete: boolean;
   readonly waiting: readonly CallTicket[];
   readonly running: readonly RunningCall[];
 }
 
-/** Pool scheduler to owner: a whole report of this shard has come. */
+/** Pool scheduler to shard owner: acknowledges a complete report. */
 export interface PoolAcknowledgement {
   readonly type: 'poolAcknowledgement';
   /** The pool's shard. */
   readonly shard: ShardId;
 }
 
-/** Pool scheduler to owner: send this call to this engine now. */
+/** Pool scheduler to shard owner: sends a call to an engine. */
 export interface PoolAssignment {
   readonly type: 'poolAssignment';
   readonly service: ServiceName;
   readonly call: CallId;
   readonly engine: EngineId;
-  /** Shard and term of the scheduler; the engine refuses lower terms. */
+  /** Shard of the scheduler; with its term, the fencing token by which engines refuse older schedulers. */
   readonly shard: ShardId;
   readonly term: number;
 }
 
-/** Pool scheduler to owner: this call cannot be served; final. */
+/** Pool scheduler to shard owner: finally refuses a call. */
 export interface PoolRefusal {
   readonly type: 'poolRefusal';
   readonly service: ServiceName;
@@ -225,9 +225,9 @@
   readonly retryAfterSeconds: number;
 }
 
-/** How a call left its engine. */
+/** How a call ended on its engine. */
 export type FinishOutcome = 'answered' | 'failed' | 'cancelled' | 'refused';
-/** Every outcome, in wire order; append only. */
+/** Every outcome, in wire order; append-only. */
 export const FINISH_OUTCOMES: readonly FinishOutcome[] = [
   'answered',
   'failed',
@@ -235,7 +235,7 @@
   'refused',
 ];
 
-/** Owner to pool scheduler: the call left its engine. */
+/** Shard owner to pool scheduler: a call has ended on its engine. */
 export interface PoolFinished {
   readonly type: 'poolFinished';
   readonly service: ServiceName;
@@ -247,20 +247,20 @@
   readonly serviceMilliseconds: number;
 }
 
-/** Owner to every pool scheduler that may hold memory for it: the program is over. */
+/** To the pool schedulers that may hold memory for a program: the program has ended. */
 export interface ProgramGone {
   readonly type: 'programGone';
   readonly program: ProgramId;
 }
 
-/** Pool scheduler to a shard's leader: which of these programs are over? */
+/** Pool scheduler to a shard's leader: asks which programs have ended; answered by `ProgramGone`. */
 export interface HoldCheck {
   readonly type: 'holdCheck';
   readonly shard: ShardId;
   readonly programs: readonly ProgramId[];
 }
 
-/** Program shard to ledger shard: slice `number` of the holder, asked again until answered. */
+/** Program shard to ledger shard: requests slice `number` for the holder; resent until answered. */
 export interface SliceRequest {
   readonly type: 'sliceRequest';
   readonly ledgerShard: ShardId;
@@ -270,7 +270,7 @@
   readonly amount: number;
 }
 
-/** Ledger shard to program shard. */
+/** Ledger shard to program shard: the amount granted for a slice. */
 export interface SliceReply {
   readonly type: 'sliceReply';
   readonly holder: ShardId;
@@ -279,7 +279,7 @@
   readonly granted: number;
 }
 
-/** Program shard to ledger shard: unused part of its slices, sent again until settled. */
+/** Program shard to ledger shard: returns the unused part of its slices; resent until settled. */
 export interface SliceReturn {
   readonly type: 'sliceReturn';
   readonly ledgerShard: ShardId;
@@ -289,7 +289,7 @@
   readonly amount: number;
 }
 
-/** Ledger shard to program shard: the return is booked. */
+/** Ledger shard to program shard: the return has been recorded. */
 export interface SliceReturnSettled {
   readonly type: 'sliceReturnSettled';
   readonly holder: ShardId;
@@ -297,7 +297,7 @@
   readonly number: number;
 }
 
-/** Gossip: the newest configuration revision the sender has in force. */
+/** Gossip: the configuration revision that is in force at the sender. */
 export interface ConfigurationAnnounce {
   readonly type: 'configurationAnnounce';
   readonly revision: number;
@@ -305,13 +305,13 @@
   readonly wantsReply: boolean;
 }
 
-/** Asks for everything newer than a revision. */
+/** Requests the configuration changes after a revision. */
 export interface ConfigurationFetch {
   readonly type: 'configurationFetch';
   readonly revision: number;
 }
 
-/** The whole accepted configuration at one revision, as JSON. */
+/** The complete configuration at one revision, as JSON. */
 export interface ConfigurationTransfer {
   readonly type: 'configurationTransfer';
   readonly revision: number;
@@ -319,34 +319,34 @@
 }
 
 /**
- * What changed in the accepted configuration, as JSON lists. Applies to any revision from
- * `fromRevision` on, since documents are whole.
+ * Changes of the configuration, as JSON lists. Can be applied to any revision from `fromRevision` on,
+ * since each listed document is complete.
  */
 export interface ConfigurationChanges {
   readonly type: 'configurationChanges';
   readonly fromRevision: number;
   readonly revision: number;
-  /** Documents as they are now. */
+  /** Documents that were added or changed, with their new contents. */
   readonly documents: string;
-  /** Kinds and names of documents that are gone. */
+  /** Kinds and names of removed documents. */
   readonly removed: string;
 }
 
-/** Operator's query, one statement, sent to every node and merged by the asker. */
+/** Requests a node's rows of one table for an operator's query; the sender merges the replies. */
 export interface RowsRequest {
   readonly type: 'rowsRequest';
   readonly query: string;
   readonly table: string;
 }
 
-/** Rows of one node, as a JSON array. */
+/** Rows of one node for a query, as a JSON array. */
 export interface RowsReply {
   readonly type: 'rowsReply';
   readonly query: string;
   readonly rows: string;
 }
 
-/** Everything that travels between nodes. */
+/** Any message between nodes. */
 export type Message =
   | ReplicationMessage
   | AccountingMessage
@@ -382,7 +382,7 @@
 export type ReplicationMessage =
   AppendEntries | AppendReply | VoteRequest | VoteReply | InstallSnapshot | TimeoutNow;
 
-/** Carries messages between nodes; may lose, delay or reorder them, never changes them. */
+/** Sends messages between nodes; may lose, delay or reorder them, but never alters them. */
 export interface Transport {
   /** Sends without waiting; a message to an unknown or dead node is lost. */
   send(to: NodeId, message: Message): void;
--- a/src/wire/sections.ts
+++ b/src/wire/sections.ts
@@ -1,30 +1,30 @@
 /**
- * The tail of a message that grows: sections one behind the other, each with its kind and its length. A reader
- * passes over kinds that it doesn't know, and a section may grow at its end; so what is new reaches those that
- * know it, and no reader misreads it.
+ * Optional sections after the fields of a message, each with its kind and its length. Readers skip sections
+ * of unknown kinds, and a section may get further fields at its end, so that builds of different versions
+ * can read each other's messages.
  */
 import * as r from 'restructure';
 import { WireError } from './fields.js';
 
-/** One section as it travels. */
+/** One section with its encoded content. */
 export interface Section {
   readonly kind: number;
   readonly content: Uint8Array;
 }
 
-/** Bytes of a section's kind and length. */
+/** Size of a section's kind and length, in bytes. */
 const HEADER_BYTES = 3;
-/** Longest content of a section. */
+/** Maximum content of a section, in bytes. */
 export const MAXIMUM_SECTION_BYTES = 0xffff;
 
-/** Sections as bytes. Throws on a content beyond the bound. */
+/** Encodes sections. Throws if the content of one is too long. */
 export function encodeSections(sections: readonly Section[]): Uint8Array {
   const length = sections.reduce((sum, { content }) => sum + HEADER_BYTES + content.length, 0);
   const bytes = new Uint8Array(length);
   const stream = new r.EncodeStream(bytes);
   for (const { kind, content } of sections) {
     if (content.length > MAXIMUM_SECTION_BYTES) {
-      throw new WireError(`a section of ${content.length} bytes`);
+      throw new WireError(`section content of ${content.length} bytes is too long`);
     }
     stream.writeUInt8(kind);
     stream.writeUInt16BE(content.length);
@@ -34,19 +34,19 @@
   return bytes;
 }
 
-/** Sections of a tail, known or not. Throws on one that is cut off. */
+/** Decodes all sections, including those of unknown kinds. Throws if one is truncated. */
 export function decodeSections(bytes: Uint8Array): Section[] {
   const stream = new r.DecodeStream(bytes);
   const sections: Section[] = [];
   while (stream.pos < bytes.length) {
     if (stream.pos + HEADER_BYTES > bytes.length) {
-      throw new WireError('a section is cut off');
+      throw new WireError('section header is truncated');
     }
     const kind = stream.readUInt8();
     const length = stream.readUInt16BE();
     const end = stream.pos + length;
     if (end > bytes.length) {
-      throw new WireError('a section is cut off');
+      throw new WireError('section content is truncated');
     }
     sections.push({ kind, content: bytes.subarray(stream.pos, end) });
     stream.pos = end;
@@ -54,18 +54,20 @@
   return sections;
 }
 
-/** A value, and what a newer build has put behind it. */
+/** A decoded value and the sections that follow it. */
 export interface ExtendedValue {
   readonly value: unknown;
   readonly sections: readonly Section[];
 }
 
-/** Decodes a value that sections may follow. Throws on anything else behind it. */
+/** Decodes a value that sections may follow. Throws on other trailing bytes. */
 export function decodeExtended(field: r.Field, bytes: Uint8Array): ExtendedValue {
   const stream = new r.DecodeStream(bytes);
   const value = field.decode(stream);
   if (stream.pos > bytes.length) {
-    throw new WireError(`${bytes.length} bytes given, ${stream.pos} needed`);
+    throw new WireError(
+      `message has ${bytes.length} bytes, but its fields need ${stream.pos} bytes`,
+    );
   }
   return { value, sections: decodeSections(bytes.subarray(stream.pos)) };
 }
--- a/src/wire/tcp-transport.ts
+++ b/src/wire/tcp-transport.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes over TCP: one outgoing connection a peer, made when first needed. */
+/** Sends messages between nodes over TCP: one outgoing connection per peer, opened on first use. */
 import { createServer, connect } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import * as E from 'fp-ts/lib/Either.js';
@@ -14,15 +14,15 @@
 } from './message-codec.js';
 import type { Message, Transport } from './messages.js';
 
-/** Where a peer listens. */
+/** Address at which a peer listens. */
 export interface PeerAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** What the transport is made with. */
+/** Identity and dependencies of the transport. */
 export interface TcpTransportOptions {
-  /** Name of the cluster; keeps nodes of others out, whatever address they come from. */
+  /** Name of the cluster; connections from nodes of other clusters are closed. */
   readonly cluster: string;
   readonly self: NodeId;
   readonly runtime: Runtime;
@@ -31,11 +31,11 @@
   readonly receive: (from: NodeId, message: Message) => void;
 }
 
-/** Bytes that may wait for one peer; more are dropped, as on a slow network. */
+/** Bytes that may be queued for one peer; further messages are dropped. */
 const MAXIMUM_QUEUED_BYTES = 128 * 1024 * 1024;
-/** Pause before a failed connection is tried again, in milliseconds. */
+/** Delay before reconnecting after a connection has closed, in milliseconds. */
 const RECONNECT_DELAY_MILLISECONDS = 200;
-/** Time a connection may take to be made, in milliseconds. */
+/** Timeout for establishing a connection, in milliseconds. */
 const CONNECT_TIMEOUT_MILLISECONDS = 2_000;
 
 interface PeerConnection {
@@ -43,20 +43,20 @@
   retryAt: number;
 }
 
-/** See the head of this file. */
+/** Transport over TCP: sends on outgoing connections only and receives on incoming ones only. */
 export class TcpTransport implements Transport {
   private readonly connections = new Map<NodeId, PeerConnection>();
   private readonly incomingSockets = new Set<Socket>();
   private readonly server: Server;
   private closed = false;
-  /** Bytes sent to peers so far. */
+  /** Number of bytes sent to peers so far. */
   sentBytes = 0;
 
   constructor(private readonly options: TcpTransportOptions) {
     this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** Listens; calls back with the port. */
+  /** Starts listening; calls `done` with the port. */
   listen(host: string, port: number, done: (port: number) => void): void {
     this.server.listen(port, host, () => done((this.server.address() as AddressInfo).port));
   }
@@ -141,13 +141,17 @@
   private readHello(content: Buffer): NodeId {
     const hello = decodeHello(content);
     if (E.isLeft(hello)) {
-      throw new Error(`not a hello: ${hello.left}`);
+      throw new Error(`invalid hello: ${hello.left}`);
     }
     if (hello.right.version !== PROTOCOL_VERSION) {
-      throw new Error(`protocol version ${hello.right.version} is not ${PROTOCOL_VERSION}`);
+      throw new Error(
+        `peer uses protocol version ${hello.right.version} instead of ${PROTOCOL_VERSION}`,
+      );
     }
     if (hello.right.cluster !== this.options.cluster) {
-      throw new Error(`cluster ${hello.right.cluster} is not ${this.options.cluster}`);
+      throw new Error(
+        `peer belongs to cluster ${hello.right.cluster} instead of ${this.options.cluster}`,
+      );
     }
     return hello.right.node;
   }
@@ -155,12 +159,12 @@
   private dispatch(peer: NodeId, content: Buffer): void {
     const message = decodeMessage(content);
     if (E.isLeft(message)) {
-      throw new Error(`not a message: ${message.left}`);
+      throw new Error(`invalid message: ${message.left}`);
     }
     try {
       this.options.receive(peer, message.right);
     } catch (cause) {
-      // A fault in a handler is ours, not the peer's: its connection stays.
+      // The peer did not cause the error of a handler, so its connection stays open.
       const reason = cause instanceof Error ? (cause.stack ?? cause.message) : String(cause);
       const { type } = message.right;
       this.options.runtime.log('error', 'message handler failed', { peer, type, reason });
@@ -169,7 +173,7 @@
 
   private reject(socket: Socket, cause: unknown): void {
     const reason = cause instanceof Error ? cause.message : String(cause);
-    this.options.runtime.log('warn', 'peer connection closed', { reason });
+    this.options.runtime.log('warn', 'closed a peer connection after invalid data', { reason });
     socket.destroy();
   }
 }
