--- a/src/node/daemon.ts
+++ b/src/node/daemon.ts
@@ -1,4 +1,4 @@
-/** A node as a real process has it: sockets, disk and HTTP around the node's roles. */
+/** Runs a node in a real process, with sockets, disk storage, etcd and HTTP. */
 import { randomBytes } from 'node:crypto';
 import type { Settings } from '../configuration/settings.js';
 import { HttpFront } from '../gateway/http-front.js';
@@ -15,18 +15,18 @@
 import { IvyloomNode } from './node.js';
 import type { NodeStorage } from './node-options.js';
 
-/** Shards of a region when the settings name no number. */
+/** Number of shards of a region if the settings give none. */
 export const DEFAULT_SHARD_COUNT = 16;
 
-/** A running daemon. */
+/** A running node with its sockets and its storage. */
 export interface Daemon {
   readonly node: IvyloomNode;
   readonly httpPort: number;
-  /** Bytes sent to other nodes so far. */
+  /** Number of bytes sent to other nodes so far. */
   sentBytes(): number;
-  /** Planned stop: cuts no request; calls back when everything is closed. */
+  /** Shuts down gracefully, so that pending requests can finish; calls `done` when everything is closed. */
   stop(done: () => void): void;
-  /** Ends at once, as a crash would. */
+  /** Stops at once, without waiting for pending requests. */
   abort(): void;
 }
 
@@ -42,13 +42,13 @@
 ): Promise<OpenStorage> {
   if (settings.dataFolder === undefined) {
     const run = randomBytes(4).toString('hex');
-    runtime.log('warn', 'no data folder: replicas do not outlive this process', { run });
+    runtime.log('warn', 'no data folder: replicas are lost when this process ends', { run });
     return { storage: createMemoryStorage(), close: () => Promise.resolve() };
   }
   const { storage, tornShards } = await LevelStorage.open(settings.dataFolder, map, runtime);
   if (tornShards.length > 0) {
     const shards = tornShards.join(', ');
-    runtime.log('warn', 'logs with torn tails are repaired from peers', { shards });
+    runtime.log('warn', 'logs with torn tails will be repaired from peers', { shards });
   }
   return { storage, close: () => storage.close() };
 }
@@ -61,7 +61,7 @@
   return new Promise((resolve) => listener.listen(host, port, resolve));
 }
 
-/** Listens for nodes and then for callers; resolves with the callers' port. */
+/** Starts listening for nodes, then for HTTP clients; resolves with the HTTP port. */
 async function startListeners(
   transport: TcpTransport,
   front: HttpFront,
@@ -71,7 +71,7 @@
   return listenOn(front, settings.host, settings.httpPort);
 }
 
-/** Starts a daemon; resolves when it listens. */
+/** Starts a daemon; resolves once it is listening. */
 export async function startDaemon(settings: Settings, runtime: Runtime): Promise<Daemon> {
   const map = createShardMap(settings.shardCount ?? DEFAULT_SHARD_COUNT, settings.peers);
   const { storage, close } = await openStorage(settings, map, runtime);
--- a/src/node/node-options.ts
+++ b/src/node/node-options.ts
@@ -1,4 +1,4 @@
-/** What one node of the cluster is made with. */
+/** Options of one node of the cluster. */
 import type { NodeId, ShardId, ZoneName } from '../model/identifiers.js';
 import type { ConfigurationStore } from '../configuration/configuration-follower.js';
 import type { BackEndPort } from '../platform/back-end-port.js';
@@ -10,9 +10,9 @@
 import type { SchedulingPolicy } from '../scheduling/pool-view.js';
 import type { Transport } from '../wire/messages.js';
 
-/** Durable storage of a node's replicas. */
+/** Durable storage of a node's replicas and of its configuration. */
 export interface NodeStorage {
-  /** What was persisted of a replica; undefined when nothing was. */
+  /** Durable state of a replica; undefined if there is none. */
   load(shard: ShardId): PersistedReplica | undefined;
   /** Storage of one replica. */
   replica(shard: ShardId): ReplicaStorage;
@@ -20,11 +20,11 @@
   readonly storedConfiguration?: { readonly revision: number; readonly documents: string };
 }
 
-/** Everything a node needs from outside. */
+/** Identity, dependencies and limits of a node. */
 export interface NodeOptions {
   readonly self: NodeId;
   readonly zone: ZoneName;
-  /** Nodes of the region that hold replicas, this one among them. */
+  /** Nodes of the region that hold replicas, including this one. */
   readonly nodes: readonly PlacedNode[];
   readonly map: ShardMap;
   readonly runtime: Runtime;
--- a/src/node/node-rows.ts
+++ b/src/node/node-rows.ts
@@ -1,4 +1,4 @@
-/** The rows a node contributes to the operators' tables: what it leads, owns or is. */
+/** Rows that a node contributes to the operators' tables: its own state and that of the shards it leads. */
 import type { ShardRoles } from './shard-roles.js';
 import type { IvyloomNode } from './node.js';
 import type { Row } from './row-collector.js';
@@ -86,7 +86,7 @@
   ];
 }
 
-/** Part of each group's account kept here; the reader adds the parts up. */
+/** Each group's account on the shards that this node leads; the query adds up the rows of all nodes. */
 function listGroups(node: IvyloomNode): Row[] {
   const rows: Row[] = [];
   for (const group of node.configuration.current.groups.values()) {
@@ -115,7 +115,7 @@
   );
 }
 
-/** Rows of one table; empty for a table that nodes do not keep. */
+/** Rows of one table; none for a table that is not collected from nodes. */
 export function listRows(node: IvyloomNode, table: string): Row[] {
   switch (table) {
     case 'calls':
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -1,4 +1,4 @@
-/** One node: composes the roles, routes messages to them and drives their periodic work. */
+/** One node: creates its components, routes messages to them and drives their periodic work. */
 import type { NodeId, ProgramId, ShardId } from '../model/identifiers.js';
 import { ConfigurationFollower } from '../configuration/configuration-follower.js';
 import { ConfigurationWriter } from '../configuration/configuration-writer.js';
@@ -31,22 +31,22 @@
 
 /** Time between ticks of the replicas, in milliseconds. */
 const REPLICA_TICK_INTERVAL_MILLISECONDS = HEARTBEAT_INTERVAL_MILLISECONDS / 3;
-/** Time between ticks of the leader's roles, in milliseconds. */
+/** Time between ticks of the roles that work only on a shard's leader, in milliseconds. */
 const ROLE_TICK_INTERVAL_MILLISECONDS = 250;
-/** Time between whole reports of an owner to the pools, in milliseconds. */
+/** Time between complete reports of a shard owner to the pools, in milliseconds. */
 const REPORT_INTERVAL_MILLISECONDS = 1_000;
-/** Time a planned stop waits for calls whose callers are connected here, in milliseconds. */
+/** Maximum time that a graceful shutdown waits for pending calls, in milliseconds. */
 export const STOP_TIMEOUT_MILLISECONDS = 60_000;
-/** Time for which a leaving node still takes connections, in milliseconds. */
+/** Time for which a leaving node still accepts connections, in milliseconds. */
 const LEAVING_GRACE_MILLISECONDS = 500;
-/** Time left at the end of it for connections that wait to be taken, in milliseconds. */
+/** Extra time to accept connections that were queued during a pause of the process, in milliseconds. */
 const PENDING_ACCEPT_MILLISECONDS = 20;
-/** Time between sweeps of left programs and early calls, in milliseconds. */
+/** Time between sweeps of abandoned programs and out-of-order calls, in milliseconds. */
 const SWEEP_INTERVAL_MILLISECONDS = 1_000;
-/** Nodes that read the key-value service themselves; the rest hear from peers. */
+/** Number of nodes that read the configuration from the key-value service; the others get it from peers. */
 const KEY_VALUE_READER_COUNT = 3;
 
-/** See the head of this file. */
+/** A node of the cluster with its gateway, its configuration and its shards. */
 export class IvyloomNode {
   readonly gateway: Gateway;
   readonly configuration: ConfigurationFollower;
@@ -90,22 +90,22 @@
     });
   }
 
-  /** Shards replicated here. */
+  /** Roles of the shards that this node replicates. */
   listShards(): ShardRoles[] {
     return [...this.shards.values()];
   }
 
-  /** True while a planned stop is under way: the front takes no new connections. */
+  /** True from the start of a graceful shutdown on; HTTP responses then close their connections. */
   get isLeaving(): boolean {
     return this.leaving;
   }
 
-  /** True when callers can be served: the configuration is known. */
+  /** True when the node can serve callers: the configuration is known and the node is not leaving. */
   get isReady(): boolean {
     return !this.leaving && this.configuration.current.revision > 0;
   }
 
-  /** Begins to work. */
+  /** Starts following the configuration and the periodic work. */
   start(): void {
     const { runtime, storage } = this.options;
     this.configuration.start(storage.storedConfiguration);
@@ -121,14 +121,15 @@
     runtime.log('info', 'node started', { node: this.options.self, zone: this.options.zone });
   }
 
-  /** False once a planned stop has closed the doors: new connections are refused. */
+  /** False once a graceful shutdown has stopped accepting connections. */
   get acceptsConnections(): boolean {
     return !this.refusesConnections;
   }
 
   /**
-   * First part of a planned stop: leadership goes to other nodes. Connections that callers have
-   * made before they could know are still served for a moment; then the doors close.
+   * First phase of a graceful shutdown: transfers leadership to other nodes. Connections are accepted
+   * for a grace period, for callers that don't know yet that the node is leaving; then `stopAccepting`
+   * is called.
    */
   beginLeaving(stopAccepting: () => void): void {
     if (this.leaving) {
@@ -142,19 +143,22 @@
       this.refusesConnections = true;
       stopAccepting();
     };
-    // A process that stood still finds its timers due before the connections made meanwhile: those
-    // are taken in between the two timers.
+    // After a pause of the process, due timers run before connections that were queued meanwhile are
+    // accepted. The second timer leaves time to accept them.
     runtime.setTimer(LEAVING_GRACE_MILLISECONDS, () =>
       runtime.setTimer(PENDING_ACCEPT_MILLISECONDS, close),
     );
   }
 
-  /** Planned stop: calls back when this node leads nothing and relays no call any more. */
+  /** Graceful shutdown of a node without sockets; calls `done` when the node has stopped. */
   leave(done: () => void): void {
     this.beginLeaving(() => this.awaitIdle(done));
   }
 
-  /** Last part of a planned stop, after the doors are closed. */
+  /**
+   * Last phase of a graceful shutdown: waits until this node leads no shard and relays no call, or until
+   * the timeout, then stops the node and calls `done`.
+   */
   awaitIdle(done: () => void): void {
     const { runtime } = this.options;
     const started = runtime.now();
@@ -177,14 +181,14 @@
     }
   }
 
-  /** Ends all activity at once. */
+  /** Stops all activity at once. */
   stop(): void {
     this.timers.forEach((cancel) => cancel());
     this.configuration.stop();
     this.shards.forEach((roles) => roles.host.stop());
   }
 
-  /** Handles a message of another node, or of this one. */
+  /** Handles a message from another node or from this one. */
   receive(from: NodeId, message: Message): void {
     switch (message.type) {
       case 'appendEntries':
@@ -227,7 +231,7 @@
     }
   }
 
-  /** Messages between owners, pool schedulers and ledgers. */
+  /** Handles the messages between shard owners, pool schedulers and ledgers. */
   private receiveAccounting(from: NodeId, message: AccountingMessage): void {
     switch (message.type) {
       case 'poolReport':
@@ -323,6 +327,7 @@
     }
   }
 
+  /** Runs an action if this node leads the shard, else replies `notLeader`. */
   private runAsLeader(
     from: NodeId,
     shard: ShardId,
--- a/src/node/row-collector.ts
+++ b/src/node/row-collector.ts
@@ -1,14 +1,14 @@
-/** Collects rows of one table from every node; marks what it could not reach and never hangs. */
+/** Collects the rows of one table from every node within a time limit; lists nodes that did not answer. */
 import type { NodeId } from '../model/identifiers.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { Message, RowsReply, RowsRequest } from '../wire/messages.js';
 
-/** Longest time a collection takes, in milliseconds. */
+/** Timeout of a collection, in milliseconds. */
 const COLLECTION_MILLISECONDS = 2_000;
 
-/** A value of a row. */
+/** Value of one column of a row. */
 export type RowValue = string | number | boolean;
-/** One row of a table. */
+/** One row of a table, by column name. */
 export type Row = Readonly<Record<string, RowValue>>;
 
 /** Rows of all nodes that answered, and the nodes that did not. */
@@ -17,7 +17,7 @@
   readonly unreachable: readonly NodeId[];
 }
 
-/** What a collector is made with. */
+/** Identity and dependencies of a row collector. */
 export interface RowCollectorOptions {
   readonly runtime: Runtime;
   readonly self: NodeId;
@@ -32,14 +32,14 @@
   readonly finish: () => void;
 }
 
-/** See the head of this file. */
+/** Queries the nodes' rows and answers the queries of other nodes. */
 export class RowCollector {
   private readonly collections = new Map<string, Collection>();
   private queryCount = 0;
 
   constructor(private readonly options: RowCollectorOptions) {}
 
-  /** Collects a table from all nodes. */
+  /** Collects a table from all nodes; calls the listener once, at the timeout at the latest. */
   collect(table: string, listener: (result: CollectedRows) => void): void {
     const { runtime, self, peers, send, listLocalRows } = this.options;
     this.queryCount += 1;
@@ -61,13 +61,13 @@
     }
   }
 
-  /** Answers another node's collection. */
+  /** Answers another node's request for rows. */
   receiveRequest(from: NodeId, message: RowsRequest): void {
     const rows = JSON.stringify(this.options.listLocalRows(message.table));
     this.options.send(from, { type: 'rowsReply', query: message.query, rows });
   }
 
-  /** Takes a node's rows. */
+  /** Adds the rows of a node to their collection. */
   receiveReply(from: NodeId, message: RowsReply): void {
     const collection = this.collections.get(message.query);
     if (collection === undefined || !collection.missing.delete(from)) {
--- a/src/node/shard-roles.ts
+++ b/src/node/shard-roles.ts
@@ -1,4 +1,4 @@
-/** The roles of one shard on one node: its replica, and above it owner, ledger and pool schedulers. */
+/** The roles of one shard on one node: replica, shard owner, ledger and pool schedulers. */
 import type { NodeId, ServiceName, ShardId } from '../model/identifiers.js';
 import { Ledger } from '../budget/ledger.js';
 import { SliceClient } from '../budget/slice-client.js';
@@ -13,10 +13,10 @@
 import type { Message } from '../wire/messages.js';
 import type { NodeOptions } from './node-options.js';
 
-/** Empty reports sent to a pool before a shard falls silent there. */
+/** Number of successive empty reports to a pool after which no more are sent. */
 const MAXIMUM_EMPTY_REPORTS = 5;
 
-/** What the roles of a shard share with their node. */
+/** What a node provides to the roles of a shard. */
 export interface ShardRolesContext {
   readonly options: NodeOptions;
   readonly shard: ShardId;
@@ -27,7 +27,7 @@
   readonly checkHolds: (programs: readonly string[]) => void;
 }
 
-/** One shard on one node. */
+/** The replica of a shard and the roles that work while it leads. */
 export class ShardRoles {
   readonly host: ShardHost;
   readonly owner: ShardOwner;
@@ -64,7 +64,7 @@
     });
   }
 
-  /** The scheduler of a service's pool, made when first needed; only while this node leads. */
+  /** The scheduler of a service's pool; created on first use while this node leads the pool's shard. */
   schedulerOf(service: ServiceName): PoolScheduler | undefined {
     const { options, shard, configuration, send, checkHolds } = this.context;
     const existing = this.schedulers.get(service);
@@ -89,7 +89,7 @@
     return scheduler;
   }
 
-  /** Schedulers of the pools that this shard keeps, made now if need be. */
+  /** Schedulers of this shard's pools; creates those that are missing. */
   listSchedulers(): PoolScheduler[] {
     for (const service of this.context.configuration().services.keys()) {
       this.schedulerOf(service);
@@ -97,7 +97,7 @@
     return [...this.schedulers.values()];
   }
 
-  /** Tells every pool everything this shard's calls have in it. */
+  /** Sends a service's pool a complete report of this shard's calls, unless the last ones were empty. */
   report(service: ServiceName): void {
     if (!this.host.canServe()) {
       return;
@@ -106,7 +106,7 @@
     this.owner.addToReport(service, content);
     const empty = content.waiting.length === 0 && content.running.length === 0;
     const isSuppressed = empty && this.emptyReportCounts.get(service) === MAXIMUM_EMPTY_REPORTS;
-    // A few empty reports tell that nothing is left; more would only be traffic.
+    // Several empty reports make up for lost messages; further ones would be useless traffic.
     this.emptyReportCounts.set(
       service,
       empty ? Math.min(MAXIMUM_EMPTY_REPORTS, this.emptyReportCountOf(service) + 1) : 0,
@@ -116,12 +116,12 @@
     }
   }
 
-  /** Takes up a new configuration without waiting for the next tick. */
+  /** Applies a new configuration at once instead of at the next tick. */
   applyConfiguration(): void {
     this.schedulers.forEach((scheduler) => scheduler.tick());
   }
 
-  /** Work done a few times a second by the leader. */
+  /** Periodic work of the leader, several times a second. */
   tickRoles(): void {
     if (!this.host.canServe()) {
       return;
@@ -132,7 +132,7 @@
     }
   }
 
-  /** Ends what was left; done about once a second by the leader. */
+  /** Ends abandoned programs and overdue out-of-order calls; run by the leader about once a second. */
   sweep(): void {
     if (this.host.canServe()) {
       this.owner.sweep();
@@ -150,7 +150,7 @@
   private changeLeadership(leading: boolean): void {
     const { runtime, self } = this.context.options;
     const { shard, term } = this.host;
-    runtime.log('info', leading ? 'leads shard' : 'leads shard no more', {
+    runtime.log('info', leading ? 'started leading shard' : 'stopped leading shard', {
       shard,
       term,
       node: self,
