--- a/src/gateway/authentication.ts
+++ b/src/gateway/authentication.ts
@@ -1,4 +1,4 @@
-/** Who asks: keys are compared by their hashes, in constant time for any one of them. */
+/** Authenticates and authorises requests by bearer keys, of which only hashes are stored. */
 import { createHash } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
 import * as E from 'fp-ts/lib/Either.js';
@@ -8,12 +8,12 @@
 
 const BEARER = /^Bearer ([\x21-\x7e]{8,256})$/;
 
-/** SHA-256 of a key, in hexadecimal, as it is stored. */
+/** SHA-256 of a key in hexadecimal, the form in which keys are stored. */
 export function hashKey(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
-/** The key document of a request, or why there is none. */
+/** The key document of a request's bearer key, or an `Unauthorised` error. */
 export function authenticate(
   request: IncomingMessage,
   configuration: ClusterConfiguration,
@@ -23,14 +23,14 @@
   if (key === undefined) {
     return E.left(notRun('Unauthorised', 'Send a key in the header "authorization: Bearer KEY".'));
   }
-  // Looking a hash up tells an attacker nothing about the key it came from.
+  // The duration of a lookup by hash reveals nothing about the key.
   const document = configuration.keys.get(hashKey(key));
   return document === undefined
     ? E.left(notRun('Unauthorised', 'This key is not known.'))
     : E.right(document);
 }
 
-/** Refuses a key without one of the roles. */
+/** The key if it has one of the roles, else a `Forbidden` error. */
 export function requireRole(
   key: KeyDocument,
   roles: readonly KeyDocument['role'][],
--- a/src/gateway/call-parsing.ts
+++ b/src/gateway/call-parsing.ts
@@ -1,4 +1,4 @@
-/** Reads callers' requests: bodies and headers, checked and bounded. */
+/** Parses and validates the bodies and headers of callers' requests. */
 import type { IncomingHttpHeaders } from 'node:http';
 import * as E from 'fp-ts/lib/Either.js';
 import { pipe } from 'fp-ts/lib/function.js';
@@ -11,17 +11,17 @@
 import { notRun } from '../model/verdict.js';
 import type { CallError } from '../model/verdict.js';
 
-/** Most messages one request may bring. */
+/** Maximum number of messages in a request. */
 export const MAXIMUM_MESSAGES = 1_024;
-/** Most tokens an answer may be asked to have. */
+/** Maximum number of answer tokens that a caller may request. */
 export const MAXIMUM_ANSWER_TOKENS = 32_768;
-/** Answer tokens when the caller names none. */
+/** Maximum number of answer tokens if the caller gives none. */
 const DEFAULT_ANSWER_TOKENS = 1_024;
-/** Patience of a caller that names none, in seconds. */
+/** Timeout of a call if the caller gives none, in seconds. */
 const DEFAULT_TIMEOUT_SECONDS = 120;
-/** Longest patience, in seconds. */
+/** Maximum timeout of a call, in seconds. */
 const MAXIMUM_TIMEOUT_SECONDS = 3_600;
-/** What programs, keys and calls may be named. */
+/** Valid names of programs and idempotency keys. */
 const NAME = /^[A-Za-z0-9][A-Za-z0-9._:/-]{0,199}$/;
 
 const contentPart = t.type({ type: t.literal('text'), text: t.string });
@@ -42,19 +42,19 @@
   }),
 ]);
 
-/** A checked request of a caller. */
+/** A validated request of a caller. */
 export interface ParsedCall {
   readonly request: CallRequest;
   readonly streaming: boolean;
 }
 
-/** What a request is read with. */
+/** Context in which a request is parsed. */
 export interface ParsingContext {
   readonly key: KeyDocument;
   readonly configuration: ClusterConfiguration;
   readonly headers: IncomingHttpHeaders;
   readonly newName: () => string;
-  /** Makes the name of a call of a program. */
+  /** Creates the identifier of a call of a program. */
   readonly createCallId: (program: string) => string;
 }
 
@@ -64,7 +64,7 @@
   return notRun('Malformed', detail);
 }
 
-/** A header's single value. */
+/** Value of a header; empty if it is missing or has several values. */
 function headerOf(headers: IncomingHttpHeaders, name: string): string {
   const value = headers[name];
   return typeof value === 'string' ? value : '';
@@ -155,7 +155,10 @@
   );
 }
 
-/** A key that outlives its call must name the same program each time the caller repeats it. */
+/**
+ * The program of a request. Without a program header it is derived from the idempotency key, so that
+ * every retry with the same key belongs to the same program.
+ */
 function programOf(context: ParsingContext, headers: CallHeaders): string {
   if (headers.program !== '') {
     return headers.program;
@@ -212,7 +215,7 @@
     : E.left(malformed(PathReporter.report(decoded).slice(0, 5).join('; ')));
 }
 
-/** Reads a chat completion request. */
+/** Parses a chat completion request. */
 export function parseChat(context: ParsingContext, body: unknown): Checked<ParsedCall> {
   return pipe(
     E.Do,
@@ -231,7 +234,7 @@
 /** Tokens reserved for the result of a tool call. */
 const TOOL_RESULT_TOKENS = 1_024;
 
-/** Reads a call of a tool service; unless its caller says so, it may run at most once. */
+/** Parses a call of a tool service; it may run at most once unless the caller allows repeats. */
 export function parseToolCall(
   context: ParsingContext,
   name: string,
--- a/src/gateway/chat-answer.ts
+++ b/src/gateway/chat-answer.ts
@@ -13,9 +13,9 @@
   };
 }
 
-/** Headers that name the call, its program and its place. */
+/** Sets the headers that identify the call, its program and its sequence number. */
 function setCallHeaders(response: ServerResponse, request: CallRequest, answer?: Answer): void {
-  // A repeat is answered by the first call, and that is the one that can be looked up.
+  // A duplicate gets the answer of the original call, and only that call can be looked up.
   response.setHeader('ivyloom-call', answer?.call ?? request.call);
   response.setHeader('ivyloom-program', request.program);
   if (answer !== undefined) {
@@ -23,7 +23,7 @@
   }
 }
 
-/** Answers a chat call in one piece. */
+/** Sends the complete answer to a chat call. */
 export function sendChatAnswer(
   response: ServerResponse,
   request: CallRequest,
@@ -45,7 +45,7 @@
   );
 }
 
-/** Answers a tool call. */
+/** Sends the answer to a tool call. */
 export function sendToolAnswer(
   response: ServerResponse,
   request: CallRequest,
@@ -56,7 +56,7 @@
   response.end(answer.text);
 }
 
-/** Streams a chat call's events to its caller; returns the listener of the events. */
+/** Streams a chat call to its caller; returns the listener for the call's events. */
 export function streamChat(
   response: ServerResponse,
   request: CallRequest,
@@ -90,7 +90,7 @@
       write({ ...chunkFields, choices, usage: usageBody(event.answer) });
       response.end('data: [DONE]\n\n');
     } else if (headersSent) {
-      // The status is sent already: the error travels as an event, as OpenAI's own does.
+      // The status has been sent already, so the error is sent as an event, as OpenAI does.
       write(problemOf(event.error, request.call));
       response.end();
     } else {
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway of one node: finds the owner of a call's program, relays the call's events to its
- * caller, and asks again wherever the owner has moved. Keeps nothing that must last.
+ * The gateway of one node: sends each call to the owner of its program's shard, relays the call's events
+ * to the caller, and sends the call again when the owner has changed. Has no durable state.
  */
 import type { CallId, NodeId, ProgramId, ShardId } from '../model/identifiers.js';
 import type { CallEvent, CallListener, CallRequest } from '../model/call.js';
@@ -19,20 +19,20 @@
   ProgramReply,
 } from '../wire/messages.js';
 
-/** Time between probes of owners, in milliseconds. */
+/** Time between probes of shard owners, in milliseconds. */
 export const PROBE_INTERVAL_MILLISECONDS = 1_000;
-/** Silence after which an owner is believed lost, in milliseconds. */
+/** Time without a message from a shard owner after which the owner is considered lost, in milliseconds. */
 const OWNER_TIMEOUT_MILLISECONDS = 2_700;
-/** Pause before a shard without a known leader is asked again, in milliseconds. */
+/** Delay before retrying on a shard without a known leader, in milliseconds. */
 const RETRY_DELAY_MILLISECONDS = 100;
-/** Time added to a caller's patience for the owner's own final answer to arrive, in milliseconds. */
+/** Time added to a call's timeout so that the owner's final event can arrive, in milliseconds. */
 const DEADLINE_GRACE_MILLISECONDS = 1_500;
-/** Time a program request may take, in milliseconds. */
+/** Timeout of a program request, in milliseconds. */
 const PROGRAM_REQUEST_TIMEOUT_MILLISECONDS = 8_000;
-/** Time after which a program request is sent again, in milliseconds. */
+/** Time after which an unanswered program request is sent again, in milliseconds. */
 const PROGRAM_RESEND_INTERVAL_MILLISECONDS = 700;
 
-/** What a gateway is made with. */
+/** Dependencies of a gateway. */
 export interface GatewayOptions {
   readonly runtime: Runtime;
   readonly map: ShardMap;
@@ -44,17 +44,17 @@
   readonly request: CallRequest;
   readonly listener: CallListener;
   readonly streaming: boolean;
-  /** Text the caller has been sent. */
+  /** Text already delivered to the caller. */
   deliveredText: string;
   owner: NodeId;
-  /** Times it was sent to an owner and not turned away for want of leadership. */
+  /** Number of times that the call was sent and not answered by `notLeader`. */
   outstandingSends: number;
-  /** When the owner last proved to know the call. */
+  /** Time at which the call was last sent, or at which its owner last showed that it tracks the call. */
   lastContactAt: number;
   cancelDeadline: CancelTimer;
 }
 
-/** Result of a program request. */
+/** Result of a program request: an HTTP status and a JSON body. */
 export interface ProgramResult {
   readonly status: number;
   readonly body: string;
@@ -66,19 +66,19 @@
   readonly cancel: () => void;
 }
 
-/** See the head of this file. */
+/** Relays calls and program requests between this node's callers and the shard owners. */
 export class Gateway {
   private readonly calls = new Map<CallId, PendingCall>();
   private readonly programRequests = new Map<CallId, PendingProgramRequest>();
 
   constructor(private readonly options: GatewayOptions) {}
 
-  /** Calls whose callers wait here. */
+  /** Number of calls and program requests whose callers are waiting. */
   get pendingCount(): number {
     return this.calls.size + this.programRequests.size;
   }
 
-  /** Sends a call to its owner; the listener hears pieces (when streaming) and one end. */
+  /** Sends a call to its owner; the listener gets pieces (when streaming) and one final event. */
   submit(request: CallRequest, streaming: boolean, listener: CallListener): void {
     const { runtime } = this.options;
     const pending: PendingCall = {
@@ -99,7 +99,7 @@
     this.sendToOwner(pending);
   }
 
-  /** Forgets a call whose caller has gone; the call itself goes on. */
+  /** Stops relaying a call whose caller has disconnected; the call itself continues. */
   abandon(call: CallId): void {
     const pending = this.calls.get(call);
     if (pending !== undefined) {
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Acts on, or reads, a program at its owner. `group` is empty for an operator. */
+  /** Reads or changes a program through its shard's leader. `group` is empty for an operator. */
   requestProgram(
     id: CallId,
     action: ProgramAction,
@@ -120,7 +120,7 @@
     this.requestShard(shard, id, action, program, group, listener);
   }
 
-  /** Sends a request to the leader of a shard; `subject` is what the action is about. */
+  /** Sends a request to a shard's leader; `subject` is the program or the call that it concerns. */
   requestShard(
     shard: ShardId,
     id: CallId,
@@ -151,7 +151,7 @@
     send();
   }
 
-  /** Takes an event of a call. */
+  /** Handles an event of a call. */
   receiveEvent(from: NodeId, message: CallEventMessage): void {
     const pending = this.calls.get(message.call);
     if (pending === undefined) {
@@ -170,7 +170,7 @@
     }
   }
 
-  /** Takes word that the asked node does not lead the shard. */
+  /** Handles a `notLeader` reply: sends the request again, after a delay if no leader is known. */
   receiveNotLeader(from: NodeId, message: NotLeader): void {
     const { leaders, runtime } = this.options;
     leaders.learn(message.shard, message.hint, from);
@@ -188,12 +188,12 @@
     });
   }
 
-  /** Takes the answer to a program request. */
+  /** Handles the reply to a program request. */
   receiveProgramReply(message: ProgramReply): void {
     this.finishProgramRequest(message.call, { status: message.status, body: message.body });
   }
 
-  /** Takes an owner's answer to a probe. */
+  /** Handles an owner's reply to a probe. */
   receiveProbeReply(from: NodeId, message: CallProbeReply): void {
     const now = this.options.runtime.now();
     const unknown = new Set(message.unknown);
@@ -210,7 +210,7 @@
     }
   }
 
-  /** Probes the owners of all pending calls and leaves those that are silent; once a second. */
+  /** Probes the owners of pending calls and sends calls of lost owners again; run once a second. */
   probe(): void {
     const now = this.options.runtime.now();
     const byOwner = new Map<NodeId, CallId[]>();
@@ -221,7 +221,7 @@
         continue;
       }
       if (now - pending.lastContactAt < PROBE_INTERVAL_MILLISECONDS) {
-        // Its stream shows that the owner knows it.
+        // A recent event shows that the owner tracks the call.
         continue;
       }
       const calls = byOwner.get(pending.owner) ?? [];
@@ -252,7 +252,7 @@
     }
     const { deliveredText } = pending;
     if (event.offset > deliveredText.length) {
-      // A piece before this one was lost: the owner is asked for the stream from here on.
+      // An earlier piece was lost: the call is sent again to get the stream from the delivered text on.
       this.sendToOwner(pending);
       return;
     }
@@ -291,7 +291,7 @@
   }
 
   private failOnDeadline(pending: PendingCall): void {
-    // The owner may have run it; only the owner could say that it did not.
+    // Only the owner could rule out that the call has run.
     const detail = 'The call was not answered in time; ask again with the same sequence or key.';
     const error: CallError = { ...mayHaveRun('DeadlinePassed', detail), retryAfterSeconds: 1 };
     this.finish(pending, { type: 'failed', error });
@@ -309,8 +309,8 @@
 }
 
 /**
- * A refusal proves that a call did not run only when no other copy of it can still be on its way:
- * one that was sent twice may be taken by the owner that hears of it last.
+ * Changes the verdict `NotRun` to `MayHaveRun` if the call was sent more than once: another copy may
+ * still be in flight, and the owner that receives it may run the call.
  */
 function adjustVerdict(
   pending: PendingCall,
--- a/src/gateway/http-body.ts
+++ b/src/gateway/http-body.ts
@@ -1,10 +1,10 @@
-/** Reads a request's body within a bound of bytes. */
+/** Reads request bodies of limited size. */
 import type { IncomingMessage } from 'node:http';
 import * as E from 'fp-ts/lib/Either.js';
 import { notRun } from '../model/verdict.js';
 import type { CallError } from '../model/verdict.js';
 
-/** Longest body a caller may send, in bytes. */
+/** Maximum size of a request body, in bytes. */
 export const MAXIMUM_BODY_BYTES = 8 * 1024 * 1024;
 
 function tooLarge(): CallError {
@@ -12,8 +12,8 @@
 }
 
 /**
- * The body as text, or why it cannot be had. Of a body beyond the bound nothing more is kept; the
- * answer closes the connection, since its rest may never end.
+ * Reads the body as text, or returns why that failed. The rest of a body that is too large is discarded;
+ * the error response closes the connection, since the body may never end.
  */
 export function readBody(request: IncomingMessage): Promise<E.Either<CallError, string>> {
   return new Promise((resolve) => {
@@ -35,7 +35,7 @@
   });
 }
 
-/** The body as JSON, or why it cannot be had. */
+/** Reads the body as JSON, or returns why that failed. */
 export async function readJsonBody(
   request: IncomingMessage,
 ): Promise<E.Either<CallError, unknown>> {
--- a/src/gateway/http-front.ts
+++ b/src/gateway/http-front.ts
@@ -1,4 +1,4 @@
-/** The HTTP front of a node, for callers and operators: routing, authentication, bounds. */
+/** The HTTP server of a node, for callers and operators: routing, authentication, limits. */
 import { randomBytes } from 'node:crypto';
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -22,22 +22,22 @@
 import { sendProblem } from './problem.js';
 import type { ProgramResult } from './gateway.js';
 
-/** Most bytes of a request's headers. */
+/** Maximum size of a request's headers, in bytes. */
 const MAXIMUM_HEADER_BYTES = 16 * 1024;
-/** Time a client may take to send its headers, in milliseconds. */
+/** Timeout for receiving a request's headers, in milliseconds. */
 const HEADERS_TIMEOUT_MILLISECONDS = 10_000;
-/** Time a client may take to send its whole request, in milliseconds. */
+/** Timeout for receiving a whole request, in milliseconds. */
 const REQUEST_TIMEOUT_MILLISECONDS = 60_000;
-/** Most connections at a time. */
+/** Maximum number of open connections. */
 const MAXIMUM_CONNECTIONS = 20_000;
-/** Time between closings of idle connections while the front drains, in milliseconds. */
+/** Time between closings of idle connections while the server drains, in milliseconds. */
 const IDLE_CLOSE_INTERVAL_MILLISECONDS = 100;
-/** Bytes of randomness in a name made here. */
+/** Number of random bytes in a generated name. */
 const NAME_BYTES = 12;
 const FIRST_ERROR_STATUS = 400;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A request on its way through the front. */
+/** An authenticated request and its response. */
 interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -54,7 +54,7 @@
   response.end(typeof body === 'string' ? body : JSON.stringify(body));
 }
 
-/** See the head of this file. */
+/** Serves the HTTP interface of a node. */
 export class HttpFront {
   private readonly server: Server;
 
@@ -67,15 +67,15 @@
     this.server.maxConnections = MAXIMUM_CONNECTIONS;
   }
 
-  /** Listens; calls back with the port. */
+  /** Starts listening; calls `done` with the port. */
   listen(host: string, port: number, done: (port: number) => void): void {
     this.server.listen(port, host, () => done((this.server.address() as AddressInfo).port));
   }
 
-  /** Takes no new connections; calls back when the last request has its answer. */
+  /** Stops accepting connections; calls `done` when the last response has been sent. */
   drain(done: () => void): void {
     const { runtime } = this.node.options;
-    // A connection becomes idle only when its answer is out, so this is done again and again.
+    // A connection becomes idle only after its response, so idle connections are closed repeatedly.
     const cancel = setRepeatingTimer(runtime, IDLE_CLOSE_INTERVAL_MILLISECONDS, () =>
       this.server.closeIdleConnections(),
     );
@@ -86,7 +86,7 @@
     this.server.closeIdleConnections();
   }
 
-  /** Closes everything at once. */
+  /** Closes the server and all connections at once. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -109,7 +109,7 @@
     }
     const authenticated = authenticate(request, this.node.configuration.current);
     if (E.isLeft(authenticated)) {
-      // Until the configuration is known no key is: that is not the caller's fault.
+      // Without a configuration no key is known, so the caller's key may be valid.
       const error =
         this.node.configuration.current.revision === 0 ? notReady() : authenticated.left;
       request.resume();
@@ -230,7 +230,7 @@
 
   private actOnProgram(exchange: Exchange): void {
     const { request, response, path } = exchange;
-    // A sub-agent's name has slashes; the last segment may be the view that is asked for.
+    // A sub-agent's name contains slashes; the last path segment may select the history.
     const wantsHistory = path[path.length - 1] === 'history' && path.length > 3;
     const program = path.slice(2, wantsHistory ? -1 : undefined).join('/');
     request.resume();
--- a/src/gateway/problem.ts
+++ b/src/gateway/problem.ts
@@ -1,9 +1,9 @@
-/** Errors as RFC 9457 problem documents, in a shape that OpenAI clients understand too. */
+/** Errors as RFC 9457 problem documents that OpenAI clients understand too. */
 import type { ServerResponse } from 'node:http';
 import type { CallError } from '../model/verdict.js';
 import { httpStatusOf } from '../model/verdict.js';
 
-/** Body of every error answer. */
+/** Body of every error response. */
 export interface ProblemDocument {
   readonly type: string;
   readonly title: string;
@@ -11,7 +11,7 @@
   readonly detail: string;
   readonly verdict: CallError['verdict'];
   readonly call_id?: string;
-  /** The same for clients that look for OpenAI's error shape. */
+  /** The same error in the shape that OpenAI clients expect. */
   readonly error: { readonly message: string; readonly type: string; readonly code: string };
 }
 
@@ -28,12 +28,12 @@
   };
 }
 
-/** Answers with a problem document; a caller that may ask again is told when. */
+/** Sends a problem document, with a `retry-after` header if the error gives a time for a retry. */
 export function sendProblem(response: ServerResponse, error: CallError, call?: string): void {
   const problem = problemOf(error, call);
   const headers: Record<string, string> = {
     'content-type': 'application/problem+json',
-    // A client that retries by itself must not do so with what may have run.
+    // Clients that retry on their own must not repeat a call that may have run.
     'x-should-retry': error.verdict === 'NotRun' && error.retryAfterSeconds > 0 ? 'true' : 'false',
   };
   if (error.tag === 'TooLarge') {
