--- a/features/gateway.feature
+++ b/features/gateway.feature
@@ -14,18 +14,18 @@
     And program "quote-1" asks turn 3 on node 2
     Then the history of "quote-1" read on node 3 has 6 messages and its digest
 
-  Scenario: Two programs at the same time each keep to their own
+  Scenario: Concurrent programs have separate histories
     Given a local cluster of three nodes
     When programs "alpha" and "beta" each ask 4 turns at the same time
     Then the histories of "alpha" and "beta" hold only their own turns
 
-  Scenario: What may run at most once runs once, and its answer is kept
+  Scenario: A tool call that may run at most once runs once, and its answer is stored
     Given a local cluster of three nodes
     When tool call '{"order":"two sashes"}' is sent 4 times with idempotency key "order-7"
     Then every answer is the same and the tool ran once
     When the call of the last answer is looked up on node 3
 
-  Scenario: Requests that cannot be served say so
+  Scenario: Requests that cannot be served get a problem document
     Given a local cluster of three nodes
     When a caller sends "POST /v1/chat/completions" with body "{"
     Then the answer has status 422, title "Malformed" and verdict "NotRun"
@@ -50,7 +50,7 @@
     When a caller with key "brandvold-local-key" sends a chat call with header "ivyloom-class" = "soon"
     Then the answer has status 422, title "Malformed" and verdict "NotRun"
 
-  Scenario: Operators ask and change
+  Scenario: Operators query and change the cluster
     Given a local cluster of three nodes
     When the operator runs "show nodes" on node 1
     Then the statement answers 3 rows
--- a/features/steps/replication.steps.ts
+++ b/features/steps/replication.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about replicas that die and come back, in virtual time. */
+/** Steps about replicas that crash and restart, in virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { shardOfPool, shardOfProgram } from '../../src/replication/shard-map.js';
@@ -139,7 +139,7 @@
     this.asked = programs;
     this.answered = 0;
     const { map } = this.simulated!;
-    // Programs on the pool's own shard would tell their node who schedules it.
+    // Programs on the pool's own shard are left out: their owner knows the pool's leader already.
     const names = Array.from({ length: programs * 2 }, (_, number) => `p-${number}`)
       .filter((name) => shardOfProgram(map, name) !== shardOfPool(map, 'minds'))
       .slice(0, programs);
--- a/features/steps/storage.steps.ts
+++ b/features/steps/storage.steps.ts
@@ -31,7 +31,7 @@
   loaded?: LoadedStorage;
   ledger?: string;
   endRecording?: () => void;
-  /** Syncs of the database's folder that were seen so far. */
+  /** Number of recorded syncs of the database's folder so far. */
   syncCount?: number;
 }
 
@@ -68,7 +68,7 @@
   },
 );
 
-/** Times that a folder was synced, as the ledger tells. */
+/** Number of syncs of a folder according to the ledger. */
 function countSyncs(world: StorageWorld, folder: string): number {
   const lines = readFileSync(world.ledger!, 'utf8').trim().split('\n');
   return lines
@@ -77,7 +77,7 @@
 }
 
 Then(
-  'its name and those of its files were synced before the replica was acknowledged',
+  'the data folder and the database folder were synced before the replica was acknowledged',
   function (this: StorageWorld) {
     const root = join(this.folder!, 'data');
     assert.equal(countSyncs(this, root), 1);
@@ -86,7 +86,7 @@
   },
 );
 
-Then('those of its files were synced once more', function (this: StorageWorld) {
+Then('the database folder was synced once more', function (this: StorageWorld) {
   assert.equal(countSyncs(this, join(this.folder!, 'data', 'replicas')), this.syncCount! + 1);
 });
 
--- a/features/storage.feature
+++ b/features/storage.feature
@@ -20,8 +20,8 @@
     Then the replica has entries of terms "3,3,3" after index 0
     And its tail is torn
 
-  Scenario: Names of the database's files last before anything in them is acknowledged
+  Scenario: Directory entries of the database's files are durable before anything in them is acknowledged
     Given a data folder whose syncs are recorded, with a replica of 5 entries in term 3 voted for "b"
-    Then its name and those of its files were synced before the replica was acknowledged
+    Then the data folder and the database folder were synced before the replica was acknowledged
     When a snapshot covers the first 2 entries
-    Then those of its files were synced once more
+    Then the database folder was synced once more
