--- a/src/simulation/simulated-back-ends.ts
+++ b/src/simulation/simulated-back-ends.ts
@@ -1,4 +1,4 @@
-/** The back-end port of one node in virtual time: connections that delay, break and are refused. */
+/** The back-end port of a simulated node: streams and reports over simulated connections. */
 import type { CallId, EngineId, ProgramId } from '../model/identifiers.js';
 import type { EmulatedBackEnd } from '../emulator/emulated-back-end.js';
 import { UNREACHABLE_REPORT } from '../platform/back-end-port.js';
@@ -14,7 +14,7 @@
 import type { Runtime } from '../runtime/runtime.js';
 import type { ConnectionOrder, NetworkEndpoint, SimulatedNetwork } from './simulated-network.js';
 
-/** What the port is made with. */
+/** The network, the node's endpoint on it, and the back ends with their endpoints. */
 export interface SimulatedBackEndsOptions {
   readonly network: SimulatedNetwork;
   readonly endpoint: NetworkEndpoint;
@@ -23,10 +23,13 @@
   readonly backEndEndpoints: ReadonlyMap<EngineId, NetworkEndpoint>;
 }
 
-/** Time after which a request into a cut link fails, in milliseconds. */
+/** Delay before a request over a cut link fails. */
 const CONNECT_TIMEOUT_MILLISECONDS = 500;
 
-/** See the head of this file. */
+/**
+ * Connects a simulated node to emulated back ends over the simulated network. When the link is cut,
+ * new streams fail with the verdict of their operation and open ones with `MayHaveRun`.
+ */
 export class SimulatedBackEnds implements BackEndPort {
   constructor(private readonly options: SimulatedBackEndsOptions) {}
 
--- a/src/simulation/simulated-cluster.ts
+++ b/src/simulation/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** A whole cluster in virtual time: real node code, emulated platform, seeded network and faults. */
+/** A cluster in virtual time: production node code on emulated back ends, disks and network. */
 import type { EngineId, NodeId, ZoneName } from '../model/identifiers.js';
 import type { ConfigurationDocument } from '../configuration/documents.js';
 import type { EmulatedBackEnd } from '../emulator/emulated-back-end.js';
@@ -27,31 +27,31 @@
 import { SimulatedProcess, silentLog } from './simulated-process.js';
 import { VirtualClock } from './virtual-clock.js';
 
-/** A service with its back ends, as a simulation sets it up. */
+/** Configuration of a simulated service and its back ends. */
 export interface SimulatedService {
   readonly name: string;
   readonly kind: 'model' | 'tool';
   readonly runners: number;
-  /** Most calls a runner is given at a time. */
+  /** Maximum number of concurrent calls per runner. */
   readonly concurrency: number;
   readonly engine?: Omit<EngineModelOptions, 'name'>;
   readonly tool?: Omit<ToolModelOptions, 'name'>;
 }
 
-/** A group, as a simulation sets it up. */
+/** Configuration of a simulated group: its share of the engines and its token budget. */
 export interface SimulatedGroup {
   readonly name: string;
   readonly share: number;
   readonly budget: number;
 }
 
-/** What a simulated cluster is made of. */
+/** Topology, network delays and configuration of a simulated cluster. */
 export interface SimulatedClusterOptions {
   readonly seed: number;
   readonly zones: readonly ZoneName[];
   /** Nodes in each zone. @default 1 */
   readonly nodesPerZone?: number;
-  /** One-way milliseconds between zones. */
+  /** One-way network delay between zones. */
   readonly interZoneMilliseconds: number;
   readonly shardCount: number;
   readonly services: readonly SimulatedService[];
@@ -59,7 +59,7 @@
   readonly limits?: OwnerLimits;
   readonly createPolicy?: () => SchedulingPolicy;
   readonly log?: LogFunction;
-  /** Sees every message that a node sends to another. */
+  /** Called with every message that one node sends to another. */
   readonly onMessage?: (from: NodeId, message: Message) => void;
 }
 
@@ -70,10 +70,10 @@
   node: IvyloomNode | undefined;
 }
 
-/** Time in which a fresh cluster elects its leaders and reads its configuration, in ms. */
+/** Time that a new cluster takes to elect its leaders and read its configuration. */
 export const SETTLE_MILLISECONDS = 4_000;
 
-/** See the head of this file. */
+/** Runs the nodes, back ends and key-value service of a cluster; a seed makes a run repeatable. */
 export class SimulatedCluster {
   readonly clock = new VirtualClock();
   readonly random: RandomSource;
@@ -109,33 +109,31 @@
     return this.placed.map((placed) => placed.node);
   }
 
-  /** Starts every node and waits until leaders are elected. */
+  /** Starts every node and advances the clock so that leaders are elected. */
   start(): void {
     this.nodeNames.forEach((name) => this.startNode(name));
     this.clock.runUntil(this.clock.now + SETTLE_MILLISECONDS);
   }
 
-  /** A node; undefined while its process is dead. */
+  /** Returns a node, or undefined while its process is not running. */
   node(name: NodeId): IvyloomNode | undefined {
     return this.machine(name).node;
   }
 
-  /** Nodes whose processes live. */
+  /** Nodes whose process runs or is paused. */
   livingNodes(): IvyloomNode[] {
     return [...this.machines.values()].flatMap((machine) => machine.node ?? []);
   }
 
-  /** The process a node runs in. */
   processOf(name: NodeId): SimulatedProcess {
     return this.machine(name).endpoint.process;
   }
 
-  /** The network end of a node. */
   endpointOf(name: NodeId): NetworkEndpoint {
     return this.machine(name).endpoint;
   }
 
-  /** Starts a node's process, from what its disk holds. */
+  /** Starts a node from the state on its disk; does nothing while the node is running. */
   startNode(name: NodeId): void {
     const machine = this.machine(name);
     if (machine.node !== undefined) {
@@ -147,22 +145,22 @@
     node.start();
   }
 
-  /** Ends a node's process at once. */
+  /** Kills a node's process without a graceful shutdown. */
   killNode(name: NodeId): void {
     const machine = this.machine(name);
     machine.endpoint.process.kill();
     machine.node = undefined;
   }
 
-  /** Loses the end of the logs on a dead node's disk. */
+  /** Drops the newest entries of every log on a node's disk; the node must not be running. */
   tearDisk(name: NodeId, entries: number): void {
     this.machine(name).disk.tearTails(entries);
   }
 
-  /** Stops a node as planned; it is gone when `done` is called. */
+  /** Shuts a node down gracefully; `done` is called after its process has ended. */
   leaveNode(name: NodeId, done: () => void = () => undefined): void {
     const machine = this.machine(name);
-    // A signal to a process that stands still takes effect when it goes on.
+    // A paused process handles the signal after it resumes.
     machine.endpoint.process.execute(() => {
       machine.node?.leave(() => {
         machine.endpoint.process.kill();
@@ -172,7 +170,7 @@
     });
   }
 
-  /** Crashes a back end; it comes back empty after a while. */
+  /** Crashes a back end and restarts it, without its state, after `downMilliseconds`. */
   crashBackEnd(name: EngineId, downMilliseconds: number): void {
     const backEnd = this.backEnds.get(name);
     if (backEnd === undefined || !backEnd.isUp) {
@@ -182,7 +180,7 @@
     this.clock.schedule(downMilliseconds, () => backEnd.restart());
   }
 
-  /** Makes a process outside the cluster, such as a client's. */
+  /** Creates a process that is not a node of the cluster, such as a client. */
   createProcess(name: string): SimulatedProcess {
     const random = createRandom(this.options.seed, name);
     return new SimulatedProcess(name, this.clock, random, this.options.log ?? silentLog);
@@ -191,7 +189,7 @@
   private machine(name: NodeId): Machine {
     const machine = this.machines.get(name);
     if (machine === undefined) {
-      throw new Error(`no machine ${name}`);
+      throw new Error(`machine "${name}" does not exist`);
     }
     return machine;
   }
--- a/src/simulation/simulated-disk.ts
+++ b/src/simulation/simulated-disk.ts
@@ -1,4 +1,4 @@
-/** Disks in virtual time: writes become durable after a while, in order; a death loses the rest. */
+/** Node storage in virtual time: writes become durable in order, after a delay. */
 import type { ShardId } from '../model/identifiers.js';
 import type { NodeStorage } from '../node/node-options.js';
 import { applyChange, emptyReplica } from '../replication/log-entry.js';
@@ -6,17 +6,17 @@
 import type { ShardMap } from '../replication/shard-map.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** Milliseconds a synced write takes. */
+/** Duration of a synced write. */
 const WRITE_MILLISECONDS = 0.6;
 
-/** The disk of one machine; survives its processes. */
+/** The disk of one machine. Its content outlives processes; a kill discards pending writes. */
 export class SimulatedDisk {
   private readonly replicas = new Map<ShardId, PersistedReplica>();
   private configuration: { revision: number; documents: string } | undefined;
 
   constructor(private readonly map: ShardMap) {}
 
-  /** The disk as a process of one life uses it. */
+  /** Returns the storage for one run of the machine's process. */
   open(runtime: Runtime): NodeStorage {
     return {
       load: (shard) => this.replicas.get(shard),
@@ -32,7 +32,10 @@
     };
   }
 
-  /** Loses the newest entries of every log, as a torn write does; what was promised is known. */
+  /**
+   * Drops the newest entries of every log, as a torn write does. The acknowledged index is kept, so
+   * that the replica knows that entries are missing.
+   */
   tearTails(count: number): void {
     for (const [shard, replica] of this.replicas) {
       const acknowledgedIndex = replica.snapshot.lastIndex + replica.entries.length;
@@ -42,7 +45,7 @@
   }
 
   private persist(runtime: Runtime, shard: ShardId, change: PersistChange, done: () => void): void {
-    // The timer dies with the process, and with it whatever was not yet written.
+    // Timers of a killed process don't fire, so its pending writes are lost.
     runtime.setTimer(WRITE_MILLISECONDS, () => {
       const known = this.replicas.get(shard) ?? emptyReplica(this.map.voters[shard] ?? []);
       this.replicas.set(shard, applyChange(known, change));
--- a/src/simulation/simulated-network.ts
+++ b/src/simulation/simulated-network.ts
@@ -1,37 +1,37 @@
-/** The network in virtual time: seeded delays, loss, partitions; an order may be overtaken. */
+/** The network in virtual time: delays, loss, reordering of datagrams and partitions, by a seed. */
 import type { ZoneName } from '../model/identifiers.js';
 import type { RandomSource } from '../runtime/random.js';
 import type { SimulatedProcess } from './simulated-process.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** One end of the network. */
+/** A process on the network and the zone that it runs in. */
 export interface NetworkEndpoint {
   readonly process: SimulatedProcess;
   readonly zone: ZoneName;
 }
 
-/** How the network behaves. */
+/** One-way delays of the network. */
 export interface NetworkOptions {
-  /** One-way milliseconds inside a zone. @default 0.2 */
+  /** One-way delay within a zone. @default 0.2 */
   readonly intraZoneMilliseconds?: number;
-  /** One-way milliseconds between zones. */
+  /** One-way delay between zones. */
   readonly interZoneMilliseconds: number;
 }
 
-/** Keeps the order of one direction of a connection. */
+/** Delivery state of one direction of a connection, which keeps its messages in order. */
 export interface ConnectionOrder {
-  /** Virtual milliseconds at which the newest message arrives. */
+  /** Virtual time, in milliseconds, at which the newest message arrives. */
   lastArrival: number;
 }
 
-/** Jitter as a part of the usual delay. */
+/** Maximum jitter as a fraction of the delay. */
 const JITTER = 0.3;
 
-/** See the head of this file. */
+/** Delivers messages between simulated processes, as datagrams or over ordered connections. */
 export class SimulatedNetwork {
-  /** Probability that a message is lost. */
+  /** Probability that a datagram is lost. */
   loss = 0;
-  /** Most milliseconds added at random to each message. */
+  /** Upper bound of a random delay added to each message, in milliseconds. */
   extraDelay = 0;
   private readonly cutLinks = new Set<string>();
   private delivered = 0;
@@ -42,33 +42,33 @@
     private readonly options: NetworkOptions,
   ) {}
 
-  /** Messages delivered so far. */
+  /** Number of messages delivered so far. */
   get messageCount(): number {
     return this.delivered;
   }
 
-  /** Cuts both directions between two ends. */
+  /** Cuts both directions between two processes, given by name. */
   cutLink(left: string, right: string): void {
     this.cutLinks.add(`${left}>${right}`);
     this.cutLinks.add(`${right}>${left}`);
   }
 
-  /** Cuts one direction. */
+  /** Cuts the direction from one process to another, given by name. */
   cutOneWay(from: string, to: string): void {
     this.cutLinks.add(`${from}>${to}`);
   }
 
-  /** Heals every cut. */
+  /** Restores all links that were cut. */
   heal(): void {
     this.cutLinks.clear();
   }
 
-  /** True when messages pass from one end to another. */
+  /** Whether the link in this direction is up. */
   isConnected(from: NetworkEndpoint, to: NetworkEndpoint): boolean {
     return !this.cutLinks.has(`${from.process.name}>${to.process.name}`);
   }
 
-  /** Delivers a datagram, or loses it. */
+  /** Delivers a datagram; it may be lost, or overtaken by a later one. */
   deliver(from: NetworkEndpoint, to: NetworkEndpoint, receive: () => void): void {
     if (!this.isConnected(from, to) || this.random.uniform() < this.loss) {
       return;
@@ -79,7 +79,10 @@
     });
   }
 
-  /** Delivers over a connection: in order, never lost while the link is up, told when it is not. */
+  /**
+   * Delivers over a connection: in order and without loss. When the link is down or the receiver's
+   * process has ended at the time of arrival, the sender's callback for a broken connection runs.
+   */
   deliverInOrder(
     connection: ConnectionOrder,
     from: NetworkEndpoint,
--- a/src/simulation/simulated-process.ts
+++ b/src/simulation/simulated-process.ts
@@ -1,17 +1,17 @@
-/** A process in virtual time: it can be paused, killed and started again. */
+/** Processes in virtual time. */
 import type { CancelTimer, LogFunction, Runtime } from '../runtime/runtime.js';
 import type { RandomSource } from '../runtime/random.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** Virtual milliseconds since 1970 at the start of every simulation. */
+/** Wall-clock time at the start of every simulation, in milliseconds since the Unix epoch. */
 export const SIMULATION_EPOCH = 1_750_000_000_000;
 
-/** Drops every line. */
+/** A log function that discards every line. */
 export const silentLog: LogFunction = () => undefined;
 
-/** One life of a process; work of an earlier life never runs in a later one. */
+/** A process that can be paused, killed and restarted; callbacks of earlier runs never execute. */
 export class SimulatedProcess {
-  /** Added to the wall clock by a clock jump, in milliseconds. */
+  /** Offset of the wall clock, set by a clock jump, in milliseconds. */
   wallOffset = 0;
   private incarnation = 0;
   private paused = false;
@@ -24,17 +24,16 @@
     private readonly log: LogFunction = silentLog,
   ) {}
 
-  /** True while the process runs or is paused. */
+  /** Whether the process was started and not killed since; it may be paused. */
   get isAlive(): boolean {
     return this.incarnation > 0;
   }
 
-  /** True while it stands still. */
   get isPaused(): boolean {
     return this.paused;
   }
 
-  /** Begins a life and returns its surroundings. */
+  /** Starts a new run of the process and returns its runtime. */
   start(): Runtime {
     this.incarnation = Math.abs(this.incarnation) + 1;
     const { incarnation } = this;
@@ -47,19 +46,19 @@
     };
   }
 
-  /** Ends the life at once. */
+  /** Ends the current run; its timers and deferred callbacks never execute. */
   kill(): void {
     this.incarnation = -Math.abs(this.incarnation);
     this.paused = false;
     this.deferred = [];
   }
 
-  /** Stops all activity until `resume`; what happens meanwhile is done then. */
+  /** Pauses the process; callbacks that become due are deferred until `resume`. */
   pause(): void {
     this.paused = this.isAlive;
   }
 
-  /** Goes on, with everything that became due in between. */
+  /** Resumes the process and schedules the deferred callbacks. */
   resume(): void {
     this.paused = false;
     const due = this.deferred;
@@ -67,7 +66,7 @@
     due.forEach((run) => this.clock.schedule(0, run));
   }
 
-  /** Runs something in this life, now or when a pause ends; nothing when the life is over. */
+  /** Runs a callback now, or after the pause; it is dropped when the process isn't alive. */
   execute(callback: () => void): void {
     this.run(this.incarnation, callback);
   }
--- a/src/simulation/simulated-replicas.ts
+++ b/src/simulation/simulated-replicas.ts
@@ -1,7 +1,7 @@
 /**
- * Replicas of turns and accounts, their members' record and gateways in virtual time: messages are
- * delayed and lost, machines are cut off, processes killed and paused, disks wiped, machines added,
- * replaced and emptied.
+ * Replicas of turns and token accounts in virtual time, with the store that holds their membership
+ * record. Messages are delayed; links can be cut, processes killed and paused, disks wiped, and
+ * machines added and retired.
  */
 import type { LogFunction, Runtime } from '../runtime/runtime.js';
 import type { RandomSource } from '../runtime/random.js';
@@ -34,25 +34,24 @@
 
 const WRITE_DELAY_MILLISECONDS = 1;
 const LAZY_WRITE_DELAY_MILLISECONDS = 250;
-/** Pause before a refused write is tried again. */
 const WRITE_RETRY_DELAY_MILLISECONDS = 500;
-/** Delay of writes that are acknowledged before they are on disk: a planted fault. */
+/** Delay of writes acknowledged before they are on disk, under the fault 'hastyAcknowledge'. */
 const EARLY_ACKNOWLEDGED_WRITE_DELAY_MILLISECONDS = 2_000;
 const LINK_DELAY_MILLISECONDS = 1;
 const LINK_JITTER_MILLISECONDS = 2;
 const STORE_DELAY_MILLISECONDS = 4;
 
-/** A disk of one machine: what was written lasts, unless the disk is wiped. */
+/** The disk of one machine. Its content outlives processes, unless the disk is wiped. */
 class SimulatedTurnDisk {
   private state = emptyState();
-  /** While true, writes are refused; they are tried again as the real storage does. */
+  /** While true, writes fail and are retried, as the production storage does. */
   refusesWrites = false;
 
   wipe(): void {
     this.state = emptyState();
   }
 
-  /** Tells everything that was written. */
+  /** Replays all stored changes. */
   load(visit: (change: WrittenChange) => void): void {
     const { meta, joining, entries, turns } = this.state;
     if (meta !== undefined) {
@@ -77,7 +76,7 @@
           return;
         }
         const delay = urgency === 'lazy' ? LAZY_WRITE_DELAY_MILLISECONDS : writeMilliseconds;
-        // The timer dies with the process, and with it whatever was not yet written.
+        // Timers of a killed process don't fire, so its pending writes are lost.
         const write = (): void => {
           if (this.refusesWrites) {
             runtime.setTimer(WRITE_RETRY_DELAY_MILLISECONDS, write);
@@ -130,23 +129,25 @@
   return { meta: undefined, joining: undefined, entries: new Map(), turns: new Map() };
 }
 
-/** The store that holds the record of members. */
+/** The store that holds the membership record and the retirement reports. */
 class SimulatedMembershipStore {
   private text = '';
   private revision = 0;
-  /** While false, nobody reaches it. */
+  /** While false, reads and writes of the record fail. */
   reachable = true;
-  /** While true, it takes no reports on the emptying of machines. */
+  /** While true, retirement reports fail. */
   refusesReports = false;
+  /** Nodes that operators want retired. */
   readonly retiring = new Set<string>();
+  /** Nodes whose retirement was reported as finished. */
   readonly retired = new Set<string>();
 
-  /** Members that the stored record names. */
+  /** Members in the stored record. */
   get members(): readonly Member[] {
     return decodeMemberRecord(this.text)?.members ?? [];
   }
 
-  /** Epoch of the stored record; 0 when there is none. */
+  /** Epoch of the stored record, or 0 when there is none. */
   get epoch(): number {
     return decodeMemberRecord(this.text)?.epoch ?? 0;
   }
@@ -182,7 +183,7 @@
   }
 }
 
-/** One machine with a disk. */
+/** A machine with its process, its disk and, while the process runs, its replica. */
 interface SimulatedMachine {
   readonly member: Member;
   readonly process: SimulatedProcess;
@@ -192,27 +193,27 @@
   close: () => void;
 }
 
-/** How the replicas are played; the planted faults show that checks find them. */
+/** Options of the simulated replicas; injected faults verify that the checks detect them. */
 export interface SimulatedReplicasOptions {
   readonly injectedFault?: 'noRepair' | 'hastyAcknowledge' | 'lostAccounts';
   readonly log?: LogFunction;
-  /** Time that a synced write takes, in milliseconds. @default 1 */
+  /** Duration of a synced write. @default 1 */
   readonly writeMilliseconds?: number;
-  /** Members that the record is to name. @default as many as there are machines */
+  /** Wanted number of members in the record. @default as many as there are machines */
   readonly wantedMembers?: number;
-  /** Time after its start from which on a successor counts, in milliseconds. @default 16,000 */
+  /** Upper bound on the time from a successor's start to its activation. @default 16,000 */
   readonly catchUpMilliseconds?: number;
-  /** What may be given out beyond the limits of tenants. @default nothing */
+  /** The amount by which tenants' limits may be exceeded. @default nothing */
   readonly quotaAllowance?: QuotaAllowance;
 }
 
-/** See the head of this file. */
+/** Runs replicas on simulated machines and gives gateways clients to them. */
 export class SimulatedReplicas {
   readonly store = new SimulatedMembershipStore();
   private readonly machines = new Map<string, SimulatedMachine>();
-  /** Pairs of names, `a b`, between which nothing passes. */
+  /** Links that are cut, as `from to`. */
   private readonly cutLinks = new Set<string>();
-  /** Turns that replicas have sent one another to copy. */
+  /** Number of turns that replicas have copied from one another. */
   copiedTurns = 0;
   private lastCallNumber = 0;
   private readonly log: LogFunction;
@@ -225,7 +226,7 @@
     this.log = options.log ?? silentLog;
   }
 
-  /** Adds a machine and starts its process. */
+  /** Adds a machine with an empty disk and starts its process. */
   add(name: string, zone: string): void {
     const member: Member = { id: `${name}@${name}`, node: name, host: name, port: 1, zone };
     const machine: SimulatedMachine = {
@@ -240,7 +241,7 @@
     this.start(name);
   }
 
-  /** Starts the process of a machine. */
+  /** Starts the process of a machine from the state on its disk. */
   start(name: string): void {
     const machine = this.machine(name);
     const runtime = machine.process.start();
@@ -252,7 +253,7 @@
     machine.disk.load((change) => replica.restore(change));
     replica.endRestore();
     if (this.options.injectedFault === 'noRepair') {
-      replica.markReady('planted fault');
+      replica.markReady('injected fault');
     }
     const caller = this.createCaller(name, runtime, directory);
     const { wantedMembers = Infinity } = this.options;
@@ -283,7 +284,7 @@
     };
   }
 
-  /** Kills a process; its disk stays. */
+  /** Kills the process of a machine; the disk keeps what was written. */
   kill(name: string): void {
     const machine = this.machine(name);
     machine.close();
@@ -291,17 +292,17 @@
     machine.replica = undefined;
   }
 
-  /** Empties the disk of a machine whose process is dead. */
+  /** Wipes the disk of a machine; its process must not be running. */
   wipe(name: string): void {
     this.machine(name).disk.wipe();
   }
 
-  /** Lets the disk of a machine refuse writes, or take them again. */
+  /** Makes the disk of a machine refuse writes, or accept them again. */
   refuseWrites(name: string, refuses: boolean): void {
     this.machine(name).disk.refusesWrites = refuses;
   }
 
-  /** Stops a process without ending it, and lets it go on. */
+  /** Pauses the process of a machine until `resume`. */
   pause(name: string): void {
     this.machine(name).process.pause();
   }
@@ -310,7 +311,7 @@
     this.machine(name).process.resume();
   }
 
-  /** Lets nothing pass between two; a name may also be `store` or a gateway's. */
+  /** Cuts both directions between two names: machines, gateways or `store`. */
   cut(left: string, right: string): void {
     this.cutLinks.add(`${left} ${right}`);
     this.cutLinks.add(`${right} ${left}`);
@@ -321,29 +322,29 @@
     this.cutLinks.delete(`${right} ${left}`);
   }
 
-  /** Machines whose process runs. */
+  /** Machines whose process is alive. */
   runningNames(): string[] {
     return [...this.machines].flatMap(([name, { replica }]) => (replica ? [name] : []));
   }
 
-  /** Machines that the stored record names. */
+  /** Machines named in the stored record. */
   recordedMembers(): string[] {
     return this.store.members.map(({ node }) => node);
   }
 
-  /** Machines whose acknowledgements count. */
+  /** Machines whose replica is active: its acknowledgements count towards a quorum. */
   activeNames(): string[] {
     return [...this.machines].flatMap(([name, { replica }]) => (replica?.active ? [name] : []));
   }
 
-  /** Whether every active replica has a turn. */
+  /** Machines whose replica has a turn. */
   holdersOf(turn: string): string[] {
     return [...this.machines].flatMap(([name, { replica }]) =>
       replica?.state.hasTurn(turn) ? [name] : [],
     );
   }
 
-  /** A gateway's client; it knows the members that a machine knows. */
+  /** Creates the turn client of a gateway, with the members that the machine `knownTo` knows. */
   client(
     name: string,
     zone: string,
@@ -357,7 +358,7 @@
     return { client: new TurnClient({ runtime, directory, caller, zone }), process };
   }
 
-  /** A gateway's client for quotas; it knows the members that a machine knows, and follows them. */
+  /** Creates the quota client of a gateway, with the members that the machine `knownTo` knows. */
   quotaClient(name: string, knownTo: string): QuotaClient {
     const process = new SimulatedProcess(name, this.clock, this.random, this.log);
     const runtime = process.start();
@@ -370,7 +371,7 @@
   private machine(name: string): SimulatedMachine {
     const machine = this.machines.get(name);
     if (machine === undefined) {
-      throw new Error(`no machine ${name}`);
+      throw new Error(`machine "${name}" does not exist`);
     }
     return machine;
   }
--- a/src/simulation/virtual-clock.ts
+++ b/src/simulation/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Virtual time: events run one after another in the order of their time, then of their making. */
+/** Virtual time for simulations. */
 import TinyQueue from 'tinyqueue';
 import type { CancelTimer } from '../runtime/runtime.js';
 
@@ -8,7 +8,7 @@
   run: (() => void) | undefined;
 }
 
-/** A clock that moves only from event to event. */
+/** A clock that advances from event to event; events at the same time run in scheduling order. */
 export class VirtualClock {
   private readonly events = new TinyQueue<ScheduledEvent>(
     [],
@@ -17,17 +17,17 @@
   private time = 0;
   private scheduledCount = 0;
 
-  /** Virtual milliseconds since the start. */
+  /** Milliseconds of virtual time since the start. */
   get now(): number {
     return this.time;
   }
 
-  /** Number of events made so far. */
+  /** Number of events scheduled so far. */
   get eventCount(): number {
     return this.scheduledCount;
   }
 
-  /** Runs something later. */
+  /** Schedules a callback after a delay in milliseconds; returns a function that cancels it. */
   schedule(delay: number, run: () => void): CancelTimer {
     this.scheduledCount += 1;
     const event: ScheduledEvent = {
@@ -41,7 +41,7 @@
     };
   }
 
-  /** Runs all events up to a time, or until a condition holds; true when it came to hold. */
+  /** Runs all events up to a time, or until a condition holds; returns whether it holds. */
   runUntil(time: number, finished: () => boolean = () => false): boolean {
     for (let event = this.events.peek(); event !== undefined; event = this.events.peek()) {
       if (finished()) {
