--- a/src/emulator/answer-text.ts
+++ b/src/emulator/answer-text.ts
@@ -1,19 +1,19 @@
 /**
- * The text an emulated engine answers with: fixed by the whole conversation, so that a checker can
- * tell a lost, mixed or foreign answer from the right one.
+ * Answers of emulated back ends. They are a function of the whole conversation or payload, so that
+ * a checker can detect lost, mixed-up and wrong answers.
  */
 import { CHARACTERS_PER_TOKEN, digestConversation } from '../model/chat.js';
 import type { ChatMessage } from '../model/chat.js';
 import { hashText, hashToNumber } from '../runtime/hashing.js';
 
-/** Tokens of one generated stretch; four hexadecimal groups of a hash. */
+/** Tokens of one chunk: five groups of three hexadecimal digits. */
 const TOKENS_PER_CHUNK = 5;
-/** A message that ends in `#120` asks the emulator for 120 tokens. */
+/** A message that ends in `#120` requests an answer of 120 tokens. */
 const LENGTH_MARKER = /#(\d+)$/;
 const MINIMUM_ANSWER_TOKENS = 24;
 const ANSWER_TOKENS_RANGE = 96;
 
-/** Tokens the emulator answers a conversation with. */
+/** Returns the length in tokens of the answer to a conversation. */
 export function answerLength(messages: readonly ChatMessage[], maximumTokens: number): number {
   const last = messages[messages.length - 1]?.content ?? '';
   const match = LENGTH_MARKER.exec(last);
@@ -30,7 +30,7 @@
   return `${words.join(' ')} `;
 }
 
-/** Text of an answer of so many tokens to a conversation with this digest. */
+/** Returns the answer text of a given length in tokens for a conversation's digest. */
 export function answerText(digest: string, tokens: number): string {
   let text = '';
   for (let index = 0; index * TOKENS_PER_CHUNK < tokens; index += 1) {
@@ -39,12 +39,12 @@
   return text.slice(0, tokens * CHARACTERS_PER_TOKEN);
 }
 
-/** The whole answer an emulated engine gives to a conversation. */
+/** Returns the complete answer of an emulated engine to a conversation. */
 export function expectedAnswer(messages: readonly ChatMessage[], maximumTokens: number): string {
   return answerText(digestConversation(messages), answerLength(messages, maximumTokens));
 }
 
-/** The result an emulated tool gives to a payload. */
+/** Returns the result of an emulated tool for a payload. */
 export function expectedToolResult(payload: string): string {
   return JSON.stringify({ result: hashText(payload) });
 }
--- a/src/emulator/back-end-server.ts
+++ b/src/emulator/back-end-server.ts
@@ -32,7 +32,7 @@
 const NO_FENCE: Fence = { shard: -1, term: 0 };
 const DEFAULT_MAXIMUM_TOKENS = 256;
 
-/** Serves one emulated back end. */
+/** Serves one emulated back end; while the back end is down, connections are closed. */
 export class BackEndServer {
   private readonly server: Server;
   private directCalls = 0;
@@ -44,7 +44,7 @@
     this.server.keepAliveTimeout = 60_000;
   }
 
-  /** Listens; calls back with the port. */
+  /** Starts listening; port 0 selects a free one. Calls `done` with the port. */
   listen(host: string, port: number, done: (port: number) => void): void {
     this.server.listen(port, host, () => done((this.server.address() as AddressInfo).port));
   }
--- a/src/emulator/emulated-back-end.ts
+++ b/src/emulator/emulated-back-end.ts
@@ -1,4 +1,4 @@
-/** What every emulated back end offers, in process; HTTP and the simulation are put around it. */
+/** The in-process interface of emulated back ends, used by the HTTP server and the simulation. */
 import type { CallId, ProgramId, ServiceName } from '../model/identifiers.js';
 import type {
   BackEndListener,
@@ -8,7 +8,7 @@
 } from '../platform/back-end-port.js';
 import type { IdleMemory } from './prefix-cache.js';
 
-/** One order that began to run, as checkers see it. */
+/** A request that started to run, recorded for checkers. */
 export interface Execution {
   readonly call: CallId;
   readonly program: ProgramId;
@@ -18,7 +18,7 @@
   readonly at: number;
 }
 
-/** Totals of one back end, for reports. */
+/** Cumulative totals of one back end. */
 export interface BackEndTotals {
   readonly prefillTokens: number;
   readonly cachedTokens: number;
@@ -27,7 +27,7 @@
   readonly idleMemory: IdleMemory;
 }
 
-/** An emulated back end. */
+/** An emulated back end, with the operations of `BackEndPort` for one engine. */
 export interface EmulatedBackEnd {
   readonly name: string;
   start(request: BackEndRequest, listener: BackEndListener): void;
@@ -35,22 +35,22 @@
   cancel(call: CallId): void;
   hold(program: ProgramId, milliseconds: number, fence: Fence): void;
   report(): BackEndReport;
-  /** Loses all work and memory; streams break. */
+  /** Drops all requests and cached prompts and fails open streams. */
   crash(): void;
-  /** Comes back empty. */
+  /** Accepts requests again after a crash, without any earlier state. */
   restart(): void;
-  /** Ends it for good, with its timers. */
+  /** Shuts the back end down for good and cancels its timers. */
   stop(): void;
   readonly isUp: boolean;
   readonly executions: readonly Execution[];
   totals(): BackEndTotals;
 }
 
-/** Terms seen of each shard; an order of a lower term is stale. */
+/** The highest term seen of each shard; requests of a lower term are stale. */
 export class FenceGuard {
   private readonly terms = new Map<number, number>();
 
-  /** Raises the fence; false when the order is stale. */
+  /** Records the fence's term; returns false when the request is stale. */
   admit(fence: Fence): boolean {
     const highestTerm = this.terms.get(fence.shard) ?? 0;
     if (fence.term < highestTerm) {
--- a/src/emulator/engine-model.ts
+++ b/src/emulator/engine-model.ts
@@ -1,6 +1,6 @@
 /**
- * An emulated model engine: continuous batching with chunked prefill, a prompt cache, priorities,
- * streams that outlive their connection, holds, fenced orders, late and gappy reports, crashes.
+ * An emulated model engine: continuous batching with chunked prefill, a prompt cache with holds,
+ * priorities, resumable streams, fenced requests, and reports that lag and miss events.
  */
 import type { CallId, ProgramId } from '../model/identifiers.js';
 import {
@@ -27,26 +27,26 @@
 import { PrefixCache } from './prefix-cache.js';
 import type { CacheLease, PrefixLink } from './prefix-cache.js';
 
-/** How an emulated engine performs. */
+/** Performance and limits of an emulated engine. */
 export interface EngineModelOptions {
   readonly name: string;
-  /** Prompt tokens computed in a second. @default 12000 */
+  /** Prefill throughput. @default 12000 */
   readonly prefillTokensPerSecond?: number;
-  /** Milliseconds of one decoding step with an empty batch. @default 8 */
+  /** Fixed duration of a decoding step. @default 8 */
   readonly stepMilliseconds?: number;
-  /** Milliseconds each sequence adds to a step. @default 0.35 */
+  /** Duration that each decoding sequence adds to a step. @default 0.35 */
   readonly sequenceMilliseconds?: number;
-  /** Memory for prompts and answers, in tokens. @default 120000 */
+  /** Capacity of the cache for prompts and answers, in tokens. @default 120000 */
   readonly cacheTokens?: number;
-  /** Most sequences in the batch. @default 32 */
+  /** Maximum number of sequences in the batch. @default 32 */
   readonly maximumBatch?: number;
-  /** Most prompt tokens computed in one step. @default 2048 */
+  /** Maximum number of prompt tokens computed in one step. @default 2048 */
   readonly chunkTokens?: number;
-  /** Decoding steps run as one event when nothing else is to do; coarser is faster to emulate. @default 4 */
+  /** Maximum number of decoding steps emulated as one event, while no prefill is due. @default 4 */
   readonly stepsPerEvent?: number;
-  /** Milliseconds between reports' snapshots. @default 1000 */
+  /** Interval between the snapshots that reports return. @default 1000 */
   readonly reportLagMilliseconds?: number;
-  /** Part of the eviction events that get lost. @default 0.1 */
+  /** Fraction of the eviction events missing from reports. @default 0.1 */
   readonly eventLoss?: number;
 }
 
@@ -57,7 +57,7 @@
   readonly answer: string;
   listener: BackEndListener | undefined;
   lease: CacheLease | undefined;
-  /** Prompt tokens still to be computed. */
+  /** Number of prompt tokens not yet computed. */
   prefillLeft: number;
   promptTokens: number;
   sentCharacters: number;
@@ -70,10 +70,10 @@
   readonly at: number;
 }
 
-/** Time a finished answer stays readable for a broken stream, in milliseconds. */
+/** Time for which a finished answer can be resumed after its stream broke. */
 const FINISHED_RETENTION_MILLISECONDS = 60_000;
 
-/** See the head of this file. */
+/** An emulated model engine that runs on a `Runtime`, in real or virtual time. */
 export class EngineModel implements EmulatedBackEnd {
   readonly name: string;
   readonly executions: Execution[] = [];
@@ -215,7 +215,6 @@
     this.snapshot = this.takeSnapshot();
   }
 
-  /** Ends the engine's own timers. */
   stop(): void {
     this.cancelReports();
     this.generation += 1;
@@ -308,7 +307,7 @@
     });
   }
 
-  /** Spends this step's prompt budget, most urgent first; returns the tokens computed. */
+  /** Distributes the step's prefill budget by priority; returns the number of tokens computed. */
   private planPrefill(): number {
     let budget = this.options.chunkTokens ?? 2_048;
     const fullBudget = budget;
--- a/src/emulator/first-configuration.ts
+++ b/src/emulator/first-configuration.ts
@@ -1,9 +1,9 @@
-/** Puts a first configuration straight into an emulated key-value service. */
+/** Writes the initial configuration directly into an emulated key-value service. */
 import type { ConfigurationDocument } from '../configuration/documents.js';
 import { documentKey, encodeDocument, REVISION_KEY } from '../configuration/stored-documents.js';
 import type { KeyValueModel } from './key-value-model.js';
 
-/** Writes documents as one accepted change. */
+/** Writes the documents and their revision key as one change, without validation. */
 export function writeFirstConfiguration(
   keyValue: KeyValueModel,
   documents: readonly ConfigurationDocument[],
--- a/src/emulator/key-value-model.ts
+++ b/src/emulator/key-value-model.ts
@@ -1,4 +1,4 @@
-/** An emulated key-value service: revisions, guarded changes, watches; can be down or lose answers. */
+/** An emulated key-value service with revisions, guarded changes, watches and a rate limit. */
 import * as E from 'fp-ts/lib/Either.js';
 import type {
   ChangeResult,
@@ -11,21 +11,21 @@
 } from '../platform/key-value-port.js';
 import type { Runtime } from '../runtime/runtime.js';
 
-/** How the emulated service behaves. */
+/** Latency, rate limit and timeout of the emulated service. */
 export interface KeyValueModelOptions {
-  /** Milliseconds from request to answer. @default 5 */
+  /** Time from a request to its answer. @default 5 */
   readonly latencyMilliseconds?: number;
-  /** Requests a second before it refuses. @default 500 */
+  /** Rate limit; requests beyond it are refused. @default 500 */
   readonly requestsPerSecond?: number;
-  /** Milliseconds after which a request to a service that is down fails. @default 1000 */
+  /** Time after which a request without an answer fails. @default 1000 */
   readonly timeoutMilliseconds?: number;
 }
 
-/** The state and faults of the emulated service; ports are made by `connect`. */
+/** The state and the injected faults of the service; `connect` creates a client's port to it. */
 export class KeyValueModel {
-  /** No request is answered while this is true. */
+  /** While true, requests time out and watchers are not notified. */
   isDown = false;
-  /** Probability that a change takes effect and its answer is lost. */
+  /** Probability that a change is applied but its answer is lost. */
   answerLoss = 0;
   private revision = 1;
   private readonly pairs = new Map<string, KeyValue>();
@@ -45,14 +45,14 @@
     return this.options.requestsPerSecond ?? 500;
   }
 
-  /** Reads pairs under a prefix, at once. */
+  /** Returns the pairs under a prefix, sorted by key. */
   readRange(prefix: string): RangeResult {
     const pairs = [...this.pairs.values()].filter((pair) => pair.key.startsWith(prefix));
     pairs.sort((left, right) => (left.key < right.key ? -1 : 1));
     return { revision: this.revision, pairs };
   }
 
-  /** Applies a guarded change, at once. */
+  /** Applies a change when all its guards hold, and notifies the watchers. */
   applyChange(change: GuardedChange): ChangeResult {
     const guardsHold = change.guards.every(
       (guard) => (this.pairs.get(guard.key)?.modRevision ?? 0) === guard.modRevision,
@@ -68,14 +68,14 @@
     return { applied: true, revision: modRevision };
   }
 
-  /** Calls back after each change under a prefix. */
+  /** Calls `onChange` after each change under a prefix; returns a function that stops this. */
   addWatcher(prefix: string, onChange: () => void): () => void {
     const watcher = { prefix, onChange };
     this.watchers.add(watcher);
     return () => this.watchers.delete(watcher);
   }
 
-  /** Takes one request out of the rate limit; false when it is used up. */
+  /** Takes a token from the rate limit's bucket; returns false when the bucket is empty. */
   admitRequest(): boolean {
     const now = this.runtime.now();
     this.tokens = Math.min(this.rate, this.tokens + ((now - this.refilledAt) / 1_000) * this.rate);
@@ -87,7 +87,7 @@
     return true;
   }
 
-  /** A port as one client has it; its callbacks run on the client's own runtime. */
+  /** Creates a client's port; its callbacks run on the client's runtime. */
   connect(client: Runtime): KeyValuePort {
     return {
       range: (prefix, listener) =>
@@ -116,7 +116,7 @@
     };
     const timeout = this.options.timeoutMilliseconds ?? 1_000;
     if (this.isDown) {
-      // A client that hears nothing cannot know whether the request arrived.
+      // Without an answer, the client can't know whether the change was applied.
       fail({ tag: 'Unavailable', mayHaveApplied: isWrite, detail: 'no answer' }, timeout);
       return;
     }
--- a/src/emulator/key-value-server.ts
+++ b/src/emulator/key-value-server.ts
@@ -1,4 +1,4 @@
-/** The emulated key-value service behind the published JSON gateway of etcd v3. */
+/** Serves the emulated key-value service with the JSON gateway API of etcd v3. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -26,7 +26,7 @@
   return Buffer.from(text, 'utf8').toString('base64');
 }
 
-/** Serves one emulated key-value service. */
+/** HTTP server of an emulated key-value service; while it is down, connections are closed. */
 export class KeyValueServer {
   private readonly server: Server;
 
@@ -36,7 +36,7 @@
     });
   }
 
-  /** Listens; calls back with the port. */
+  /** Starts listening; port 0 selects a free one. Calls `done` with the port. */
   listen(host: string, port: number, done: (port: number) => void): void {
     this.server.listen(port, host, () => done((this.server.address() as AddressInfo).port));
   }
--- a/src/emulator/prefix-cache.ts
+++ b/src/emulator/prefix-cache.ts
@@ -1,23 +1,23 @@
 /**
- * An engine's prompt cache: a tree of message prefixes with bounded memory, least recently used
- * first out, with holds; it also measures how much of the memory it kept was of no use.
+ * An engine's prompt cache: a tree of message prefixes with bounded capacity, LRU eviction and
+ * holds. It also measures how much memory was kept without being reused.
  */
 import type { ProgramId } from '../model/identifiers.js';
 import type { HeldProgram } from '../platform/back-end-port.js';
 
-/** One message's place in the tree: its prefix digest and its own tokens. */
+/** One message of a prompt: the digest of the prefix that ends with it, and its own tokens. */
 export interface PrefixLink {
   readonly digest: string;
   readonly tokens: number;
 }
 
-/** Memory kept without being in use, in token-milliseconds. */
+/** Memory that was cached but not in use, in token-milliseconds. */
 export interface IdleMemory {
   /** All idle memory. */
   idle: number;
-  /** Idle memory of entries that were never used again. */
+  /** Idle memory of entries that were never reused. */
   neverReused: number;
-  /** Idle stretches that ended in eviction, release or the end of the run. */
+  /** Idle memory since the last use of each entry, up to its removal or now. */
   unusedStretches: number;
 }
 
@@ -28,9 +28,9 @@
   readonly firstProgram: ProgramId;
   shared: boolean;
   childCount: number;
-  /** Running sequences that use it. */
+  /** Number of leases that use the entry. */
   leaseCount: number;
-  /** Holds that cover it. */
+  /** Number of programs whose hold covers the entry. */
   holdCount: number;
   lastUsedAt: number;
   idleSince: number;
@@ -43,15 +43,15 @@
   readonly expiresAt: number;
 }
 
-/** A sequence's use of the cache, from its start to its end. */
+/** The entries that a running sequence uses; they aren't evicted until the lease is released. */
 export interface CacheLease {
   readonly program: ProgramId;
-  /** Prompt tokens found in the cache. */
+  /** Number of prompt tokens found in the cache. */
   readonly cachedTokens: number;
   readonly entries: CacheEntry[];
 }
 
-/** See the head of this file. */
+/** A prefix cache with leases for running sequences and holds for programs between calls. */
 export class PrefixCache {
   private readonly entries = new Map<string, CacheEntry>();
   private readonly programHolds = new Map<ProgramId, ProgramHold>();
@@ -65,12 +65,15 @@
     private readonly now: () => number,
   ) {}
 
-  /** Tokens in the cache. */
+  /** Number of tokens in the cache. */
   get tokens(): number {
     return this.usedTokens;
   }
 
-  /** Takes the longest cached prefix into use and makes room for the rest; undefined if none. */
+  /**
+   * Leases the longest cached prefix and allocates the rest of the chain, evicting unused entries.
+   * Returns undefined when there isn't enough capacity.
+   */
   acquire(program: ProgramId, chain: readonly PrefixLink[]): CacheLease | undefined {
     const cachedEntries = this.findPrefix(chain);
     cachedEntries.forEach((entry) => this.acquireEntry(entry, program));
@@ -86,7 +89,7 @@
     return lease;
   }
 
-  /** Adds a generated message at the end of a lease; false when there is no room. */
+  /** Appends a generated message to a lease; returns false when there isn't enough capacity. */
   extend(lease: CacheLease, link: PrefixLink): boolean {
     if (this.entries.has(link.digest)) {
       return true;
@@ -98,7 +101,7 @@
     return true;
   }
 
-  /** Ends a lease; its memory stays until it is evicted or released. */
+  /** Ends a lease; its entries stay cached until they are evicted or removed. */
   release(lease: CacheLease): void {
     lease.entries.forEach((entry) => this.releaseEntry(entry));
     const leaf = lease.entries[lease.entries.length - 1];
@@ -107,7 +110,7 @@
     }
   }
 
-  /** Keeps a program's memory for a time; 0 gives back what no other program shares. */
+  /** Holds a program's entries for a time; 0 ends the hold and removes its unshared entries. */
   hold(program: ProgramId, milliseconds: number): void {
     this.endHold(program);
     const leaf = this.leaves.get(program);
@@ -125,7 +128,7 @@
     this.programHolds.set(program, { leaf, expiresAt: this.now() + milliseconds });
   }
 
-  /** Gives back the memory of holds that have lapsed. */
+  /** Ends expired holds and removes the entries that no other program uses. */
   expireHolds(): void {
     const now = this.now();
     for (const [program, hold] of [...this.programHolds]) {
@@ -135,7 +138,7 @@
     }
   }
 
-  /** Programs with memory held on request. */
+  /** Programs with a hold, and the number of tokens held for each. */
   listHeld(): HeldProgram[] {
     return [...this.programHolds].map(([program, hold]) => {
       let tokens = 0;
@@ -146,14 +149,14 @@
     });
   }
 
-  /** Programs whose memory was pushed out since the last call. */
+  /** Returns the programs with entries evicted since the last call. */
   drainEvicted(): ProgramId[] {
     const evicted = this.evicted;
     this.evicted = [];
     return evicted;
   }
 
-  /** Idle memory so far, counting what is idle now as if the run ended. */
+  /** Idle memory up to now, including entries that are idle at present. */
   measureIdleMemory(): IdleMemory {
     const total = { ...this.idleMemory };
     for (const entry of this.entries.values()) {
@@ -166,7 +169,7 @@
     return total;
   }
 
-  /** Loses everything, as a crash does. */
+  /** Removes all entries and holds. */
   clear(): void {
     for (const entry of [...this.entries.values()]) {
       entry.leaseCount = 0;
@@ -247,7 +250,7 @@
     return true;
   }
 
-  /** Least recently used leaf that is not in use; held ones only when nothing else is left. */
+  /** Finds the least recently used leaf without a lease; held leaves come last. */
   private findVictim(): CacheEntry | undefined {
     let best: CacheEntry | undefined;
     for (const entry of this.entries.values()) {
--- a/src/emulator/relay-runner.ts
+++ b/src/emulator/relay-runner.ts
@@ -1,18 +1,18 @@
 /**
- * A stand-in for a runner of routed requests: answers with a signature, streams events, and can
- * misbehave in every way that the relay has to bear. Records what it ran.
+ * An emulated runner of routed requests: sends signed answers, streams events, and can be told to
+ * misbehave in the ways that the relay must tolerate. It records the requests that it ran.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import type { HeaderNames } from '../relay/request/header-names.js';
 
-/** How the stand-in treats one request. */
+/** How the runner treats one request. */
 export type RunnerBehaviour =
   | 'answer'
-  /** Says that it has not run the request. */
+  /** Answers that the request was not run. */
   | 'refuse'
-  /** Runs it and closes the connection without an answer. */
+  /** Runs the request and closes the connection without an answer. */
   | 'loseAnswer'
   /** Answers with the id of another request. */
   | 'wrongId'
@@ -20,49 +20,49 @@
   | 'unsigned'
   /** Sends a second answer after the first. */
   | 'extraAnswer'
-  /** Cuts the answer or the stream off in the middle. */
+  /** Closes the connection in the middle of the answer or the stream. */
   | 'cutOff'
-  /** Fails with a status that promises nothing ran, without saying that itself. */
+  /** Runs the request and answers 503 without the header that says that it was not run. */
   | 'falsePromise'
-  /** Fails on its own account. */
+  /** Runs the request and answers 500. */
   | 'fail'
-  /** Answers without a length and ends with the connection. */
+  /** Answers without `content-length`; the end of the connection ends the body. */
   | 'unframed'
-  /** Runs it and never answers. */
+  /** Runs the request and never answers. */
   | 'silent'
-  /** Loses power in the middle of a stream: says nothing more and takes no connections. */
+  /** Simulates a power loss in the middle of a stream: no more bytes, no new connections. */
   | 'dark';
 
-/** One request that the stand-in began to work on. */
+/** A request that the runner started to run. */
 export interface RunnerRun {
   readonly requestId: string;
   readonly method: string;
   readonly path: string;
   readonly body: string;
   readonly headers: IncomingMessage['headers'];
-  /** Whether its client left before the end. */
+  /** Whether the client disconnected before the end of the answer. */
   clientDisconnected: boolean;
-  /** Whether its connection took the whole answer. */
+  /** Whether the whole answer was written to the connection. */
   isAnswered: boolean;
 }
 
-/** What the stand-in is made with. */
+/** Identity of the runner, and the shape of its answers. */
 export interface RelayRunnerOptions {
   /** Name of this incarnation. */
   readonly id: string;
   readonly names: HeaderNames;
-  /** Events of a stream. @default 4 */
+  /** Number of events of a stream. @default 4 */
   readonly eventCount?: number;
-  /** Pause before each event and each answer, in milliseconds. @default 1 */
+  /** Pause before each event and each answer. @default 1 */
   readonly pauseMilliseconds?: number;
-  /** Bytes that each event of a stream is filled up with; none for 0. @default 0 */
+  /** Minimum length of the text of each event; shorter texts are padded. @default 0 */
   readonly eventBytes?: number;
-  /** Bytes that a plain answer is filled up with. @default 0 */
+  /** Minimum length of a plain answer; shorter ones are padded. @default 0 */
   readonly answerBytes?: number;
 }
 
 const STREAM_QUERY = 'stream';
-/** Queries by which a request asks for long answers or events, in bytes, and for a number of events. */
+/** Query parameters that override the length of an answer or event and the number of events. */
 const PADDING_QUERY = /fill=(\d+)/;
 const EVENTS_QUERY = /events=(\d+)/;
 
@@ -71,16 +71,16 @@
   return value === undefined ? undefined : Number(value);
 }
 
-/** See the head of this file. */
+/** An HTTP server that acts as a runner; requests take its queued behaviours in order. */
 export class RelayRunner {
   readonly runs: RunnerRun[] = [];
-  /** Behaviour of requests to come, the first first; then they are answered. */
+  /** Behaviours of the next requests, in order; once empty, requests are answered. */
   readonly behaviours: RunnerBehaviour[] = [];
-  /** Connections taken so far. */
+  /** Number of connections accepted so far. */
   connectionCount = 0;
-  /** Events of all streams that were written so far. */
+  /** Number of events written so far, over all streams. */
   eventsSent = 0;
-  /** Pause before a body is read, in milliseconds: a runner that reads slowly. */
+  /** Pause before a request body is read, which emulates a slow reader. */
   readPauseMilliseconds = 0;
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
@@ -99,14 +99,14 @@
     });
   }
 
-  /** Listens on a free loopback port, or on a given address; resolves with the port. */
+  /** Starts listening; port 0 selects a free one. Resolves with the port. */
   listen(port = 0, host = '127.0.0.1'): Promise<number> {
     return new Promise((resolve) => {
       this.server.listen(port, host, () => resolve((this.server.address() as AddressInfo).port));
     });
   }
 
-  /** Ends at once, as a crash does. */
+  /** Stops listening and destroys all connections. */
   crash(): Promise<void> {
     return new Promise((resolve) => {
       this.server.close(() => resolve());
--- a/src/emulator/tool-model.ts
+++ b/src/emulator/tool-model.ts
@@ -1,4 +1,4 @@
-/** An emulated tool service runner: slow, hanging and failing calls, with effects that count. */
+/** An emulated runner of a tool service, with slow, hanging and failing calls. */
 import type { CallId } from '../model/identifiers.js';
 import { countTextTokens } from '../model/chat.js';
 import type { Usage } from '../model/call.js';
@@ -13,14 +13,14 @@
 import { FenceGuard } from './emulated-back-end.js';
 import type { BackEndTotals, EmulatedBackEnd, Execution } from './emulated-back-end.js';
 
-/** How an emulated tool performs. */
+/** Durations and failure rates of an emulated tool. */
 export interface ToolModelOptions {
   readonly name: string;
-  /** Median time of a call, in milliseconds. @default 60 */
+  /** Median duration of a call. @default 60 */
   readonly medianMilliseconds?: number;
-  /** Part of the calls that never answer. @default 0 */
+  /** Fraction of the calls that are never answered. @default 0 */
   readonly hangRate?: number;
-  /** Part of the calls that fail after they ran. @default 0 */
+  /** Fraction of the calls that fail after they ran. @default 0 */
   readonly failureRate?: number;
 }
 
@@ -35,11 +35,11 @@
 
 const DURATION_SIGMA = 0.5;
 
-/** See the head of this file. */
+/** A tool runner that records every execution, so that checkers can find repeated effects. */
 export class ToolModel implements EmulatedBackEnd {
   readonly name: string;
   readonly executions: Execution[] = [];
-  /** While true, no call that begins is ever answered. */
+  /** While true, new calls are never answered. */
   hanging = false;
   private fences = new FenceGuard();
   private readonly running = new Map<CallId, ToolRun>();
@@ -102,7 +102,7 @@
   }
 
   hold(): void {
-    // A tool keeps no prompt memory.
+    // A tool has no prompt cache.
   }
 
   report(): BackEndReport {
