--- a/src/bench/chaos.ts
+++ b/src/bench/chaos.ts
@@ -1,6 +1,6 @@
 /**
- * Real daemons under load on loopback while they are killed, paused, stopped as planned and started
- * again; the same checkers as in virtual time read what callers and back ends saw.
+ * Runs daemon processes on loopback under load while they are killed, paused, gracefully stopped
+ * and restarted. The checkers of the simulations verify what callers and back ends observed.
  */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -31,13 +31,13 @@
 import { summarize } from './statistics.js';
 import type { Summary } from './statistics.js';
 
-/** What is run. */
+/** Seed and duration of a run. */
 export interface ChaosOptions {
   readonly seed: number;
   readonly minutes: number;
 }
 
-/** What came of it. */
+/** Result of a run; printed as JSON. */
 export interface ChaosResult {
   readonly seed: number;
   readonly calls: number;
@@ -45,9 +45,9 @@
   readonly programs: number;
   readonly faults: Readonly<Record<string, number>>;
   readonly violations: readonly Violation[];
-  /** Longest time from the sending of a call to its answer, tries included, around each death. */
+  /** Longest time to an answer of the calls first sent around each kill, in seconds. */
   readonly secondsToAnswerAfterDeath: Summary;
-  /** Exit codes of planned stops that were not 0. */
+  /** Number of graceful stops whose exit code was not 0. */
   readonly badExits: number;
 }
 
@@ -63,7 +63,7 @@
 const MAXIMUM_ATTEMPTS = 40;
 const RETRY_DELAY_MILLISECONDS = 250;
 const ANSWER_TOKENS = 40;
-/** Calls sent this long before or after a death are counted as touched by it. */
+/** Calls sent within this time before or after a kill count as affected by it. */
 const DEATH_WINDOW_MILLISECONDS = 1_000;
 
 function sleep(milliseconds: number): Promise<void> {
@@ -78,7 +78,7 @@
   readonly agent: Agent;
   readonly faults: Map<ChaosFault, number>;
   readonly deaths: number[];
-  /** From first sending to the answer of each call, with the time it was sent. */
+  /** Time of the first attempt of each answered call, and its duration up to the answer. */
   readonly answerTimes: { readonly sentAt: number; readonly seconds: number }[];
   badExits: number;
   isStopping: boolean;
@@ -161,7 +161,7 @@
 }
 
 function createCall(rig: Rig, program: string, sequence: number, attempt: number): RecordedCall {
-  // Drawn from the program's own name, so that every try asks the same.
+  // Seeded by program and sequence, so that every attempt sends the same request.
   const random = createRandom(rig.seed, `${program}:${sequence}`);
   const tool = random.uniform() < 0.3;
   const text = `${program} turn ${sequence} #${random.integer(5, ANSWER_TOKENS)}`;
@@ -274,7 +274,7 @@
   rig.run.accounts.push(...rows);
 }
 
-/** Runs the rig; everything it started has ended when it resolves. */
+/** Runs the daemons under faults; resolves after all processes and servers have ended. */
 export async function runChaos(options: ChaosOptions): Promise<ChaosResult> {
   const folder = mkdtempSync(join(tmpdir(), 'ivyloom-chaos-'));
   const platform = createRealRuntime({ seed: options.seed, logLevel: 'error' });
--- a/src/bench/daemon-process.ts
+++ b/src/bench/daemon-process.ts
@@ -1,4 +1,4 @@
-/** Real daemons as processes of their own, which the chaos rig starts, stops and kills. */
+/** Daemons as child processes. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { mkdirSync, openSync, writeFileSync } from 'node:fs';
@@ -11,7 +11,7 @@
 const READY_TIMEOUT_MILLISECONDS = 15_000;
 const POLL_INTERVAL_MILLISECONDS = 50;
 
-/** One daemon that can be started again from its data folder. */
+/** A daemon that can be signalled, and restarted from its data folder. */
 export class DaemonProcess {
   private child: ChildProcess | undefined;
 
@@ -22,17 +22,17 @@
     mkdirSync(folder, { recursive: true });
   }
 
-  /** Its HTTP address. */
+  /** Base URL of the daemon. */
   get url(): string {
     return `http://${this.settings.host}:${this.settings.httpPort}`;
   }
 
-  /** True while the process lives. */
+  /** Whether the process is alive; it may be paused. */
   get isRunning(): boolean {
     return this.child !== undefined;
   }
 
-  /** Starts the process. */
+  /** Starts the process; its output is appended to the file `log` in its folder. */
   start(): void {
     const file = join(this.folder, 'settings.yaml');
     const dataFolder = join(this.folder, 'data');
@@ -49,12 +49,12 @@
     });
   }
 
-  /** Sends a signal. */
+  /** Sends a signal to the process, if it is alive. */
   signal(name: NodeJS.Signals): void {
     this.child?.kill(name);
   }
 
-  /** Resolves with the exit code when the process has ended. */
+  /** Resolves with the exit code, or null when a signal ended the process or none is alive. */
   async waitForExit(): Promise<number | null> {
     const { child } = this;
     if (child === undefined) {
@@ -63,7 +63,7 @@
     return new Promise((resolve) => child.once('exit', (code) => resolve(code)));
   }
 
-  /** Resolves with true when the daemon can serve callers. */
+  /** Resolves with whether the daemon became ready within `READY_TIMEOUT_MILLISECONDS`. */
   async waitUntilReady(): Promise<boolean> {
     const deadline = performance.now() + READY_TIMEOUT_MILLISECONDS;
     while (performance.now() < deadline) {
--- a/src/bench/deployments.ts
+++ b/src/bench/deployments.ts
@@ -1,23 +1,23 @@
-/** The two deployments of today, as the bench and the local cluster set them up. */
+/** Deployments for the experiments and the local cluster: topology, services and workloads. */
 import type { SimulatedGroup, SimulatedService } from '../simulation/simulated-cluster.js';
 import { brandvoldKinds, terangaKinds } from './workloads.js';
 import type { WorkloadKind } from './workloads.js';
 
-/** A group's part of a deployment's arrivals. */
+/** The programs of one group in a deployment. */
 export interface DeploymentWorkload {
   readonly group: string;
-  /** Part of the engine time that this group's programs are made to need. */
+  /** Fraction of the deployment's offered load that this group's programs make up. */
   readonly loadFraction: number;
   readonly kinds: readonly WorkloadKind[];
 }
 
-/** A deployment. */
+/** Zones, network delays, services, groups and workloads of a deployment. */
 export interface Deployment {
   readonly name: string;
   readonly zones: readonly string[];
-  /** One-way milliseconds between zones. */
+  /** One-way network delay between zones. */
   readonly interZoneMilliseconds: number;
-  /** One-way milliseconds to clients. */
+  /** One-way network delay to clients. */
   readonly clientLinkMilliseconds: number;
   readonly services: readonly SimulatedService[];
   readonly groups: readonly SimulatedGroup[];
@@ -25,10 +25,10 @@
 }
 
 const AMPLE_BUDGET = 1e12;
-/** Calls a model engine is given at a time. */
+/** Maximum number of concurrent calls per model engine. */
 export const ENGINE_CONCURRENCY = 16;
 const TOOL_CONCURRENCY = 16;
-/** Memory of an engine, in tokens: what a runner of four large accelerators keeps of a 70B model. */
+/** Cache capacity of an engine: four large accelerators that serve a model of 70B parameters. */
 export const ENGINE_CACHE_TOKENS = 400_000;
 
 function model(name: string, runners: number): SimulatedService {
@@ -77,7 +77,7 @@
   ],
 };
 
-/** Both groups on one pool, Teranga asking for more than its share. */
+/** Both groups on one pool; Teranga requests more than its share. */
 export const MIXED: Deployment = {
   name: 'mixed',
   zones: LAKESHORE.zones,
@@ -106,7 +106,7 @@
   services: [model('catalog-minds', 40), tool('order-desk', 12)],
 };
 
-/** Every deployment by its name. */
+/** All deployments by name. */
 export const DEPLOYMENTS: Readonly<Record<string, Deployment>> = {
   lakeshore: LAKESHORE,
   dakar: DAKAR,
--- a/src/bench/experiment-report.ts
+++ b/src/bench/experiment-report.ts
@@ -1,4 +1,4 @@
-/** An experiment's figures as a table for people. */
+/** Formats the results of experiments for the terminal. */
 import Table from 'cli-table3';
 import type { ExperimentResult } from './experiment.js';
 
@@ -6,7 +6,7 @@
   return value.toFixed(digits);
 }
 
-/** Formats an experiment's figures. */
+/** Formats an experiment's figures as a table with one row per policy. */
 export function formatExperiment(result: ExperimentResult): string {
   const table = new Table({
     head: [
--- a/src/bench/experiment.ts
+++ b/src/bench/experiment.ts
@@ -1,4 +1,4 @@
-/** Runs a workload over the real node code in virtual time, once for each policy, same seed. */
+/** Runs a workload on a simulated cluster, once for each scheduling policy with the same seed. */
 import { createRandom } from '../runtime/random.js';
 import type { RandomSource } from '../runtime/random.js';
 import { createPolicy } from '../scheduling/create-policy.js';
@@ -16,46 +16,46 @@
 import type { Summary } from './statistics.js';
 import { makeScript } from './workloads.js';
 
-/** What is run. */
+/** Deployment, load and policies of an experiment. */
 export interface ExperimentOptions {
   readonly deployment: Deployment;
   readonly seed: number;
-  /** Offered load as a part of the engines' capacity with every prefix cached. @default 0.85 */
+  /** Offered load as a fraction of the engines' capacity with every prefix cached. @default 0.85 */
   readonly load?: number;
   /** Virtual seconds during which programs arrive. @default 300 */
   readonly seconds?: number;
   readonly policies: readonly PolicyName[];
 }
 
-/** Figures of one policy. */
+/** Figures of one policy; printed as JSON. */
 export interface PolicyFigures {
-  /** First call to last answer of all programs with model calls, in seconds. */
+  /** Time from the first call to the last answer of programs with model calls, in seconds. */
   readonly programLatencySeconds: Summary;
   readonly latencyByKind: Readonly<Record<string, Summary>>;
-  /** Held token-seconds of prefixes never reused, as a part of all held. */
+  /** Idle token-seconds of prefixes that were never reused, as a fraction of all idle ones. */
   readonly wastedCacheRatio: number;
-  /** Held token-seconds whose stretch ended without reuse, as a part of all held. */
+  /** Idle token-seconds that ended without reuse, as a fraction of all idle ones. */
   readonly unusedStretchRatio: number;
-  /** Token-seconds of prompt memory kept while idle. */
+  /** Token-seconds of prompt memory cached while idle. */
   readonly heldTokenSeconds: number;
   readonly prefillTokens: number;
   readonly prefillTokensSaved: number;
-  /** Programs finished per second of the run. */
+  /** Finished programs per second of virtual time. */
   readonly throughput: number;
-  /** Jain's index of service received over service owed, while groups compete. */
+  /** Jain's index over the groups of tokens received divided by the group's share. */
   readonly fairness: number;
   readonly urgentWaitSeconds: Summary;
   readonly refusals: number;
   readonly failedPrograms: number;
   readonly finishedPrograms: number;
-  /** Part of the engines' time spent working while programs arrived. */
+  /** Fraction of the engines' time spent working while programs arrived. */
   readonly busyRatio: number;
   readonly runSeconds: number;
-  /** Wall-clock seconds the emulation took. */
+  /** Wall-clock duration of the simulation. */
   readonly wallSeconds: number;
 }
 
-/** Result of an experiment. */
+/** Result of an experiment, with the figures of each policy by its name; printed as JSON. */
 export interface ExperimentResult {
   readonly experiment: string;
   readonly seed: number;
@@ -64,11 +64,11 @@
   readonly policies: Readonly<Record<string, PolicyFigures>>;
 }
 
-/** Longest time the run goes on after the last arrival, in virtual milliseconds. */
+/** Maximum virtual time for which a run goes on after the last arrival. */
 const MAXIMUM_DRAIN_MILLISECONDS = 3_600_000;
 const PROGRESS_STEP_MILLISECONDS = 5_000;
 
-/** Costs of a token on the emulated engine at the batch its limit allows. */
+/** Engine time per token on the emulated engine with a full batch. */
 export const UNIT_COSTS: UnitCosts = {
   prefillMilliseconds: 1_000 / 12_000,
   decodeMilliseconds: (8 + 0.35 * ENGINE_CONCURRENCY) / ENGINE_CONCURRENCY,
@@ -85,14 +85,15 @@
     .reduce((sum, service) => sum + service.runners, 0);
 }
 
-/** Programs drawn to find what a workload needs on the average. */
+/** Number of sample programs for the mean cost of a workload. */
 const SAMPLE_PROGRAMS = 400;
-/** Milliseconds of one decoding step at the batch the limit allows. */
+/** Duration of one decoding step with a full batch. */
 const STEP_MILLISECONDS = UNIT_COSTS.decodeMilliseconds * ENGINE_CONCURRENCY;
 
 /**
- * Mean need of a workload's programs, in milliseconds of a whole engine: of its computing time or
- * of its memory, whichever is scarcer, when each token is computed once and kept through pauses.
+ * Estimates the mean cost of a workload's programs in milliseconds of a whole engine. The cost is
+ * that of compute or of memory, whichever is higher, when each token is computed once and stays
+ * cached through pauses.
  */
 function meanEngineMilliseconds(
   kinds: Parameters<typeof makeScript>[0],
@@ -109,7 +110,7 @@
   return Math.max(computing, memory) / SAMPLE_PROGRAMS;
 }
 
-/** All programs of a run with the times at which they come. */
+/** Draws the programs of a run with their arrival times in milliseconds, sorted by time. */
 export function planArrivals(options: ExperimentOptions): Arrival[] {
   const { deployment, seed, load = 0.85, seconds = 300 } = options;
   const arrivals: Arrival[] = [];
@@ -129,7 +130,7 @@
   return arrivals.sort((left, right) => left.at - right.at);
 }
 
-/** Knows each program's script; used by the clairvoyant policy alone. */
+/** Provides the programs' scripts to the clairvoyant policy. */
 class ScriptOracle implements Oracle {
   private readonly progress = new Map<string, { script: ProgramScript; next: number }>();
 
@@ -153,7 +154,7 @@
   }
 }
 
-/** Time a program takes on lightly loaded engines, pauses included, in milliseconds. */
+/** Duration of a program on lightly loaded engines, pauses included, in milliseconds. */
 function expectedDuration(script: ProgramScript): number {
   return script.steps.reduce(
     (sum, step) => sum + step.pauseMilliseconds + step.outputTokens * STEP_MILLISECONDS,
@@ -168,7 +169,7 @@
 interface RunState {
   readonly outcomes: ProgramOutcome[];
   readonly urgentWaits: number[];
-  /** Engine time received by each group while programs arrived. */
+  /** Output tokens received by each group. */
   readonly received: Map<string, number>;
 }
 
@@ -225,7 +226,7 @@
   return squares === 0 ? 1 : (total * total) / (ratios.length * squares);
 }
 
-/** Runs one policy. */
+/** Runs an experiment's workload under one policy. */
 export function runPolicy(options: ExperimentOptions, name: PolicyName): PolicyFigures {
   const { deployment, seed, seconds = 300 } = options;
   const wallStart = process.hrtime.bigint();
@@ -282,7 +283,7 @@
   state.received.set(script.group, (state.received.get(script.group) ?? 0) + tokens);
 }
 
-/** Runs an experiment. */
+/** Runs an experiment under each of its policies. */
 export function runExperiment(options: ExperimentOptions): ExperimentResult {
   const policies: Record<string, PolicyFigures> = {};
   for (const name of options.policies) {
--- a/src/bench/free-ports.ts
+++ b/src/bench/free-ports.ts
@@ -1,4 +1,4 @@
-/** Finds ports that nothing listens on. */
+/** Finds free TCP ports. */
 import { createServer } from 'node:net';
 import type { AddressInfo, Server } from 'node:net';
 
@@ -9,7 +9,7 @@
   });
 }
 
-/** Free ports of an address, all different. */
+/** Returns distinct ports of an address that were free at the time of the call. */
 export async function findFreePorts(host: string, count: number): Promise<number[]> {
   const servers = Array.from({ length: count }, () => createServer());
   const ports: number[] = [];
--- a/src/bench/http-caller.ts
+++ b/src/bench/http-caller.ts
@@ -1,15 +1,15 @@
-/** A caller over real HTTP: OpenAI-compatible chat calls, tool calls, ends of programs. */
+/** A caller over HTTP: OpenAI-compatible chat calls, tool calls and ends of programs. */
 import { Agent, request } from 'undici';
 import type { CallError, Verdict } from '../model/verdict.js';
 import { mayHaveRun, notRun } from '../model/verdict.js';
 import type { CallerCall, CallerPort, CallerResult } from './program-runner.js';
 import type { ProgramScript } from './program-script.js';
 
-/** What the caller is made with. */
+/** Nodes and API keys of the caller. */
 export interface HttpCallerOptions {
-  /** HTTP addresses of nodes; calls go to them in turn. */
+  /** Base URLs of the nodes; requests use them round-robin. */
   readonly urls: readonly string[];
-  /** Key of each group. */
+  /** API key of each group. */
   readonly keys: Readonly<Record<string, string>>;
 }
 
@@ -26,7 +26,7 @@
 
 const CONNECTION_REFUSED_CODE = 'ECONNREFUSED';
 
-/** See the head of this file. */
+/** Sends the calls of programs to nodes over HTTP. */
 export class HttpCaller implements CallerPort {
   private readonly agent = new Agent({ connections: 128, bodyTimeout: 0, headersTimeout: 0 });
   private urlIndex = 0;
--- a/src/bench/local-cluster.ts
+++ b/src/bench/local-cluster.ts
@@ -1,4 +1,4 @@
-/** A deployment in one process with real sockets: emulated platform, daemons, keys. */
+/** A deployment in one process over loopback sockets: daemons on an emulated platform. */
 import { randomBytes } from 'node:crypto';
 import type { ConfigurationDocument } from '../configuration/documents.js';
 import type { Settings } from '../configuration/settings.js';
@@ -18,12 +18,12 @@
 import type { Deployment } from './deployments.js';
 import { findFreePorts } from './free-ports.js';
 
-/** All sockets of a local cluster are on this address. */
+/** Address of all sockets of a local cluster. */
 export const LOOPBACK = '127.0.0.1';
-/** The operator's key of a local cluster. */
+/** API key of the operator of a local cluster. */
 export const LOCAL_OPERATOR_KEY = 'operator-local-key';
 
-/** The key of a group in a local cluster. */
+/** Returns the API key of a group in a local cluster. */
 export function localKeyOf(group: string): string {
   return `${group}-local-key`;
 }
@@ -33,27 +33,27 @@
   readonly daemons: readonly Daemon[];
   readonly backEnds: readonly EmulatedBackEnd[];
   readonly keyValue: KeyValueModel;
-  /** HTTP addresses of the daemons. */
+  /** Base URLs of the daemons. */
   readonly urls: readonly string[];
-  /** Base URL of the first model engine, for calls past the scheduler. */
+  /** Base URL of the first model engine, for calls that bypass the scheduler. */
   readonly engineUrl: string;
-  /** Planned stop of everything. */
+  /** Stops the daemons gracefully, then the emulated platform. */
   stop(): Promise<void>;
 }
 
-/** What a local cluster is made of. */
+/** Deployment, size and ports of a local cluster. */
 export interface LocalClusterOptions {
   readonly deployment: Deployment;
-  /** Nodes of the cluster, one a zone before a second in any. @default 3 */
+  /** Number of nodes, assigned to the zones round-robin. @default 3 */
   readonly nodes?: number;
-  /** Port of the first node's HTTP front; 0 takes any. @default 0 */
+  /** HTTP port of the first node; 0 selects a free one. @default 0 */
   readonly httpPort?: number;
-  /** @default 'warn' */
+  /** Log level of the daemons. @default 'error' */
   readonly logLevel?: LogLevel;
   readonly seed: number;
 }
 
-/** A back end with its server. */
+/** An emulated back end with its HTTP server and configuration document. */
 export interface ServedBackEnd {
   readonly backEnd: EmulatedBackEnd;
   readonly server: BackEndServer;
@@ -83,7 +83,7 @@
   return { backEnd, server, document, url };
 }
 
-/** Serves every back end of a deployment. */
+/** Starts all back ends of a deployment on free loopback ports. */
 export async function serveBackEnds(
   runtime: Runtime,
   deployment: Deployment,
@@ -107,7 +107,7 @@
   return { kind: 'key', document: { name, group, role, sha256: hashKey(key) } };
 }
 
-/** The configuration of a deployment with its back ends and local keys. */
+/** Returns the configuration documents of a deployment with its back ends and local keys. */
 export function listDocuments(
   deployment: Deployment,
   served: readonly ServedBackEnd[],
@@ -129,7 +129,7 @@
   ];
 }
 
-/** Settings of the nodes of a local cluster. */
+/** Creates the settings of each node of a local cluster. */
 export async function createNodeSettings(
   options: LocalClusterOptions,
   keyValueUrl: string,
@@ -159,7 +159,7 @@
   }));
 }
 
-/** Starts a local cluster; resolves when every node is ready. */
+/** Starts a local cluster; resolves when every node is ready and every shard has a leader. */
 export async function startLocalCluster(options: LocalClusterOptions): Promise<LocalCluster> {
   const platform = createRealRuntime({ seed: options.seed, logLevel: 'error' });
   const keyValue = new KeyValueModel(platform);
--- a/src/bench/overhead.ts
+++ b/src/bench/overhead.ts
@@ -1,6 +1,6 @@
 /**
- * What the scheduler adds to a call: time to the first token and per relayed token against calling
- * the emulated engine directly, in one run, and the processor time of the daemons per token.
+ * Measures the scheduler's overhead: time to the first token and time per token, compared with
+ * calls that go directly to the emulated engine, and CPU time per token.
  */
 import { request } from 'undici';
 import { LAKESHORE } from './deployments.js';
@@ -9,13 +9,13 @@
 import { summarize } from './statistics.js';
 import type { Summary } from './statistics.js';
 
-/** Figures of one way of calling. */
+/** Latencies of direct or of scheduled calls. */
 export interface CallTimes {
   readonly firstTokenMilliseconds: Summary;
   readonly perTokenMilliseconds: Summary;
 }
 
-/** Result of the measurement. */
+/** Result of the measurement; printed as JSON. */
 export interface OverheadResult {
   readonly seed: number;
   readonly calls: number;
@@ -23,15 +23,15 @@
   readonly throughScheduler: CallTimes;
   readonly addedFirstTokenMilliseconds: number;
   readonly addedPerTokenMicroseconds: number;
-  /** Processor microseconds of the whole process per generated token, both ways. */
+  /** CPU time of the whole process per generated token of a direct call. */
   readonly directCpuMicrosecondsPerToken: number;
   readonly schedulerCpuMicrosecondsPerToken: number;
 }
 
-/** What is measured. */
+/** Seed and number of calls. */
 export interface OverheadOptions {
   readonly seed: number;
-  /** Calls each way; they alternate. */
+  /** Number of direct calls and of scheduled calls; they alternate. */
   readonly calls: number;
 }
 
@@ -88,7 +88,7 @@
   return [...values].sort((left, right) => left - right)[Math.floor(values.length / 2)] ?? 0;
 }
 
-/** Runs the measurement; calls go one after another, so that nothing waits. */
+/** Runs the measurement. Calls are sequential, so that none of them waits for another. */
 export async function measureOverhead(options: OverheadOptions): Promise<OverheadResult> {
   const { seed, calls } = options;
   const cluster = await startLocalCluster({ deployment: LAKESHORE, seed });
--- a/src/bench/program-runner.ts
+++ b/src/bench/program-runner.ts
@@ -1,47 +1,47 @@
-/** Runs one program of a workload against the system, as its caller would, and times it. */
+/** Runs the programs of a workload as their callers would. */
 import type { CallError } from '../model/verdict.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { ProgramScript, ProgramStep } from './program-script.js';
 
-/** A call as a caller makes it. */
+/** A call of a program. */
 export interface CallerCall {
   readonly script: ProgramScript;
   readonly step: ProgramStep;
-  /** Place in the program, from 1. */
+  /** Position in the program, from 1. */
   readonly sequence: number;
-  /** Text of the new message or of the tool's input. */
+  /** Text of the new message, or the tool's input. */
   readonly input: string;
-  /** Leading instructions, with the first call of a program. */
+  /** System prompt, sent with the first call of a program; empty for the others. */
   readonly instructions: string;
 }
 
-/** What became of a call. */
+/** Result of a call. */
 export type CallerResult =
   | { readonly type: 'answered'; readonly text: string; readonly cachedTokens: number }
   | { readonly type: 'failed'; readonly error: CallError };
 
-/** How a caller reaches the system. */
+/** Sends calls to the system under test. */
 export interface CallerPort {
   call(call: CallerCall, done: (result: CallerResult) => void): void;
   endProgram(script: ProgramScript): void;
 }
 
-/** How a program went. */
+/** Timing and result of a program. */
 export interface ProgramOutcome {
   readonly script: ProgramScript;
-  /** Monotonic milliseconds. */
+  /** Monotonic time in milliseconds, as is `endedAt`. */
   readonly startedAt: number;
   readonly endedAt: number;
   readonly failed: boolean;
-  /** Times the system refused a call of it. */
+  /** Number of failed attempts, sub-agents included. */
   readonly refusals: number;
 }
 
-/** Tries of one call before its program gives up. */
+/** Attempts of one call after which its program fails. */
 const MAXIMUM_ATTEMPTS = 20;
 const FILLER_TEXT = 'wind rated sash unit ';
 
-/** A text of a number of tokens that differs from every other. */
+/** Creates a text of a number of tokens, unique by its label, that requests an answer's length. */
 export function makeText(label: string, tokens: number, outputTokens: number): string {
   const characters = Math.max(8, tokens * 4);
   const filler = FILLER_TEXT.repeat(Math.ceil(characters / FILLER_TEXT.length));
@@ -49,7 +49,7 @@
   return `${label} ${filler}`.slice(0, Math.max(label.length, characters - marker.length)) + marker;
 }
 
-/** What a runner is made with. */
+/** The program to run, and callbacks for its progress. */
 export interface ProgramRunnerOptions {
   readonly runtime: Runtime;
   readonly port: CallerPort;
@@ -59,14 +59,14 @@
   readonly done: (outcome: ProgramOutcome) => void;
 }
 
-/** See the head of this file. */
+/** Runs one program with its pauses, sub-agents and retries. */
 export class ProgramRunner {
   private startedAt = 0;
   private refusals = 0;
 
   constructor(private readonly options: ProgramRunnerOptions) {}
 
-  /** Begins with the program's first step. */
+  /** Starts the program's first step. */
   start(): void {
     this.startedAt = this.options.runtime.now();
     this.runStep(0);
--- a/src/bench/program-script.ts
+++ b/src/bench/program-script.ts
@@ -1,42 +1,42 @@
-/** What a program of a workload will do, known to the bench alone: steps, pauses, sub-agents. */
+/** Scripts of a workload's programs, and their costs on an engine. */
 import type { CallClass } from '../model/call.js';
 import type { GroupName, ProgramId, ServiceName } from '../model/identifiers.js';
 
-/** One step of a program. */
+/** One call of a program, with the pause and the sub-agents before it. */
 export interface ProgramStep {
-  /** Milliseconds between the answer before and this call: a tool or a person at work. */
+  /** Pause between the previous answer and this call: work of a tool or a person. */
   readonly pauseMilliseconds: number;
   readonly service: ServiceName;
   readonly kind: 'chat' | 'tool';
-  /** Tokens of the new message, or of the tool's input. */
+  /** Length of the new message, or of the tool's input. */
   readonly inputTokens: number;
   readonly outputTokens: number;
   readonly repeatable: boolean;
-  /** Sub-agents that run side by side before this step's call. */
+  /** Sub-agents that run concurrently before this step's call. */
   readonly children: readonly ProgramScript[];
 }
 
-/** One program. */
+/** The steps of one program. */
 export interface ProgramScript {
   readonly name: ProgramId;
   readonly kind: string;
   readonly group: GroupName;
   readonly callClass: CallClass;
-  /** Instructions that programs of one kind share, named so that their text can be made. */
+  /** System prompt that programs share by its name; the text is derived from the name. */
   readonly instructions: { readonly name: string; readonly tokens: number };
   readonly steps: readonly ProgramStep[];
 }
 
-/** What a token costs an engine that works at a usual batch size, in milliseconds. */
+/** Engine time per prompt token and per generated token, at a typical batch size. */
 export interface UnitCosts {
   readonly prefillMilliseconds: number;
   readonly decodeMilliseconds: number;
 }
 
-/** Tokens each kind of answer adds beside its text. */
+/** Tokens that a message has beside its text. */
 const MESSAGE_OVERHEAD_TOKENS = 4;
 
-/** Engine time one step needs when everything before it is cached. */
+/** Engine time of one step when all earlier messages are cached, in milliseconds. */
 function stepCost(step: ProgramStep, costs: UnitCosts): number {
   if (step.kind === 'tool') {
     return 0;
@@ -45,7 +45,7 @@
   return newTokens * costs.prefillMilliseconds + step.outputTokens * costs.decodeMilliseconds;
 }
 
-/** Engine time a program needs from a step on, sub-agents included, all history cached. */
+/** Engine time of a program from a step on, sub-agents included, in milliseconds. */
 export function remainingCost(script: ProgramScript, fromStep: number, costs: UnitCosts): number {
   let total = 0;
   for (const step of script.steps.slice(fromStep)) {
@@ -57,15 +57,15 @@
   return total;
 }
 
-/** Engine time a whole program needs when each token is computed once. */
+/** Engine time of a program when each token is computed once, in milliseconds. */
 export function programCost(script: ProgramScript, costs: UnitCosts): number {
   const instructions = script.instructions.tokens * costs.prefillMilliseconds;
   return instructions + remainingCost(script, 0, costs);
 }
 
 /**
- * Memory a program needs over its life when it is kept through every pause, in token-milliseconds,
- * sub-agents included; each generated token is counted with the time it takes at a usual batch.
+ * Memory use of a program whose prompt stays cached through every pause, in token-milliseconds,
+ * sub-agents included. A generated token takes `tokenMilliseconds`.
  */
 export function programMemory(script: ProgramScript, tokenMilliseconds: number): number {
   let context = script.instructions.tokens;
@@ -82,7 +82,7 @@
   return total;
 }
 
-/** Number of calls of a program, sub-agents included. */
+/** Counts the calls of a program, sub-agents included. */
 export function countCalls(script: ProgramScript): number {
   return script.steps.reduce(
     (sum, step) => sum + 1 + step.children.reduce((inner, child) => inner + countCalls(child), 0),
--- a/src/bench/scale.ts
+++ b/src/bench/scale.ts
@@ -1,6 +1,7 @@
 /**
- * Idle control of hollow nodes in virtual time: real node code, messages counted in the bytes they
- * would have on the wire, processor time of the whole emulation divided by nodes.
+ * Measures the cost of idle nodes and the propagation of configuration changes in a simulated
+ * cluster. Messages are counted at their encoded size; CPU time and heap are those of the whole
+ * simulation, divided by the number of nodes.
  */
 import { runStatement } from '../language/run-statement.js';
 import * as E from 'fp-ts/lib/Either.js';
@@ -9,22 +10,22 @@
 import { encodeFrame } from '../wire/framing.js';
 import { summarize } from './statistics.js';
 
-/** What is measured. */
+/** Size and seed of a measurement. */
 export interface ScaleOptions {
   readonly nodes: number;
   readonly seed: number;
 }
 
-/** Figures at one size. */
+/** Figures of one cluster size; printed as JSON. */
 export interface ScaleFigures {
   readonly nodes: number;
   readonly shards: number;
   readonly bytesPerNodeSecond: number;
   readonly messagesPerNodeSecond: number;
-  /** Part of a core a node takes, emulation included. */
+  /** Fraction of a CPU core per node, simulation included. */
   readonly coreShare: number;
   readonly heapKilobytesPerNode: number;
-  /** Time from acceptance until the last node has a change in force, in milliseconds. */
+  /** Median time until a change is in force on all nodes, in milliseconds. */
   readonly inForceP50: number;
   readonly inForceMax: number;
 }
@@ -82,7 +83,7 @@
   return propagationMilliseconds;
 }
 
-/** Measures one size. */
+/** Measures one cluster size. */
 export function measureScale(options: ScaleOptions): ScaleFigures {
   global.gc?.();
   const heapBefore = process.memoryUsage().heapUsed;
--- a/src/bench/simulated-caller.ts
+++ b/src/bench/simulated-caller.ts
@@ -1,4 +1,4 @@
-/** A caller in virtual time: reaches gateways over the simulated network, retries elsewhere. */
+/** A caller in virtual time. */
 import type { CallEvent, CallRequest } from '../model/call.js';
 import { notRun } from '../model/verdict.js';
 import type { NetworkEndpoint } from '../simulation/simulated-network.js';
@@ -7,10 +7,9 @@
 import type { CallerCall, CallerPort, CallerResult } from './program-runner.js';
 import type { ProgramScript } from './program-script.js';
 
-/** Patience of a caller, in milliseconds. */
 const CALL_TIMEOUT_MILLISECONDS = 600_000;
 
-/** Builds the request of a caller's call. */
+/** Creates the request of a call. */
 export function requestOf(
   call: CallerCall,
   name: string,
@@ -37,7 +36,7 @@
   };
 }
 
-/** A port to a simulated cluster; each caller sticks to a node while it lives. */
+/** Sends each call to a random node of a simulated cluster, over its network. */
 export class SimulatedCaller implements CallerPort {
   private requestCount = 0;
 
--- a/src/bench/slopes.ts
+++ b/src/bench/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes for docs/CAPACITY.md: processor time, bytes and memory of each mechanism, measured by
- * running the real code at several sizes.
+ * Measures the cost of single operations, in CPU time, bytes and memory, for the capacity model in
+ * docs/CAPACITY.md.
  */
 import { emptySlice } from '../budget/slices.js';
 import { LeaderDirectory } from '../replication/leader-directory.js';
@@ -17,7 +17,7 @@
 import type { CallTicket, Message } from '../wire/messages.js';
 import { decodeMessage, encodeMessage } from '../wire/message-codec.js';
 
-/** One measured slope. */
+/** A measured cost; printed as a row or as JSON. */
 export interface Slope {
   readonly what: string;
   readonly unit: string;
@@ -26,7 +26,7 @@
 
 const MICROSECONDS_PER_NANOSECOND = 1e-3;
 
-/** Mean processor time of an operation, in microseconds, after a warm-up. */
+/** Measures the mean duration of an operation after a warm-up, in microseconds. */
 function measureMeanMicroseconds(times: number, operation: (index: number) => void): number {
   for (let index = 0; index < Math.min(times, 2_000); index += 1) {
     operation(index);
@@ -100,7 +100,7 @@
   };
 }
 
-/** Processor time of one decision with so many calls waiting and engines in the pool. */
+/** Measures the time of one scheduling decision for a queue and pool size, in microseconds. */
 export function measureDecision(waiting: number, engines: number, decisions = 4_000): number {
   const pool = makePool(engines);
   const policy = new IvyloomPolicy();
@@ -118,7 +118,7 @@
       return;
     }
     const { engine } = placement;
-    // Its place is taken to be free again at once; another call takes its place in the queue.
+    // The slot counts as free again at once, and a new call replaces the placed one in the queue.
     ticketCount += 1;
     const next = makeTicket(ticketCount, 40);
     pool.directory.add(engine.engine, { name: next.program, tokens: 1_800 });
@@ -230,7 +230,7 @@
   ];
 }
 
-/** Measures every slope. */
+/** Measures all costs. */
 export function measureSlopes(): Slope[] {
   const decisions = [
     [100, 10],
--- a/src/bench/start.ts
+++ b/src/bench/start.ts
@@ -1,4 +1,4 @@
-/** The main job on embedded stand-ins: a local cluster under a workload, then a report. */
+/** Runs a workload on a local cluster with emulated back ends and prints a report. */
 import Table from 'cli-table3';
 import { createRandom } from '../runtime/random.js';
 import { createRealRuntime } from '../runtime/real-runtime.js';
@@ -13,24 +13,23 @@
 import { makeScript } from './workloads.js';
 import type { WorkloadKind } from './workloads.js';
 
-/** What is started. */
+/** Deployment and workload of a run. */
 export interface StartOptions {
   readonly deployment: Deployment;
   readonly seed: number;
-  /** Programs to run. */
+  /** Number of programs to run. */
   readonly programs: number;
-  /** Port of the first node's front. */
+  /** HTTP port of the first node; 0 selects a free one. */
   readonly httpPort: number;
-  /** End after the report. */
+  /** Whether to exit after the report instead of keeping the cluster up. */
   readonly once: boolean;
 }
 
 const PROGRESS_INTERVAL_MILLISECONDS = 2_000;
-/** Mean time between programs, in milliseconds. */
+/** Time between the starts of programs. */
 const ARRIVAL_INTERVAL_MILLISECONDS = 60;
-/** Pauses are shortened, so that a first run takes seconds. */
+/** Factor applied to the scripts' pauses, so that a run takes seconds. */
 const PAUSE_SCALE = 0.1;
-/** Longest program of a first run, in steps. */
 const MAXIMUM_PROGRAM_STEPS = 8;
 
 function write(line: string): void {
@@ -129,7 +128,7 @@
   });
 }
 
-/** Runs the main job; resolves with the number of failed programs. */
+/** Runs the workload; resolves with the number of failed programs. */
 export async function runStart(options: StartOptions): Promise<number> {
   const { deployment, seed, httpPort } = options;
   write(`Starting ${deployment.name}: ${deployment.zones.join(', ')}`);
--- a/src/bench/statistics.ts
+++ b/src/bench/statistics.ts
@@ -1,7 +1,7 @@
-/** Summaries of measured values, by `hdr-histogram-js`. */
+/** Summary statistics of measured values. */
 import { build } from 'hdr-histogram-js';
 
-/** Mean and percentiles, in the unit of the values. */
+/** Count, mean, percentiles and maximum, in the unit of the values. */
 export interface Summary {
   readonly count: number;
   readonly mean: number;
@@ -11,11 +11,11 @@
   readonly max: number;
 }
 
-/** The histogram counts whole numbers, so values are recorded in thousandths. */
+/** Factor from values to histogram counts, which are integers. */
 const SCALE = 1_000;
 const SIGNIFICANT_DIGITS = 3;
 
-/** Summarizes values. */
+/** Summarizes non-negative values to a precision of three digits. */
 export function summarize(values: readonly number[]): Summary {
   const histogram = build({
     numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
--- a/src/bench/workloads.ts
+++ b/src/bench/workloads.ts
@@ -1,18 +1,18 @@
-/** The users' workloads: what programs of each group look like. Sizes follow the two deployments. */
+/** Generates the programs of each group's workload. */
 import type { CallClass } from '../model/call.js';
 import type { RandomSource } from '../runtime/random.js';
 import type { ProgramScript, ProgramStep } from './program-script.js';
 
-/** Services a group's programs use. */
+/** Names of the services that a group's programs call. */
 export interface WorkloadServices {
   readonly model: string;
   readonly tool: string;
 }
 
-/** Makes one program of a kind. */
+/** Generates one program of a kind. */
 export type ScriptMaker = (name: string, random: RandomSource) => ProgramScript;
 
-/** A kind of program with its part of a group's arrivals. */
+/** A kind of program, with its fraction of the group's arrivals. */
 export interface WorkloadKind {
   readonly weight: number;
   readonly make: ScriptMaker;
@@ -60,7 +60,7 @@
   return Array.from({ length: count }, (_, index) => make(index));
 }
 
-/** Brandvold: a quoting agent at the counter, design sessions, plain calls. */
+/** Programs of Brandvold: quoting agents, design sessions and single tool calls. */
 export function brandvoldKinds(services: WorkloadServices): WorkloadKind[] {
   const group = 'brandvold';
   const quote: ScriptMaker = (name, random) => {
@@ -69,7 +69,7 @@
     const steps = repeat(turns, () => chatStep(random, services.model, shape));
     steps.push(toolStep(services.tool, 50, true));
     if (random.uniform() < 0.3) {
-      // Posting the order: never twice.
+      // Posts the order, which must not be repeated.
       steps.push(toolStep(services.tool, 200, false));
     }
     const instructions = { name: `catalog-${random.integer(1, 4)}`, tokens: 1_800 };
@@ -94,7 +94,7 @@
   ];
 }
 
-/** Teranga Trace: long triage conversations with sub-agents, urgent alerts, routine ones. */
+/** Programs of Teranga Trace: long triage with sub-agents, urgent alerts and batch routines. */
 export function terangaKinds(services: WorkloadServices): WorkloadKind[] {
   const group = 'teranga';
   const child = (name: string, random: RandomSource, callClass: CallClass): ProgramScript => {
@@ -139,7 +139,7 @@
   ];
 }
 
-/** Picks a kind by weight and makes a program. */
+/** Picks a kind by weight and generates a program. */
 export function makeScript(
   kinds: readonly WorkloadKind[],
   name: string,
