--- a/src/histories/checkers.ts
+++ b/src/histories/checkers.ts
@@ -1,16 +1,15 @@
-/** Independent checkers of the ten promises; each reads a recorded run and names what broke. */
+/** Checkers of the ten invariants. Each reads only a recorded run and describes every violation in it. */
 import { digestConversation } from '../model/chat.js';
 import type { ChatMessage } from '../model/chat.js';
 import { expectedAnswer, expectedToolResult } from '../emulator/answer-text.js';
 import type { RecordedCall, RecordedHistory, RecordedRun } from './recorded-events.js';
 
-/** A promise that a run broke. */
+/** A violation of an invariant by a run. */
 export interface Violation {
   readonly condition: InvariantName;
   readonly detail: string;
 }
 
-/** Names of the promises. */
 export type InvariantName =
   | 'order'
   | 'history'
@@ -23,12 +22,12 @@
   | 'planned-stop'
   | 'configuration';
 
-/** A checker of one promise. */
+/** Checks one invariant and returns a description of each violation. */
 export type Checker = (run: RecordedRun) => string[];
 
-/** Time in which a leaving back end must have stopped receiving work, in milliseconds. */
+/** Time after the drain command from which a back end must receive no new work. */
 const DRAIN_DEADLINE_MILLISECONDS = 5_000;
-/** Time in which an accepted change must be in force, in milliseconds. */
+/** Time within which an accepted change must be in force at every node. */
 const APPLY_DEADLINE_MILLISECONDS = 12_000;
 
 function groupByProgram<Item extends { readonly program: string }>(
@@ -46,7 +45,7 @@
   return groups;
 }
 
-/** The calls of one program run in the order the program issued them. */
+/** The calls of a program run in the order of their sequence numbers. */
 export const checkOrder: Checker = (run) => {
   const sequences = new Map(run.calls.map((call) => [call.call, call.sequence]));
   const violations: string[] = [];
@@ -70,7 +69,7 @@
   return calls.find((call) => call.sequence === sequence && call.result.type === 'answered');
 }
 
-/** True when a history continues at a place with these messages and an answer. */
+/** Whether the messages, followed by an answer, stand in the history at an offset. */
 function continuesWith(
   history: readonly ChatMessage[],
   offset: number,
@@ -120,7 +119,7 @@
   return violations;
 }
 
-/** A program's history is never lost and never mixed with another's. */
+/** The history of a program is never lost and never mixed with that of another. */
 export const checkHistory: Checker = (run) => {
   const calls = groupByProgram(run.calls);
   const lost = run.unreadablePrograms.map((program) => `${program}: the history could not be read`);
@@ -130,7 +129,7 @@
   return [...lost, ...wrong];
 };
 
-/** A group's budget is never exceeded. */
+/** No group exceeds its token budget, and every answered token is accounted for. */
 export const checkBudget: Checker = (run) =>
   run.accounts.flatMap((account) => {
     const { group, budget, granted, spent, reserved } = account;
@@ -158,7 +157,7 @@
     return violations;
   });
 
-/** Engine memory held for a program that is gone is given back. */
+/** Engines release the memory that they held for programs that have ended. */
 export const checkMemory: Checker = (run) => {
   const ended = new Set(run.endedPrograms);
   return run.holds
@@ -166,7 +165,7 @@
     .map((hold) => `${hold.engine} still holds memory of ${hold.program}`);
 };
 
-/** A caller receives the whole answer to its own request. */
+/** A caller receives the complete answer to its own request. */
 export const checkAnswer: Checker = (run) => {
   const violations: string[] = [];
   for (const [program, calls] of groupByProgram(run.calls)) {
@@ -191,7 +190,7 @@
   return violations;
 };
 
-/** The answer that follows from the conversation before a call, as the history has it. */
+/** The answer that the emulator gives to the recorded conversation up to a call; undefined if the history lacks the call. */
 function expectedChatAnswer(
   call: RecordedCall,
   chats: readonly RecordedCall[],
@@ -206,7 +205,7 @@
   return expectedAnswer(conversation, call.maximumTokens);
 }
 
-/** What is reported as "not run" did not run. */
+/** A call that is reported as "not run" was not executed. */
 export const checkNotRun: Checker = (run) => {
   const executedCalls = new Set(run.executions.map((execution) => execution.call));
   return run.calls
@@ -215,7 +214,7 @@
     .map((call) => `${call.program}: call ${call.sequence} was reported as not run, yet it ran`);
 };
 
-/** A request marked as not repeatable runs at most once. */
+/** A call that is not repeatable runs at most once over all of its attempts. */
 export const checkAtMostOnce: Checker = (run) => {
   const calls = new Map(run.calls.map((call) => [call.call, call]));
   const executionCounts = new Map<string, number>();
@@ -231,7 +230,7 @@
     .map(([key, count]) => `${key} is not repeatable and ran ${count} times`);
 };
 
-/** A back end that is leaving receives no new work after a few seconds. */
+/** A draining back end receives no new work from the deadline until it is resumed. */
 export const checkLeavingBackEnd: Checker = (run) =>
   run.changes.flatMap((change) => {
     if (change.drains === '') {
@@ -248,7 +247,7 @@
       .map((execution) => `${change.drains} got ${execution.call} while it was leaving`);
   });
 
-/** A planned stop cuts no request in flight. */
+/** A planned stop breaks no call in flight. */
 export const checkPlannedStop: Checker = (run) =>
   run.stops
     .filter((stop) => !stop.interrupted)
@@ -261,7 +260,7 @@
         ),
     );
 
-/** An accepted configuration is in force everywhere within seconds and never reverts. */
+/** An accepted configuration is in force at every live node by the deadline and is never reverted. */
 export const checkConfiguration: Checker = (run) => {
   const violations: string[] = [];
   for (const node of new Set(run.revisions.map((revision) => revision.node))) {
@@ -291,7 +290,7 @@
   });
 }
 
-/** Every promise with its checker. */
+/** The checker of each invariant. */
 export const CHECKERS: Readonly<Record<InvariantName, Checker>> = {
   order: checkOrder,
   history: checkHistory,
@@ -305,7 +304,7 @@
   configuration: checkConfiguration,
 };
 
-/** Checks every promise. */
+/** Runs all checkers on a recorded run. */
 export function checkRun(run: RecordedRun): Violation[] {
   return Object.entries(CHECKERS).flatMap(([condition, check]) =>
     check(run).map((detail) => ({ condition: condition as InvariantName, detail })),
--- a/src/histories/configuration-fault-injector.ts
+++ b/src/histories/configuration-fault-injector.ts
@@ -1,4 +1,4 @@
-/** The injector of configuration histories: what each does to the store, its paths, gateways and links. */
+/** Injects the faults of configuration histories into the store, its clients, the gateways and their links. */
 import type { RandomSource } from '../runtime/random.js';
 import type { VirtualClock } from '../simulation/virtual-clock.js';
 import type {
@@ -9,46 +9,44 @@
 import type { HistoryGateway } from './history-gateway.js';
 import type { HistoryStore } from './history-store.js';
 
-/** What injector act on. */
 export interface ConfigurationFaultInjectorOptions {
   readonly clock: VirtualClock;
   readonly store: HistoryStore;
   readonly gateways: readonly HistoryGateway[];
   readonly random: RandomSource;
-  /** Notes that a gateway owes nothing for some milliseconds. */
+  /** Exempts a gateway from checks for some milliseconds. */
   readonly exempt: (gateway: HistoryGateway, milliseconds: number) => void;
-  /** Makes a change, at once or when the store takes writes again. */
+  /** Applies a change, at once or when the store accepts writes again. */
   readonly applyChange: (change: PlannedChange) => void;
-  /** The store takes writes again. */
+  /** Called when the store accepts writes again. */
   readonly onStoreWritable: () => void;
 }
 
-/** Parts of datagrams that are lost. */
+/** Probabilities that a datagram is lost. */
 const BASELINE_LOSS_PROBABILITY = 0.005;
 const FAULT_LOSS_PROBABILITY = 0.15;
-/** Times in milliseconds. */
+/** Time for which watches report no changes before the history is compacted. */
 const MISSED_WATCH_MILLISECONDS = 1_000;
 const MAXIMUM_STALE_LIST_MILLISECONDS = 3_000;
 const MAXIMUM_FREEZE_MILLISECONDS = 3_000;
 const RESTART_DELAY_MILLISECONDS = 400;
 const EXTRA_LATENCY_MILLISECONDS = 200;
 
-/** See the head of this file. */
+/** Starts faults; each ends by itself after its duration. */
 export class ConfigurationFaultInjector {
-  /** Hosts that hear no others and are not heard. */
+  /** Hosts that exchange no messages with other gateways. */
   readonly isolatedHosts = new Set<string>();
   storeAcceptsWrites = true;
-  /** Part of the datagrams that are lost now. */
+  /** Present probability that a datagram is lost. */
   lossProbability = BASELINE_LOSS_PROBABILITY;
 
   constructor(readonly options: ConfigurationFaultInjectorOptions) {}
 
-  /** Lets a fault begin; its end follows by itself. */
   inject(fault: ConfigurationFault): void {
     HANDLERS[fault.kind](this, fault);
   }
 
-  /** The store does something to all paths, and takes no writes meanwhile. */
+  /** Makes the store silent or refusing for all gateways; it accepts no writes meanwhile. */
   disruptStore(mode: 'silent' | 'refusing', lasts: number): void {
     this.storeAcceptsWrites = false;
     this.disruptClients(this.options.gateways, mode, lasts);
@@ -58,7 +56,7 @@
     });
   }
 
-  /** Some paths to the store do something. */
+  /** Makes the store silent or refusing for some gateways and drops their connections. */
   disruptClients(
     gateways: readonly HistoryGateway[],
     mode: 'silent' | 'refusing',
@@ -72,20 +70,20 @@
     }
   }
 
-  /** Each answer of the store takes longer. */
+  /** Delays each reply of the store. */
   slowStore(lasts: number): void {
     this.options.store.extraLatencyMilliseconds = EXTRA_LATENCY_MILLISECONDS;
     this.exemptAll(lasts);
     this.later(lasts, () => (this.options.store.extraLatencyMilliseconds = 0));
   }
 
-  /** Open connections to the store go silent for good. */
+  /** Drops all open connections to the store; calls on them time out. */
   dropAllConnections(): void {
     this.exemptAll(0);
     this.options.gateways.forEach(({ storeClient }) => storeClient.dropConnections());
   }
 
-  /** Watches hear nothing while a change is made; then its past is gone, they are cut, and cheap lists are old. */
+  /** Hides a change from watches, then compacts the history and cuts the watches, while stale lists lack the change. */
   compactHistory(): void {
     this.exemptAll(MISSED_WATCH_MILLISECONDS);
     this.options.store.suppressesWatches = true;
@@ -98,7 +96,7 @@
     this.later(MAXIMUM_STALE_LIST_MILLISECONDS, () => this.options.store.thawStaleLists());
   }
 
-  /** Cheap lists are old; no excuse for anybody. */
+  /** Freezes stale lists; no gateway is exempt from checks. */
   serveStaleLists(lasts: number): void {
     this.options.store.freezeStaleLists();
     this.later(Math.min(lasts, MAXIMUM_STALE_LIST_MILLISECONDS), () =>
@@ -106,7 +104,7 @@
     );
   }
 
-  /** Kills gateways, which start again soon. */
+  /** Kills gateways; each restarts after a delay. */
   killGateways(gateways: readonly HistoryGateway[]): void {
     for (const gateway of gateways) {
       this.options.exempt(gateway, RESTART_DELAY_MILLISECONDS);
@@ -119,7 +117,7 @@
     }
   }
 
-  /** Gateways stand still. */
+  /** Pauses the processes of gateways. */
   freezeGateways(gateways: readonly HistoryGateway[], lasts: number): void {
     const milliseconds = Math.min(lasts, MAXIMUM_FREEZE_MILLISECONDS);
     for (const gateway of gateways) {
@@ -129,7 +127,7 @@
     }
   }
 
-  /** Gateways hear no others and are not heard. */
+  /** Cuts gateways off from all other gateways. */
   isolateGateways(gateways: readonly HistoryGateway[], lasts: number): void {
     for (const gateway of gateways) {
       this.options.exempt(gateway, lasts);
@@ -138,7 +136,7 @@
     }
   }
 
-  /** More datagrams are lost than usual; no excuse for anybody. */
+  /** Raises the loss of datagrams; no gateway is exempt from checks. */
   dropDatagrams(lasts: number): void {
     this.lossProbability = FAULT_LOSS_PROBABILITY;
     this.later(lasts, () => (this.lossProbability = BASELINE_LOSS_PROBABILITY));
@@ -148,7 +146,7 @@
     this.options.gateways.forEach((gateway) => this.options.exempt(gateway, milliseconds));
   }
 
-  /** Gateways that a fault strikes, drawn. */
+  /** Draws the gateways that a fault affects, at least one. */
   pickGateways({ share }: ConfigurationFault): HistoryGateway[] {
     const remaining = [...this.options.gateways];
     const count = Math.max(1, Math.round(share * remaining.length));
@@ -163,7 +161,7 @@
   }
 }
 
-/** What each fault does. */
+/** The action of each kind of fault. */
 const HANDLERS: Readonly<
   Record<
     ConfigurationFaultKind,
--- a/src/histories/configuration-history.ts
+++ b/src/histories/configuration-history.ts
@@ -1,7 +1,7 @@
 /**
- * One seeded history of configuration and runners under troubles: an operator changes the
- * configuration, runners come and leave, and gateways must hold in force, within the bound, what the
- * store has acknowledged, and never go back. Checked at every gateway that is in touch.
+ * Simulates one seeded history of configuration changes and runner registrations under faults. Every
+ * gateway that is in touch with the store must apply each acknowledged change within the bound and must
+ * never return to an older version.
  */
 import { freshnessTimingsFor } from '../mirror/freshness-timings.js';
 import type { FreshnessTimings } from '../mirror/freshness-timings.js';
@@ -21,18 +21,18 @@
 import { HistoryStore } from './history-store.js';
 import { ConfigurationFaultInjector } from './configuration-fault-injector.js';
 
-/** Faults planted to show that the checks find them. */
+/** Defects built into the system under test to show that the checks detect them. */
 export type InjectedConfigurationFault =
-  /** An open watch is believed: nobody reads proofs. */
+  /** Gateways rely on open watches alone and read no proofs of freshness. */
   | 'watchBelieved'
-  /** Short reads answer from the past. */
+  /** Reads that serve as proofs return stale data. */
   | 'oldReads'
-  /** Times are far longer than the bound. */
+  /** Gateways use timings far above the freshness bound. */
   | 'boundIgnored'
-  /** A version in force is replaced by the one before it. */
+  /** The store replaces a version by the one before it. */
   | 'goesBack';
 
-/** How a history is played. */
+/** Options of a configuration history. */
 export interface ConfigurationHistoryOptions {
   readonly gateways: number;
   readonly plan?: ConfigurationPlan;
@@ -40,19 +40,20 @@
   readonly log?: LogFunction;
 }
 
-/** What a history showed. */
+/** Result of a configuration history. */
 export interface ConfigurationHistoryResult {
   readonly seed: number;
   readonly violations: readonly string[];
   readonly faults: readonly ConfigurationFaultKind[];
   readonly changes: number;
-  /** Looks at gateways that were in touch. */
+  /** Number of checks of single gateways; exempt gateways are not counted. */
   readonly looks: number;
   readonly storeCalls: number;
 }
 
-/** Time within which a change must be in force, and after a trouble in which nothing is owed, in milliseconds. */
+/** Time within which an acknowledged change must be in force. */
 const APPLY_DEADLINE_MILLISECONDS = 2_000;
+/** Time after a fault for which the gateways that it affected are exempt from checks. */
 const RECOVERY_GRACE_MILLISECONDS = 3_000;
 const CHECK_INTERVAL_MILLISECONDS = 50;
 const LINK_DELAY_MILLISECONDS = 1.4;
@@ -61,9 +62,9 @@
 const FETCH_TIMEOUT_MILLISECONDS = 600;
 const MINIMUM_START_DELAY_MILLISECONDS = 2_500;
 const MAXIMUM_VIOLATIONS = 5;
-/** Age that lists reach where short reads answer from the past, in milliseconds. */
+/** Age that stale lists reach with the injected fault 'oldReads'. */
 const MAXIMUM_STALE_LIST_AGE_MILLISECONDS = 4_000;
-/** Times that ignore the bound. */
+/** Timings far above the bound, for the injected fault 'boundIgnored'. */
 const SLOW_TIMINGS: FreshnessTimings = {
   proofIntervalMilliseconds: 4_000,
   watchDeadlineMilliseconds: 2_000,
@@ -73,26 +74,28 @@
 /** A change that the store acknowledged. */
 interface AcknowledgedChange {
   readonly at: number;
-  /** Version of the configuration, or the key of a runner. */
+  /** Version of the configuration; undefined for a change of a runner. */
   readonly version: number | undefined;
+  /** Key of the runner; undefined for a change of the configuration. */
   readonly runner: string | undefined;
+  /** Whether the runner is registered after the change. */
   readonly listed: boolean;
 }
 
-/** See the head of this file. */
+/** Runs a plan against simulated gateways and checks them at a fixed interval. */
 class ConfigurationHistory {
   private readonly clock = new VirtualClock();
   private readonly random: RandomSource;
   private readonly store: HistoryStore;
   private readonly gateways: HistoryGateway[] = [];
   private readonly gatewaysByHost = new Map<string, HistoryGateway>();
-  /** Local time until which a gateway is out of touch, by host. */
+  /** Virtual time until which a gateway is not checked, by host. */
   private readonly exemptUntil = new Map<string, number>();
   private readonly acknowledged: AcknowledgedChange[] = [];
   private readonly violations: string[] = [];
   private readonly plan: ConfigurationPlan;
   private readonly faultInjector: ConfigurationFaultInjector;
-  /** Changes that wait for the store to take writes again. */
+  /** Changes queued until the store accepts writes again. */
   private pendingChanges: PlannedChange[] = [];
   private version = 0;
   private runnerCount = 0;
@@ -243,7 +246,7 @@
     }
   }
 
-  /** Notes that a gateway owes nothing for some milliseconds and the time of contact after them. */
+  /** Exempts a gateway from checks for a time plus the grace period after it. */
   private exempt({ host }: HistoryGateway, milliseconds: number): void {
     const until = this.clock.now + milliseconds + RECOVERY_GRACE_MILLISECONDS;
     this.exemptUntil.set(host, Math.max(until, this.exemptUntil.get(host) ?? 0));
@@ -305,7 +308,7 @@
   }
 }
 
-/** Plays one history. */
+/** Runs the history of a seed, with its own plan or a given one. */
 export function runConfigurationHistory(
   seed: number,
   options: ConfigurationHistoryOptions,
--- a/src/histories/configuration-plan.ts
+++ b/src/histories/configuration-plan.ts
@@ -1,8 +1,7 @@
-/** Plans of configuration histories: what the operator changes and which troubles come, by the seed. */
+/** Seeded plans of configuration histories: the changes and the faults. */
 import { createRandom } from '../runtime/random.js';
 import type { RandomSource } from '../runtime/random.js';
 
-/** Kinds of troubles. */
 export const CONFIGURATION_FAULT_KINDS = [
   'storeSilent',
   'storeRefuses',
@@ -19,38 +18,38 @@
   'allKilled',
 ] as const;
 
-/** One of these. */
 export type ConfigurationFaultKind = (typeof CONFIGURATION_FAULT_KINDS)[number];
 
-/** A trouble; times in milliseconds. */
+/** A planned fault; times in milliseconds since the start of the history. */
 export interface ConfigurationFault {
   readonly kind: ConfigurationFaultKind;
   readonly at: number;
+  /** Duration in milliseconds. */
   readonly lasts: number;
-  /** Part of the gateways that it strikes, 0 to 1. */
+  /** Fraction of the gateways that are affected, 0 to 1. */
   readonly share: number;
 }
 
-/** A change that the operator or a runner makes at a time, in milliseconds. */
+/** A change of the configuration or of the registered runners; `at` in milliseconds since the start. */
 export interface PlannedChange {
   readonly at: number;
   readonly what: 'configuration' | 'runnerComes' | 'runnerLeaves';
 }
 
-/** All that happens in a history. */
+/** The changes and faults of one history. */
 export interface ConfigurationPlan {
   readonly changes: readonly PlannedChange[];
   readonly faults: readonly ConfigurationFault[];
 }
 
-/** Time at which the first trouble may come, in milliseconds: all gateways have started by then. */
+/** Earliest time of a fault: all gateways have started by then. */
 export const FIRST_FAULT_MILLISECONDS = 8_000;
-/** Time within which troubles begin, in milliseconds. */
+/** Length of the period in which faults start. */
 const FAULT_PERIOD_MILLISECONDS = 16_000;
 const MAXIMUM_FAULTS = 4;
 const MAXIMUM_FAULT_MILLISECONDS = 9_000;
 const MAXIMUM_CHANGE_GAP_MILLISECONDS = 1_500;
-/** Time after the last trouble in which changes go on, in milliseconds. */
+/** Time for which changes continue after the last fault has ended. */
 const RECOVERY_MILLISECONDS = 7_000;
 
 function drawFaults(random: RandomSource): ConfigurationFault[] {
@@ -74,7 +73,7 @@
   return changes;
 }
 
-/** The plan of a seed. */
+/** Draws the plan of a seed. */
 export function planConfigurationHistory(seed: number): ConfigurationPlan {
   const random = createRandom(seed, 'configuration plan');
   const faults = drawFaults(random);
@@ -83,7 +82,7 @@
   return { changes: drawChanges(random, until), faults };
 }
 
-/** Time at which a plan is over, in milliseconds. */
+/** Time at which a history with this plan ends, in milliseconds since its start. */
 export function endOfPlan({ changes }: ConfigurationPlan): number {
   const last = changes.at(-1)?.at ?? 0;
   return last + RECOVERY_MILLISECONDS / 2;
--- a/src/histories/fault-injector.ts
+++ b/src/histories/fault-injector.ts
@@ -1,4 +1,4 @@
-/** Carries planned faults out on a simulated cluster and notes what was broken, and when. */
+/** Injects planned faults into a simulated cluster and records when each was active. */
 import type { EngineId, NodeId } from '../model/identifiers.js';
 import { runStatement } from '../language/run-statement.js';
 import * as E from 'fp-ts/lib/Either.js';
@@ -12,9 +12,9 @@
 const MAXIMUM_TORN_ENTRIES = 6;
 const OPERATOR = { name: 'operator', mayChange: true };
 
-/** See the head of this file. */
+/** Starts each planned fault at its time and ends it after its duration. */
 export class FaultInjector {
-  /** How often each kind struck. */
+  /** Number of faults injected, by kind. */
   readonly faultCounts = new Map<FaultKind, number>();
   private commandCount = 0;
   private tornNode: NodeId = '';
@@ -25,14 +25,14 @@
     private readonly engines: readonly EngineId[],
   ) {}
 
-  /** Schedules faults; times count from now. */
+  /** Schedules faults; their times count from the clock's present time. */
   schedule(faults: readonly PlannedFault[]): void {
     for (const fault of faults) {
       this.cluster.clock.schedule(fault.at, () => this.inject(fault));
     }
   }
 
-  /** Ends everything that is broken. */
+  /** Ends all active faults and restarts all nodes that are down. */
   healAll(): void {
     const { cluster } = this;
     cluster.network.heal();
@@ -135,7 +135,7 @@
     this.cluster.killNode(node);
   }
 
-  /** One disk a run: three replicas stand the loss of one. */
+  /** Tears the disk of at most one node in a run: three replicas tolerate the loss of one disk. */
   private tearDisk(node: NodeId, entries: number): void {
     if (this.tornNode === '') {
       this.tornNode = node;
@@ -173,7 +173,7 @@
     return () => undefined;
   }
 
-  /** An operator runs a command on a node; an accepted one is recorded with its revision. */
+  /** Runs an operator command on a node; an accepted change is recorded with its revision. */
   private runCommand(
     statement: string,
     target: number,
--- a/src/histories/fault-plan.ts
+++ b/src/histories/fault-plan.ts
@@ -1,7 +1,6 @@
-/** Seeded faults of a run: what breaks, when, and for how long; two may come at once. */
+/** Seeded plans of faults: kind, time and duration of each; some start together with another. */
 import type { RandomSource } from '../runtime/random.js';
 
-/** Kinds of faults. */
 export type FaultKind =
   | 'processDeath'
   | 'tornTail'
@@ -20,7 +19,6 @@
   | 'leavingBackEnd'
   | 'racingOperators';
 
-/** Every kind. */
 export const FAULT_KINDS: readonly FaultKind[] = [
   'processDeath',
   'tornTail',
@@ -40,20 +38,21 @@
   'racingOperators',
 ];
 
-/** One fault. */
+/** One planned fault. */
 export interface PlannedFault {
   readonly kind: FaultKind;
-  /** Milliseconds after the beginning of the run. */
+  /** Milliseconds since the start of the run. */
   readonly at: number;
   readonly lastsMilliseconds: number;
-  /** Chooses the node, engine or link it strikes. */
+  /** Random number that selects the affected node. */
   readonly target: number;
+  /** Random number that selects the affected engine or a parameter of the fault. */
   readonly other: number;
 }
 
 const MINIMUM_FAULT_MILLISECONDS = 200;
 const MAXIMUM_FAULT_MILLISECONDS = 8_000;
-/** Chance that a second fault strikes together with the first. */
+/** Probability that a second fault starts shortly after the first. */
 const CONCURRENT_FAULT_PROBABILITY = 0.35;
 
 function planFault(random: RandomSource, at: number): PlannedFault {
@@ -66,7 +65,7 @@
   };
 }
 
-/** Plans the faults of a run whose busy part lasts so long. */
+/** Plans the faults of a run whose workload lasts `milliseconds`. */
 export function planFaults(random: RandomSource, milliseconds: number): PlannedFault[] {
   const faults: PlannedFault[] = [];
   const count = random.integer(1, 5);
--- a/src/histories/history-caller.ts
+++ b/src/histories/history-caller.ts
@@ -1,28 +1,28 @@
-/** A caller of a history: runs one program, repeats what it may, and records what it saw. */
+/** Simulated client that runs one program, retries its calls and records the outcomes. */
 import type { CallEvent, CallRequest } from '../model/call.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
 import type { ConnectionOrder, NetworkEndpoint } from '../simulation/simulated-network.js';
 import type { RecordedCall, RecordedRun } from './recorded-events.js';
 
-/** One call that a caller will make. */
+/** A call in the plan of a program. */
 export interface PlannedCall {
   readonly service: string;
   readonly kind: 'chat' | 'tool';
   readonly repeatable: boolean;
   readonly streaming: boolean;
   readonly text: string;
+  /** Pause before the first attempt. */
   readonly pauseMilliseconds: number;
 }
 
-/** A program that a caller will run. */
+/** A program and its calls in order. */
 export interface PlannedProgram {
   readonly program: string;
   readonly group: string;
   readonly calls: readonly PlannedCall[];
 }
 
-/** What a caller is made with. */
 export interface HistoryCallerOptions {
   readonly cluster: SimulatedCluster;
   readonly run: RecordedRun;
@@ -37,13 +37,12 @@
 const RETRY_DELAY_MILLISECONDS = 400;
 const MAXIMUM_ANSWER_TOKENS = 48;
 
-/** See the head of this file. */
+/** Runs the calls of one program one after another, each with retries over random nodes. */
 export class HistoryCaller {
   private sentCount = 0;
 
   constructor(private readonly options: HistoryCallerOptions) {}
 
-  /** Begins with the first call. */
   start(): void {
     this.runCall(0, 1);
   }
@@ -76,7 +75,7 @@
       onDone();
       return;
     }
-    // The sequence makes a repeat safe, whatever became of the try before.
+    // Retries are safe whatever happened to the attempt before: nodes detect duplicates by sequence number.
     const mayHaveRun = result.type === 'failed' && result.error.verdict !== 'NotRun';
     if (mayHaveRun && !call.repeatable && attempt > 3) {
       this.runCall(index + 1, 1);
@@ -110,7 +109,7 @@
       target,
       () => {
         this.watchConnection(node, call, responseOrder, settleBroken);
-        // A leaving node has closed its listening socket after a while.
+        // A stopping node closes its listening socket before its process ends.
         if (cluster.node(node)?.acceptsConnections === false) {
           settle({ type: 'failed', error: connectionRefusedError() });
           return;
@@ -126,12 +125,12 @@
           );
         gateway?.submit(request, planned.streaming, forwardEvent);
       },
-      // Nothing was sent: the connection was refused.
+      // The request never arrived: the connection was refused.
       () => settle({ type: 'failed', error: connectionRefusedError() }),
     );
   }
 
-  /** A connection to a process that dies breaks; the caller sees it. */
+  /** Reports a broken connection once the process at its other end is gone. */
   private watchConnection(
     node: string,
     call: RecordedCall,
@@ -144,7 +143,7 @@
       if (call.result.type !== 'pending') {
         return;
       }
-      // The end of a connection arrives behind what was sent on it.
+      // The connection ends only after everything that was sent on it has arrived.
       const allArrived = cluster.clock.now > responseOrder.lastArrival;
       if (allArrived && cluster.node(node) !== instance) {
         settleBroken();
--- a/src/histories/history-gateway.ts
+++ b/src/histories/history-gateway.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway of a configuration history: the real parts that follow the store, over simulated links,
- * through any number of lives. Notes what it holds in force and what it took back.
+ * Gateway of a configuration history: runs the production store synchronization and gossip over simulated
+ * links, through any number of restarts, and records the version in force and every regression of it.
  */
 import type { KeySpaceChanges } from '../mirror/key-space-copy.js';
 import type { FreshnessTimings } from '../mirror/freshness-timings.js';
@@ -15,16 +15,15 @@
 import { StoreClient } from './history-store.js';
 import type { HistoryStore } from './history-store.js';
 
-/** The operator's configuration, whose value is its version. */
+/** Key of the operator's configuration; its value is the version as a decimal number. */
 export const CONFIGURATION_KEY = 'configuration';
-/** Entries of runners. */
+/** Prefix of the keys of registered runners. */
 export const RUNNER_PREFIX = 'runners/';
 
-/** Bytes and changes on their way between gateways. */
+/** Simulated links between gateways. */
 export interface HistoryLinks {
-  /** Sends a datagram from one host to another. */
   sendDatagram(bytes: Uint8Array, from: string, to: string): void;
-  /** Asks another host for what one complete up to a revision lacks; undefined when nothing comes. */
+  /** Fetches from the host `of` the changes after a revision; `done` gets undefined when no reply arrives. */
   fetchChanges(
     from: string,
     of: string,
@@ -33,7 +32,6 @@
   ): void;
 }
 
-/** What a gateway of a history is made with. */
 export interface HistoryGatewayOptions {
   readonly host: string;
   readonly zone: string;
@@ -46,16 +44,16 @@
   readonly log?: LogFunction;
 }
 
-/** See the head of this file. */
+/** A simulated gateway that keeps its host name and store client across restarts. */
 export class HistoryGateway {
   readonly host: string;
   readonly storeClient: StoreClient;
   readonly process: SimulatedProcess;
-  /** Version in force in this life; 0 before the first. */
+  /** Configuration version in force since the last start; 0 until the first is applied. */
   version = 0;
-  /** Times that a version older than the one in force came into force. */
+  /** Descriptions of updates that did not raise the version in force. */
   readonly regressions: string[] = [];
-  /** Whether it reads no proofs; a planted fault. */
+  /** Injected fault: the gateway reads no proofs of freshness. */
   skipsProofs = false;
   private storeSync: StoreSync | undefined;
   private listener: DatagramListener = () => undefined;
@@ -71,7 +69,7 @@
     this.process = new SimulatedProcess(host, clock, random, processLog);
   }
 
-  /** Begins a life. */
+  /** Starts a new process, which follows the store after the start delay. */
   start(startDelayMilliseconds: number): void {
     const { host, zone, seeds, timings, links } = this.options;
     const runtime = this.process.start();
@@ -110,27 +108,27 @@
     }
   }
 
-  /** Ends the life at once. */
+  /** Kills the process at once. */
   kill(): void {
     this.process.kill();
     this.listener = () => undefined;
     this.storeSync = undefined;
   }
 
-  /** Hands over a datagram, unless the process stands still: then it is lost. */
+  /** Delivers a datagram; it is lost if the process is dead or paused. */
   receive(bytes: Uint8Array, from: string): void {
     if (this.process.isAlive && !this.process.isPaused) {
       this.listener(bytes, from);
     }
   }
 
-  /** What one complete up to a revision lacks; undefined when nobody answers. */
+  /** Changes after a revision; undefined if the gateway cannot answer. */
   changesSince(revision: number): KeySpaceChanges | undefined {
     const isResponsive = this.process.isAlive && !this.process.isPaused;
     return isResponsive ? this.storeSync?.mirror.changesSince(revision) : undefined;
   }
 
-  /** Runners that are listed here. */
+  /** Keys of the runners that this gateway lists. */
   get runners(): ReadonlySet<string> {
     const items = this.storeSync?.mirror.list() ?? [];
     const keys = items.map(({ key }) => key);
@@ -159,7 +157,7 @@
     };
   }
 
-  /** Answers come to a life that stands still when it goes on, and never to a later one. */
+  /** Passes replies through a timer of the process: a paused process gets them when it resumes, a later one never. */
   private createStorePort(runtime: Runtime): KeySpacePort {
     const { storeClient } = this;
     return {
--- a/src/histories/history-store.ts
+++ b/src/histories/history-store.ts
@@ -1,7 +1,7 @@
 /**
- * A store of keys in virtual time that many processes use, each over a path of its own: silent,
- * refusing, slow or forgetful as asked, with lists that may be old. What it owes on a connection that
- * went silent is never answered.
+ * Key-value store in virtual time, used by each process through a client of its own. It can be made slow,
+ * compact its history, suppress watches and return stale lists; a client can be silent or refusing. A call
+ * on a dropped connection is never answered and times out.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type {
@@ -15,27 +15,27 @@
 } from '../mirror/key-space-port.js';
 import type { VirtualClock } from '../simulation/virtual-clock.js';
 
-/** How a path answers. */
+/** State of a client: 'well' answers, 'silent' lets calls time out, 'refusing' fails them with an error. */
 export type StoreClientMode = 'well' | 'silent' | 'refusing';
 
-/** Time until a short call is answered, and given up, in milliseconds. */
 const REPLY_DELAY_MILLISECONDS = 4;
 const CALL_TIMEOUT_MILLISECONDS = 1_500;
+/** Time beyond the wait of a watch after which it times out. */
 const WATCH_SLACK_MILLISECONDS = 1_000;
 const WATCH_POLL_INTERVAL_MILLISECONDS = 20;
 
 const TIMED_OUT: KeySpaceError = { tag: 'Unreachable', detail: 'no answer in time' };
 const BUSY: KeySpaceError = { tag: 'Refused', detail: 'status 503' };
 
-/** What the store holds, and what of its past it remembers. */
+/** Items of the store and the changes since the last compaction. */
 export class HistoryStore {
   readonly items = new Map<string, StoredItem>();
   revision = 0;
-  /** Time that an answer takes beyond the usual, in milliseconds. */
+  /** Delay added to each reply. */
   extraLatencyMilliseconds = 0;
-  /** While true, watches hear nothing of what changes. */
+  /** While true, watches report no changes. */
   suppressesWatches = false;
-  /** Rises when waiting watches are cut. */
+  /** Rises when all open watches are cut. */
   watchCutCount = 0;
   private history: ItemChange[] = [];
   private compactedRevision = 0;
@@ -56,14 +56,14 @@
     this.history.push({ tag: 'Gone', key, revision: this.revision });
   }
 
-  /** Drops the past, and cuts the watches that wait. */
+  /** Drops the history of changes and cuts all open watches. */
   compact(): void {
     this.history = [];
     this.compactedRevision = this.revision;
     this.watchCutCount += 1;
   }
 
-  /** Cheap lists answer from now on what the store holds now, until they are let go on. */
+  /** Freezes the content of stale lists at the present state until they are thawed. */
   freezeStaleLists(): void {
     this.staleList = this.listOf('');
   }
@@ -81,7 +81,7 @@
     return this.staleList ?? this.listOf(prefix);
   }
 
-  /** Changes after a revision; undefined when they are forgotten. */
+  /** Changes after a revision; undefined if some of them were compacted. */
   changesAfter(revision: number): readonly ItemChange[] | undefined {
     if (revision < this.compactedRevision) {
       return undefined;
@@ -94,17 +94,17 @@
   return change.tag === 'Put' ? change.item.revision : change.revision;
 }
 
-/** One process's way to the store. */
+/** Access of one process to the store. */
 export class StoreClient implements KeySpacePort {
   mode: StoreClientMode = 'well';
-  /** Whether lists that are asked for as proofs come from the past: a planted fault. */
+  /** Injected fault: consistent lists, which serve as proofs, return stale data. */
   readsStale = false;
   callCount = 0;
   private connectionGeneration = 0;
 
   constructor(private readonly store: HistoryStore) {}
 
-  /** Open connections go silent for good; new ones work. */
+  /** Drops open connections: their calls time out, new calls work. */
   dropConnections(): void {
     this.connectionGeneration += 1;
   }
@@ -156,7 +156,7 @@
     this.send(deadline, listener, () => listener(E.right(result())));
   }
 
-  /** Lets a call arrive, unless the path keeps it from that. */
+  /** Delivers a call to the store after the reply delay, or fails it as the mode of the client says. */
   private send<Result>(
     deadline: number,
     listener: KeySpaceListener<Result>,
--- a/src/histories/partition-scenario.ts
+++ b/src/histories/partition-scenario.ts
@@ -1,27 +1,28 @@
 /**
- * A day on which some members are cut off from the others, while gateways reach all of them: for some seconds
- * two parts of the members go on, until the smaller one is taken out. Each turn is read, by a gateway that knows
- * nothing of it, as soon as it was kept: nobody may say that there is no such turn.
+ * Scenario in which some members are partitioned from the others while gateways reach all of them: both
+ * sides serve for some seconds, until the smaller one is removed from the membership. A gateway that does not
+ * know a turn reads it as soon as it was stored: no reply may say that the turn does not exist.
  */
 import { ReplicaScenario } from './replica-scenario.js';
 import type { ReplicaScenarioOptions } from './replica-scenario.js';
 
-/** What such a day showed. */
+/** Result of a partition scenario. */
 export interface PartitionScenarioResult {
   readonly seed: number;
+  /** Number of turns whose storage was acknowledged. */
   readonly kept: number;
-  /** Changes of the members while they were split. */
+  /** Changes of the membership during the partition. */
   readonly epochs: number;
   readonly violations: readonly string[];
 }
 
 const PARTITION_MILLISECONDS = 9_000;
 const READ_TIMEOUT_MILLISECONDS = 150;
-/** Reads of one turn after it was kept, and the pause between them, in milliseconds. */
+/** Number of reads of each turn after it was stored. */
 const READ_COUNT = 3;
 const READ_INTERVAL_MILLISECONDS = 20;
 
-/** See the head of this file. */
+/** Partitions the members and reads each turn as it is stored. */
 class PartitionScenario extends ReplicaScenario {
   private readCount = 0;
 
@@ -67,7 +68,7 @@
   }
 }
 
-/** Plays one day. */
+/** Runs the scenario of a seed with `cutOffCount` members partitioned from the others. */
 export function runPartitionScenario(
   seed: number,
   options: ReplicaScenarioOptions,
--- a/src/histories/pick-distinct.ts
+++ b/src/histories/pick-distinct.ts
@@ -1,7 +1,6 @@
-/** Draws several different items of a list. */
 import type { RandomSource } from '../runtime/random.js';
 
-/** As many different items as asked for, in the order in which they were drawn. */
+/** Draws `count` distinct items at random, in the order of drawing. `items` must hold at least that many. */
 export function pickDistinct<Item>(
   random: RandomSource,
   items: readonly Item[],
--- a/src/histories/power-loss-scenario.ts
+++ b/src/histories/power-loss-scenario.ts
@@ -1,28 +1,29 @@
 /**
- * A day of replicas that ends with a loss of all power: two machines are replaced, one is emptied, disks
- * are lost, the store of the members is away for long, then all power and some disks are lost at once.
+ * Scenario that ends with a loss of all power: two machines are replaced, one is retired, some disks are
+ * lost, the membership store is unreachable for a long time, then all machines lose power and some their
+ * disks at once.
  */
 import { ReplicaScenario } from './replica-scenario.js';
 import type { ReplicaScenarioOptions } from './replica-scenario.js';
 
-/** What a day showed. */
+/** Result of a power loss scenario. */
 export interface PowerLossScenarioResult {
   readonly seed: number;
-  /** Turns that were acknowledged. */
+  /** Number of turns whose storage was acknowledged. */
   readonly kept: number;
-  /** Time until the emptied machine was reported so, in milliseconds. */
+  /** Time until the retired machine was reported as empty, in milliseconds; Infinity if it never was. */
   readonly emptiedAfter: number;
-  /** Time from the return of power until service was back for good, in milliseconds. */
+  /** Time from the return of power until service was available for good, in milliseconds. */
   readonly servedAfter: number;
   readonly violations: readonly string[];
 }
 
-/** Events come up to this much later than planned, in milliseconds. */
+/** Upper limit of the random delay added to each pause. */
 const MAXIMUM_JITTER_MILLISECONDS = 1_500;
-/** Time that a machine has to be emptied. */
+/** Time within which a retiring machine must be reported as empty. */
 const RETIREMENT_TIMEOUT_MILLISECONDS = 8_000;
 
-/** See the head of this file. */
+/** Runs the events of the scenario one after another. */
 class PowerLossScenario extends ReplicaScenario {
   private emptiedAfter = Infinity;
 
@@ -55,7 +56,7 @@
     this.wait(milliseconds + this.random.uniform() * MAXIMUM_JITTER_MILLISECONDS);
   }
 
-  /** A machine is gone for good; an empty one comes later at another address. */
+  /** Removes a machine for good and adds an empty one later under another name. */
   private replaceMachine(): void {
     this.replicas.kill(this.removeRandomMachine());
     this.waitWithJitter(1_000);
@@ -85,7 +86,7 @@
   }
 }
 
-/** Plays one day. */
+/** Runs the scenario of a seed. */
 export function runPowerLossScenario(
   seed: number,
   options: ReplicaScenarioOptions,
--- a/src/histories/recorded-events.ts
+++ b/src/histories/recorded-events.ts
@@ -1,9 +1,9 @@
-/** What a run records of itself, as callers and back ends saw it; the checkers read nothing else. */
+/** Record of a run as callers and back ends observed it: the only input of the checkers. Times are in milliseconds. */
 import type { ChatMessage } from '../model/chat.js';
 import type { CallError } from '../model/verdict.js';
 import type { Execution } from '../emulator/emulated-back-end.js';
 
-/** One try of a call, as its caller made it. */
+/** One attempt of a call, as its caller observed it. */
 export interface RecordedCall {
   readonly call: string;
   readonly program: string;
@@ -15,17 +15,17 @@
   readonly messages: readonly ChatMessage[];
   readonly payload: string;
   readonly maximumTokens: number;
-  /** Node whose gateway took it. */
+  /** Node to whose gateway the attempt was sent. */
   readonly node: string;
   readonly sentAt: number;
-  /** Text of the pieces received, joined. */
+  /** Concatenated text of the streamed pieces. */
   streamed: string;
   readonly streaming: boolean;
   result: RecordedResult;
   endedAt: number;
 }
 
-/** How a try ended. */
+/** Outcome of an attempt. */
 export type RecordedResult =
   | { readonly type: 'pending' }
   | { readonly type: 'answered'; readonly text: string; readonly tokens: number }
@@ -40,51 +40,53 @@
   readonly historyDigest: string;
 }
 
-/** A change of configuration that was reported as accepted. */
+/** A configuration change that was reported as accepted. */
 export interface RecordedChange {
   readonly statement: string;
   readonly revision: number;
-  /** When the operator sent it, and when it was reported as done. */
+  /** Time at which the operator sent the command. */
   readonly issuedAt: number;
+  /** Time at which the change was reported as accepted. */
   readonly at: number;
-  /** Back end that is leaving by this change, or empty. */
+  /** Back end that this change drains, or empty. */
   readonly drains: string;
+  /** Back end that this change resumes, or empty. */
   readonly resumes: string;
 }
 
-/** Configuration revisions that a node had in force, in the order of time. */
+/** A configuration revision that came into force at a node. */
 export interface RecordedRevision {
   readonly node: string;
   readonly revision: number;
   readonly at: number;
 }
 
-/** A planned stop and the time at which the process was gone. */
+/** A planned stop of a node; `endedAt` is the time at which its process had ended. */
 export interface RecordedStop {
   readonly node: string;
   readonly beganAt: number;
   endedAt: number;
-  /** True when the process died before the stop was complete. */
+  /** Whether the process was killed before the stop was complete. */
   interrupted: boolean;
 }
 
-/** A group's account at the end of a run. */
+/** Token account of a group at the end of a run. */
 export interface RecordedAccount {
   readonly group: string;
   readonly budget: number;
-  /** Tokens handed out by the ledger. */
+  /** Tokens that the ledger has granted. */
   readonly granted: number;
   readonly spent: number;
   readonly reserved: number;
 }
 
-/** Prompt memory held at the end of a run. */
+/** Prompt memory that an engine holds for a program at the end of a run. */
 export interface RecordedHold {
   readonly engine: string;
   readonly program: string;
 }
 
-/** Everything recorded of one run. */
+/** All records of one run. */
 export interface RecordedRun {
   readonly calls: RecordedCall[];
   readonly executions: Execution[];
@@ -94,18 +96,17 @@
   readonly stops: RecordedStop[];
   readonly accounts: RecordedAccount[];
   readonly holds: RecordedHold[];
-  /** Programs that were ended before the end of the run. */
+  /** Programs whose end was acknowledged. */
   readonly endedPrograms: string[];
   /** Programs whose histories could not be read. */
   readonly unreadablePrograms: string[];
-  /** Nodes alive at the end. */
+  /** Nodes that were running at the end. */
   readonly livingNodes: string[];
-  /** Times between which something was broken: processes, links, the key-value service. */
+  /** Periods in which a fault was active. */
   readonly faultIntervals: { readonly from: number; readonly until: number }[];
   endedAt: number;
 }
 
-/** A run with nothing recorded yet. */
 export function createEmptyRun(): RecordedRun {
   return {
     calls: [],
--- a/src/histories/replacement-scenario.ts
+++ b/src/histories/replacement-scenario.ts
@@ -1,59 +1,59 @@
 /**
- * A day on which a member's machine is gone for good and an empty one takes its place, and on which the
- * last fault, all power and as many disks as may be lost at once, comes at the very moment at which the gone
- * one ceases to count as lost: when its successor has had the time allowed for catching up.
+ * Scenario in which the machine of a member is removed for good and an empty one replaces it. The last
+ * fault, a loss of all power and of as many disks as may be lost at once, comes as soon as the time that
+ * the successor has for catching up is over: from then on the removed machine no longer counts as lost.
  */
 import { START_MILLISECONDS } from '../turns/membership-timings.js';
 import { ReplicaScenario } from './replica-scenario.js';
 import type { ReplicaScenarioOptions } from './replica-scenario.js';
 
-/** What happens besides on such a day. */
+/** Variants of the scenario. */
 export const REPLACEMENTS = [
-  /** One machine is gone, its successor comes later. */
+  /** One machine is removed; its successor starts later. */
   'one',
-  /** The machine itself is back, without its disk. */
+  /** The same machine returns without its disk. */
   'emptied',
-  /** The successor is there first, then the old one stops. */
+  /** The successor starts before the old machine stops. */
   'planned',
-  /** Another one goes the moment that the first one's successor counts. */
+  /** Another machine is removed as soon as the time of the first successor is over. */
   'two',
-  /** Two go at the same moment; their successors start one behind the other. */
+  /** Two machines are removed at once; their successors start one after the other. */
   'both',
-  /** The store of the members is away; the successor's time begins anew at its return. */
+  /** The membership store is unreachable; the time for catching up starts again when it returns. */
   'storeAway',
-  /** One is emptied and taken away, then another is replaced as planned: fewer machines than members wanted are left. */
+  /** One machine is retired, then another is replaced as planned, which leaves fewer machines than members wanted. */
   'plannedAfterEmptied',
-  /** The machine that goes was to be emptied. */
+  /** The machine that is removed was being retired. */
   'retiring',
 ] as const;
-/** One of these. */
 export type Replacement = (typeof REPLACEMENTS)[number];
 
-/** How such a day is played. */
+/** Options of a replacement scenario. */
 export interface ReplacementScenarioOptions extends ReplicaScenarioOptions {
   readonly replacement: Replacement;
+  /** Time that a successor has for catching up. */
   readonly catchUpMilliseconds: number;
 }
 
-/** What such a day showed. */
+/** Result of a replacement scenario. */
 export interface ReplacementScenarioResult {
   readonly seed: number;
-  /** Turns that were acknowledged. */
+  /** Number of turns whose storage was acknowledged. */
   readonly kept: number;
-  /** Time from the return of power until service was back for good, in milliseconds. */
+  /** Time from the return of power until service was available for good, in milliseconds. */
   readonly servedAfter: number;
   readonly violations: readonly string[];
 }
 
-/** Longest time from the loss of a machine to the start of the one that replaces it, in milliseconds. */
+/** Longest time from the loss of a machine to the start of its successor. */
 const MAXIMUM_REPLACEMENT_DELAY_MILLISECONDS = 8_000;
-/** Time in which nothing happens before the first machine goes, in milliseconds: up to this. */
+/** Longest time without an event, before a machine is removed. */
 const MAXIMUM_IDLE_MILLISECONDS = 3_000;
-/** Time that a machine has to be emptied, in milliseconds. */
+/** Time within which a retiring machine must be reported as empty. */
 const RETIREMENT_TIMEOUT_MILLISECONDS = 8_000;
 const MAXIMUM_OUTAGE_MILLISECONDS = 8_000;
 
-/** See the head of this file. */
+/** Runs one variant of the scenario. */
 class ReplacementScenario extends ReplicaScenario {
   constructor(
     seed: number,
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Draws a machine that the record names. */
+  /** Draws a machine that the membership record names and removes it from the active machines. */
   private removeRandomMember(): string {
     const members = this.replicas.recordedMembers();
     const name = this.random.pick(this.names.filter((each) => members.includes(each)));
@@ -119,14 +119,14 @@
     this.startSuccessor();
   }
 
-  /** Starts an empty machine and waits until it counts. */
+  /** Starts an empty machine and waits until its time for catching up is over. */
   private startSuccessor(): void {
     const { catchUpMilliseconds } = this.options;
     this.addMachine(START_MILLISECONDS);
     this.wait(catchUpMilliseconds - START_MILLISECONDS);
   }
 
-  /** Waits until a machine is reported empty, and takes it away. */
+  /** Retires a machine: waits until it is reported as empty, then stops it. */
   private retireMachine(): void {
     const name = this.removeRandomMember();
     const { store } = this.replicas;
@@ -173,7 +173,7 @@
   }
 }
 
-/** Plays one day. */
+/** Runs the scenario of a seed. */
 export function runReplacementScenario(
   seed: number,
   options: ReplacementScenarioOptions,
--- a/src/histories/replica-scenario.ts
+++ b/src/histories/replica-scenario.ts
@@ -1,7 +1,7 @@
 /**
- * What days of replicas in virtual time share: machines that come and go, turns that are kept all day long,
- * and a last loss of all power after which service is looked at each second, since it may come back and be
- * lost again.
+ * Base of scenarios with replicas in virtual time: machines that are added and removed, a writer that
+ * stores turns throughout, and a final loss of all power. After that, service is checked each second, since
+ * it may return and be lost again.
  */
 import { createRandom } from '../runtime/random.js';
 import type { RandomSource } from '../runtime/random.js';
@@ -11,36 +11,35 @@
 import type { TurnClient } from '../turns/turn-client.js';
 import { pickDistinct } from './pick-distinct.js';
 
-/** How a day is played. */
+/** Options of a scenario. */
 export interface ReplicaScenarioOptions extends SimulatedReplicasOptions {
-  /** Machines to begin with. */
+  /** Number of machines at the start. */
   readonly replicaCount: number;
-  /** Members that the record is to name. */
+  /** Number of members that the membership record shall name. */
   readonly wantedMembers: number;
-  /** Disks that are lost at once. */
+  /** Number of disks that are lost at once. */
   readonly lossesAtOnce: number;
 }
 
-/** Time in which all machines have started and found one another, in milliseconds. */
+/** Time after which all machines have started and discovered one another. */
 const STARTUP_MILLISECONDS = 8_000;
 const TURN_INTERVAL_MILLISECONDS = 25;
 const OPERATION_TIMEOUT_MILLISECONDS = 700;
 const RETENTION_MILLISECONDS = 600_000;
-/** Time for which machines without power are down, in milliseconds. */
+/** Time for which machines without power are down. */
 const DOWN_MILLISECONDS = 1_200;
-/** Time from the return of power from which on service is owed, and for which it is looked at. */
+/** Time after the return of power from which on service must be available. */
 const RECOVERY_DEADLINE_MILLISECONDS = 5_000;
 const CHECK_COUNT = 15;
 const CHECK_INTERVAL_MILLISECONDS = 1_000;
-/** Zones over which machines are spread. */
 const ZONE_COUNT = 4;
 
-/** See the head of this file. */
+/** Machines, a writer of turns, faults and checks for a scenario. */
 export abstract class ReplicaScenario {
   protected readonly clock = new VirtualClock();
   protected readonly random: RandomSource;
   protected readonly replicas: SimulatedReplicas;
-  /** Machines that count: those that are not gone, nor emptied. */
+  /** Names of the active machines: neither removed nor retired. */
   protected readonly names: string[] = [];
   protected readonly storedTurns: string[] = [];
   protected readonly violations: string[] = [];
@@ -58,7 +57,7 @@
     this.replicas = new SimulatedReplicas(this.clock, createRandom(seed, 'links'), options);
   }
 
-  /** Starts all machines, and the writer of turns. */
+  /** Starts all machines and the writer of turns. */
   protected startMachines(): void {
     for (let index = 0; index < this.options.replicaCount; index += 1) {
       this.addMachine();
@@ -71,7 +70,7 @@
     this.clock.runUntil(this.clock.now + milliseconds);
   }
 
-  /** Adds an empty machine; its process runs after a pause. */
+  /** Adds an empty machine, whose process starts after a delay. */
   protected addMachine(startDelayMilliseconds = 0): string {
     this.machineCount += 1;
     const name = `m${this.machineCount}`;
@@ -81,7 +80,7 @@
     return name;
   }
 
-  /** Draws a machine that counts, and lets it count no longer. */
+  /** Draws an active machine and removes it from the active ones. */
   protected removeRandomMachine(): string {
     return this.names.splice(this.random.integer(0, this.names.length - 1), 1)[0]!;
   }
@@ -90,19 +89,19 @@
     return pickDistinct(this.random, this.names, this.options.lossesAtOnce);
   }
 
-  /** Some machines lose their disks, and are back after a while. */
+  /** Some machines lose power and their disks and return empty after a while. */
   protected loseDisks(): void {
     const lost = this.pickLostDisks();
     this.losePower(lost, lost);
   }
 
-  /** All machines lose power, and some their disks; no more turns are kept. */
+  /** All machines lose power and some their disks; the writer stops. */
   protected loseAllPower(): void {
     this.isStopped = true;
     this.losePower(this.names, this.pickLostDisks());
   }
 
-  /** Looks at service each second from the return of power on. */
+  /** Checks each second from the return of power on that a reservation is granted. */
   protected checkRecovery(): void {
     const from = this.clock.now;
     for (let check = 1; check <= CHECK_COUNT; check += 1) {
@@ -119,7 +118,7 @@
     this.wait(OPERATION_TIMEOUT_MILLISECONDS);
   }
 
-  /** Whether every turn that was kept is found. */
+  /** Checks that every stored turn is found. */
   protected checkTurns(): void {
     const client = this.client('reader');
     for (const id of this.storedTurns) {
@@ -132,18 +131,18 @@
     this.wait(2 * OPERATION_TIMEOUT_MILLISECONDS);
   }
 
-  /** A gateway that knows nothing but the members. */
+  /** Creates a client that knows nothing but the members. */
   protected client(name: string, zone = 'z1'): TurnClient {
     const knownTo = this.replicas.activeNames()[0] ?? this.names[0]!;
     return this.replicas.client(name, zone, knownTo).client;
   }
 
-  /** Told each turn that was kept. */
+  /** Called for each stored turn. */
   protected onTurnStored(_id: string): void {
-    // Days that look at turns as they are kept do so here.
+    // Subclasses that check turns as soon as they are stored override this.
   }
 
-  /** Turns are kept all day long, one after another. */
+  /** Stores turns one after another until the scenario stops. */
   private storeNextTurn(client: TurnClient): void {
     if (this.isStopped) {
       return;
--- a/src/histories/run-configuration-histories.ts
+++ b/src/histories/run-configuration-histories.ts
@@ -1,31 +1,31 @@
-/** Plays many histories of configuration and sums up what they showed. */
+/** Runs many configuration histories and sums up their results. */
 import { runConfigurationHistory } from './configuration-history.js';
 import type { InjectedConfigurationFault } from './configuration-history.js';
 import { planConfigurationHistory } from './configuration-plan.js';
 import type { ConfigurationPlan, ConfigurationFault } from './configuration-plan.js';
 
-/** A history that broke a promise. */
+/** A history that violated an invariant. */
 export interface ConfigurationViolation {
   readonly seed: number;
   readonly details: readonly string[];
-  /** The fewest troubles of its plan with which it still does. */
+  /** Reduced list of its faults with which it still violates one. */
   readonly troubles: readonly ConfigurationFault[];
 }
 
-/** What many histories showed. */
+/** Summed results of many histories. */
 export interface ConfigurationHistoriesResult {
   readonly histories: number;
   readonly gateways: number;
   readonly changes: number;
-  /** Looks at gateways that were in touch. */
+  /** Number of checks of single gateways; exempt gateways are not counted. */
   readonly looks: number;
   readonly storeCalls: number;
-  /** Times that each kind of trouble came. */
+  /** Number of faults by kind. */
   readonly troubles: Readonly<Record<string, number>>;
   readonly violations: readonly ConfigurationViolation[];
 }
 
-/** Leaves out one trouble after another as long as the history still breaks a promise. */
+/** Returns the plan of a seed without the faults that its violation does not need, tried one after another. */
 export function minimizeFaults(
   seed: number,
   gateways: number,
@@ -46,7 +46,7 @@
   return plan;
 }
 
-/** Plays the histories of all seeds from the first to the last. */
+/** Runs the histories of all seeds from the first to the last, both included. */
 export function runConfigurationHistories(
   firstSeed: number,
   lastSeed: number,
--- a/src/histories/run-histories.ts
+++ b/src/histories/run-histories.ts
@@ -1,18 +1,18 @@
-/** Runs many histories and sums them up; a failing seed is shrunk to fewer faults. */
+/** Runs many histories and sums up their results; reduces the faults of a failing seed. */
 import fc from 'fast-check';
 import { createRandom } from '../runtime/random.js';
 import { planFaults } from './fault-plan.js';
 import type { PlannedFault } from './fault-plan.js';
 import { BUSY_MILLISECONDS, runHistory } from './run-history.js';
 
-/** One broken promise of one seed. */
+/** A violation of an invariant, with the seed that reproduces it. */
 export interface SeedViolation {
   readonly seed: number;
   readonly condition: string;
   readonly detail: string;
 }
 
-/** What many histories led to. */
+/** Summed results of many histories. */
 export interface HistoriesResult {
   readonly histories: number;
   readonly calls: number;
@@ -22,7 +22,7 @@
   readonly historiesPerSecond: number;
 }
 
-/** Runs the histories of a range of seeds. */
+/** Runs the histories of all seeds from the first to the last, both included. */
 export function runHistories(firstSeed: number, lastSeed: number): HistoriesResult {
   const started = process.hrtime.bigint();
   const faults: Record<string, number> = {};
@@ -48,7 +48,7 @@
   return { histories, calls, faults, results, violations, historiesPerSecond };
 }
 
-/** The fewest of a failing seed's faults with which it still fails, found by `fast-check`. */
+/** Shrinks the faults of a failing seed with `fast-check` to a smaller set with which it still fails. */
 export function shrinkFaults(seed: number): readonly PlannedFault[] {
   const planned = planFaults(createRandom(seed, 'faults'), BUSY_MILLISECONDS);
   const details = fc.check(
--- a/src/histories/run-history.ts
+++ b/src/histories/run-history.ts
@@ -1,4 +1,4 @@
-/** Runs one seeded history: concurrent programs and operators under faults, then checks it. */
+/** Runs one seeded history of concurrent programs and operators under faults and checks its record. */
 import { createRandom } from '../runtime/random.js';
 import type { RandomSource } from '../runtime/random.js';
 import { setRepeatingTimer } from '../runtime/runtime.js';
@@ -14,17 +14,17 @@
 import { createEmptyRun } from './recorded-events.js';
 import type { RecordedRun } from './recorded-events.js';
 
-/** Busy part of a history, in milliseconds. */
+/** Time from the start of a history in which faults start. */
 export const BUSY_MILLISECONDS = 14_000;
-/** Time after the faults in which everything must come right, in milliseconds. */
+/** Time that programs have to end after the faults. */
 const RECOVERY_MILLISECONDS = 45_000;
-/** Time after the last call in which memory must be given back, in milliseconds. */
+/** Time after the last call within which engines must release memory. */
 const SETTLE_MILLISECONDS = 16_000;
 const PROGRAM_COUNT = 6;
 const SMALL_BUDGET = 1_200;
 const AMPLE_BUDGET = 1_000_000_000;
 
-/** A history that was run. */
+/** Result of a history. */
 export interface HistoryResult {
   readonly seed: number;
   readonly violations: readonly Violation[];
@@ -82,7 +82,7 @@
     for (const node of cluster.livingNodes()) {
       const { self } = node.options;
       const { revision } = node.configuration.current;
-      // A process that has just begun has no configuration; it must not serve until it has.
+      // A new process has revision 0 until it has read a configuration, and serves nothing before that.
       if (revision > 0 && lastRevisions.get(self) !== revision) {
         lastRevisions.set(self, revision);
         run.revisions.push({ node: self, revision, at: cluster.clock.now });
@@ -137,7 +137,7 @@
   }
 }
 
-/** Runs a history of a seed, with its own faults or given ones. */
+/** Runs the history of a seed, with its planned faults or given ones. */
 export function runHistory(seed: number, faults?: readonly PlannedFault[]): HistoryResult {
   const cluster = createCluster(seed);
   const run = createEmptyRun();
--- a/src/histories/run-turn-histories.ts
+++ b/src/histories/run-turn-histories.ts
@@ -1,29 +1,30 @@
-/** Plays many histories of kept turns and token accounts and sums up what they showed. */
+/** Runs many histories of stored turns and token accounts and sums up their results. */
 import { TURN_FAULTS } from './turn-faults.js';
 import type { TurnFault } from './turn-faults.js';
 import { runTurnHistory } from './turn-history.js';
 import type { TurnHistoryOptions } from './turn-history.js';
 
-/** A promise that was broken, with the seed that plays it again. */
+/** A violation of an invariant, with the seed that reproduces it. */
 export interface TurnViolation {
   readonly seed: number;
   readonly detail: string;
 }
 
-/** What many histories showed. */
+/** Summed results of many histories. */
 export interface TurnHistoriesResult {
   readonly histories: number;
-  /** Turns that were kept, tokens' reservations that were granted, refused, or could not be told. */
+  /** Number of turns whose storage was acknowledged. */
   readonly kept: number;
+  /** Numbers of token reservations by outcome; the outcome of `unavailable` ones is unknown. */
   readonly granted: number;
   readonly refused: number;
   readonly unavailable: number;
-  /** Times that each kind of fault struck. */
+  /** Number of faults by kind. */
   readonly faults: Readonly<Record<TurnFault, number>>;
   readonly violations: readonly TurnViolation[];
 }
 
-/** Plays the histories of all seeds from the first to the last. */
+/** Runs the histories of all seeds from the first to the last, both included. */
 export function runTurnHistories(
   firstSeed: number,
   lastSeed: number,
--- a/src/histories/turn-faults.ts
+++ b/src/histories/turn-faults.ts
@@ -1,6 +1,4 @@
-/** Kinds of faults of the histories of kept turns. */
-
-/** Kinds of faults. */
+/** Kinds of faults of turn histories. */
 export const TURN_FAULTS = [
   'kill',
   'wipe',
@@ -16,5 +14,4 @@
   'replace',
 ] as const;
 
-/** One kind of fault. */
 export type TurnFault = (typeof TURN_FAULTS)[number];
--- a/src/histories/turn-history.ts
+++ b/src/histories/turn-history.ts
@@ -1,7 +1,7 @@
 /**
- * One seeded history of kept turns and token accounts under faults: gateways keep chains of turns
- * and reserve tokens while replicas are killed, wiped, paused, cut off, added and emptied, one or two
- * at a time or all killed at once. Promises are checked from what the gateways saw.
+ * Simulates one seeded history of stored turns and token accounts under faults: gateways store chains of
+ * turns and reserve tokens while replicas are killed, wiped, paused, isolated, added and retired, some at a
+ * time or all killed at once. The invariants are checked on what the gateways observed.
  */
 import { createRandom } from '../runtime/random.js';
 import type { RandomSource } from '../runtime/random.js';
@@ -13,36 +13,38 @@
 import { TURN_FAULTS } from './turn-faults.js';
 import type { TurnFault } from './turn-faults.js';
 
-/** Faults planted to show that the checks find them. */
+/** Defects built into the replicas to show that the checks detect them. */
 export type InjectedFault =
-  /** A replica whose disk was lost counts at once and copies nothing. */
+  /** A replica that lost its disk counts as complete at once and copies nothing. */
   | 'noRepair'
-  /** A replica acknowledges what is not on its disk yet. */
+  /** Replicas acknowledge writes before they are on disk. */
   | 'hastyAcknowledge'
-  /** Accounts never reach the disks. */
+  /** Replicas never write accounts to disk. */
   | 'lostAccounts';
 
-/** How a history is played. */
+/** Options of a turn history. */
 export interface TurnHistoryOptions {
   readonly injectedFault?: InjectedFault;
-  /** Replicas to begin with. @default three to five, by the seed */
+  /** Number of replicas at the start. @default three to five, drawn by the seed */
   readonly replicaCount?: number;
-  /** Replicas that the record is to name. @default all */
+  /** Number of members that the membership record shall name. @default all */
   readonly wantedMembers?: number;
-  /** Time that a synced write takes, in milliseconds. @default 1 */
+  /** Duration of a synced write, in milliseconds. @default 1 */
   readonly writeMilliseconds?: number;
-  /** Time after its start from which on a successor counts, in milliseconds. @default 16,000 */
+  /** Time that a successor has for catching up after its start, in milliseconds. @default 16,000 */
   readonly catchUpMilliseconds?: number;
-  /** Machines that are killed or lose their disks at once. @default 1 */
+  /** Number of machines that are killed or lose their disks at once. @default 1 */
   readonly lossesAtOnce?: number;
   readonly log?: LogFunction;
 }
 
-/** What a history showed. */
+/** Result of a turn history. */
 export interface TurnHistoryResult {
   readonly seed: number;
   readonly violations: readonly string[];
+  /** Number of turns whose storage was acknowledged. */
   readonly kept: number;
+  /** Numbers of token reservations by outcome; the outcome of `unavailable` ones is unknown. */
   readonly granted: number;
   readonly refused: number;
   readonly unavailable: number;
@@ -66,7 +68,7 @@
   turns: number;
 }
 
-/** See the head of this file. */
+/** Runs programs and faults against simulated replicas and checks the outcomes. */
 class TurnHistory {
   private readonly clock = new VirtualClock();
   private readonly random: RandomSource;
@@ -136,7 +138,7 @@
     return name;
   }
 
-  /** A turn: reserve, read the chain, keep, settle; then the next one. */
+  /** Runs a turn (reserve, read the chain, store, settle) and schedules the next one. */
   private nextTurn(program: ProgramState): void {
     if (this.isStopped) {
       return;
@@ -171,7 +173,7 @@
     }
     this.refused += 1;
     if (program.deliveredTokens + MAXIMUM_TURN_TOKENS > BUDGET_TOKENS) {
-      // A new program takes the place of one that is through.
+      // A new program replaces one that has used up its budget.
       program.deliveredTokens = 0;
       program.turns += 1;
       Object.assign(program, { name: `${program.name}'` });
@@ -256,7 +258,7 @@
     this.checkService(client);
   }
 
-  /** Turns are found where no majority is complete too, so a new reservation shows whether one is. */
+  /** Checks that a majority of replicas is complete: a new reservation needs one, reading stored turns does not. */
   private checkService(client: TurnClient): void {
     const request = { program: 'last', turn: 'last', mostTokens: 1, budgetTokens: 1 };
     let outcome = 'none';
@@ -325,7 +327,7 @@
     }
   }
 
-  /** Names of machines that are lost at once. */
+  /** Draws the machines that are lost at once. */
   private pickMachines(names: readonly string[]): string[] {
     return pickDistinct(this.random, names, this.lossesAtOnce);
   }
@@ -349,7 +351,7 @@
     others.forEach((other) => this.replicas.heal(name, other));
   }
 
-  /** One machine is gone for good; an empty one comes at another address. */
+  /** Removes a machine for good and adds an empty one under another name. */
   private replace(name: string, pause: number): void {
     this.replicas.kill(name);
     this.names.splice(this.names.indexOf(name), 1);
@@ -358,7 +360,7 @@
     this.wait(RECOVERY_MILLISECONDS);
   }
 
-  /** A machine is emptied; once that is done it goes, and another loses its disk right after. */
+  /** Retires a machine; once it is reported as empty it stops, and others lose their disks right after. */
   private retire(name: string): void {
     if (this.names.length < 2 * (this.lossesAtOnce + 1)) {
       this.addMachine();
