--- a/features/configuration-histories.feature
+++ b/features/configuration-histories.feature
@@ -1,7 +1,7 @@
-Feature: Histories of configuration and runners under troubles of the store and the network
-  Scenario Outline: What the store acknowledged is in force at every gateway in touch, and never goes back
-    When histories of seeds <first> to <last> are played with <gateways> gateways
-    Then no promise is broken at any look
+Feature: Histories of configuration and runners under faults of the store and the network
+  Scenario Outline: Acknowledged changes are in force at every gateway in touch and are never reverted
+    When configuration histories run from seed <first> to <last> with <gateways> gateways
+    Then no check finds a violation
 
     Examples:
       | first | last | gateways |
@@ -10,9 +10,9 @@
       | 61    | 64   | 12       |
       | 2     | 2    | 60       |
 
-  Scenario Outline: The checks notice a planted fault
-    When a history with the planted fault "<fault>" and 3 gateways is sought among 40 seeds
-    Then one breaks a promise, also with the fewest of its troubles
+  Scenario Outline: The checks detect an injected fault
+    When histories with the injected fault "<fault>" and 3 gateways run until one of 40 seeds fails
+    Then one violates an invariant, also with a minimized list of faults
 
     Examples:
       | fault         |
--- a/features/promises.feature
+++ b/features/promises.feature
@@ -1,11 +1,11 @@
-Feature: What must always hold
-  Seeded programs and operators run over the real node code in virtual time, under faults.
-  Independent checkers read what callers and back ends saw.
+Feature: Invariants of seeded histories under faults
+  Seeded programs and operators run against the production node code in virtual time, under faults.
+  Independent checkers read what callers and back ends observed.
 
-  Scenario Outline: No promise is broken from seed <first> to <last>
+  Scenario Outline: No invariant is violated from seed <first> to <last>
     When histories run from seed <first> to <last>
-    Then no promise is broken
-    And at least <kinds> kinds of faults struck
+    Then no invariant is violated
+    And at least <kinds> kinds of faults occurred
 
     Examples:
       | first | last | kinds |
@@ -17,13 +17,13 @@
     And histories run from seed 7 to 9
     Then both runs recorded the same
 
-  Scenario Outline: The checker of "<condition>" catches a planted violation
+  Scenario Outline: The checker of "<condition>" detects an injected violation
     Given the record of a run without violations
-    When it is changed by "<plant>"
-    Then the checker of "<condition>" names a violation
+    When it is changed by "<change>"
+    Then the checker of "<condition>" reports a violation
 
     Examples:
-      | condition        | plant                                   |
+      | condition        | change                                  |
       | order            | an execution out of order               |
       | history          | a lost turn                             |
       | history          | a message of another program            |
--- a/features/steps/configuration-histories.steps.ts
+++ b/features/steps/configuration-histories.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about histories of configuration and runners, in virtual time. */
+/** Steps for seeded histories of configuration changes and runners in virtual time. */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { runConfigurationHistory } from '../../src/histories/configuration-history.js';
@@ -17,20 +17,20 @@
 }
 
 When(
-  'histories of seeds {int} to {int} are played with {int} gateway(s)',
+  'configuration histories run from seed {int} to {int} with {int} gateway(s)',
   function (this: World, first: number, last: number, gateways: number) {
     this.histories = runConfigurationHistories(first, last, gateways);
   },
 );
 
-Then('no promise is broken at any look', function (this: World) {
+Then('no check finds a violation', function (this: World) {
   const { violations, looks, changes } = this.histories;
   assert.deepEqual(violations, []);
-  assert.ok(looks > 0 && changes > 0, `${looks} looks at ${changes} changes`);
+  assert.ok(looks > 0 && changes > 0, `${looks} checks of ${changes} changes`);
 });
 
 When(
-  'a history with the planted fault {string} and {int} gateways is sought among {int} seeds',
+  'histories with the injected fault {string} and {int} gateways run until one of {int} seeds fails',
   function (this: World, fault: string, gateways: number, seeds: number) {
     this.injectedFault = fault as InjectedConfigurationFault;
     this.gatewayCount = gateways;
@@ -45,9 +45,9 @@
   },
 );
 
-Then('one breaks a promise, also with the fewest of its troubles', function (this: World) {
+Then('one violates an invariant, also with a minimized list of faults', function (this: World) {
   const { failingSeed: seed, gatewayCount: gateways, injectedFault } = this;
-  assert.ok(seed !== undefined, 'no history noticed it');
+  assert.ok(seed !== undefined, 'no history detected the injected fault');
   const plan = minimizeFaults(seed, gateways, injectedFault);
   const { violations } = runConfigurationHistory(seed, { gateways, injectedFault, plan });
   assert.ok(violations.length > 0);
--- a/features/steps/power-loss-day.steps.ts
+++ b/features/steps/power-loss-day.steps.ts
@@ -1,10 +1,10 @@
-/** Steps about days that end with a loss of all power. */
+/** Steps for scenarios that end with a loss of all power. */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { runPowerLossScenario } from '../../src/histories/power-loss-scenario.js';
 import type { PowerLossScenarioResult } from '../../src/histories/power-loss-scenario.js';
 
-/** Turns that each day keeps at least: it lasts half a minute and writes some thirty times a second. */
+/** Least number of turns that each scenario stores, so that its checks cover enough of them. */
 const MINIMUM_TURNS = 200;
 
 interface World {
@@ -12,7 +12,7 @@
 }
 
 When(
-  'days with {int} replicas, {int} of them members, and {int} disks lost at once are played with seeds {int} to {int}',
+  'power loss scenarios with {int} replicas, {int} of them members, and {int} disks lost at once run from seed {int} to {int}',
   function (
     this: World,
     replicaCount: number,
@@ -28,7 +28,7 @@
   },
 );
 
-Then('no day breaks a promise', function (this: World) {
+Then('no power loss scenario violates an invariant', function (this: World) {
   const broken = this.days!.filter(({ violations }) => violations.length > 0);
   assert.deepEqual(
     broken.map(({ seed, violations }) => `seed ${seed}: ${violations[0]}`),
@@ -36,6 +36,6 @@
   );
 });
 
-Then('turns were kept on each day', function (this: World) {
+Then('turns were stored in each power loss scenario', function (this: World) {
   assert.ok(this.days!.length > 0 && this.days!.every(({ kept }) => kept >= MINIMUM_TURNS));
 });
--- a/features/steps/promises.steps.ts
+++ b/features/steps/promises.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about histories under faults and about the checkers themselves. */
+/** Steps for seeded histories under faults and for the checkers of their invariants. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { CHECKERS } from '../../src/histories/checkers.js';
@@ -23,7 +23,7 @@
   },
 );
 
-Then('no promise is broken', function (this: PromisesWorld) {
+Then('no invariant is violated', function (this: PromisesWorld) {
   const violations = this.batches!.flat().flatMap(({ seed, violations: broken }) =>
     broken.map((violation) => ({ seed, ...violation })),
   );
@@ -31,12 +31,12 @@
   const answered = this.batches!.flat().flatMap((result) =>
     result.run.calls.filter((call) => call.result.type === 'answered'),
   );
-  assert.ok(answered.length > 100, 'hardly anything was answered');
+  assert.ok(answered.length > 100, 'fewer than 101 calls were answered');
 });
 
-Then('at least {int} kinds of faults struck', function (this: PromisesWorld, kinds: number) {
+Then('at least {int} kinds of faults occurred', function (this: PromisesWorld, kinds: number) {
   const struck = new Set(this.batches!.flat().flatMap((result) => [...result.faults.keys()]));
-  assert.ok(struck.size >= kinds, `only ${[...struck].join(', ')}`);
+  assert.ok(struck.size >= kinds, `only these kinds of faults occurred: ${[...struck].join(', ')}`);
 });
 
 Then('both runs recorded the same', function (this: PromisesWorld) {
@@ -138,7 +138,7 @@
 });
 
 Then(
-  'the checker of {string} names a violation',
+  'the checker of {string} reports a violation',
   function (this: PromisesWorld, condition: string) {
     const found = CHECKERS[condition as InvariantName](this.run!);
     assert.notDeepEqual(found, []);
--- a/features/steps/turn-histories.steps.ts
+++ b/features/steps/turn-histories.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about seeded histories of kept turns and token accounts. */
+/** Steps for seeded histories of stored turns and token accounts. */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { TURN_FAULTS } from '../../src/histories/turn-faults.js';
@@ -61,7 +61,7 @@
 Then('turns were kept, tokens granted and budgets refused', function (this: World) {
   for (const figure of ['kept', 'granted', 'refused'] as const) {
     const sum = this.histories!.reduce((total, history) => total + history[figure], 0);
-    assert.ok(sum > 0, `no turn was ${figure}`);
+    assert.ok(sum > 0, `the sum of "${figure}" over all histories is 0`);
   }
 });
 
@@ -77,7 +77,7 @@
     for (let seed = 1; seed <= MAXIMUM_SEEDS; seed += 1) {
       const history = runTurnHistory(seed, { injectedFault: INJECTED_FAULTS[fault]! });
       this.histories.push(history);
-      // Service that is lost besides shows earlier with some faults, and is not what they are planted for.
+      // Some injected faults also cost service, often earlier; only the violations that they are meant to cause count.
       if (history.violations.some((violation) => !violation.startsWith('service'))) {
         return;
       }
