--- a/features/steps/power-loss-day.steps.ts
+++ b/features/steps/power-loss-day.steps.ts
@@ -8,7 +8,7 @@
 const MINIMUM_TURNS = 200;
 
 interface World {
-  days?: PowerLossScenarioResult[];
+  results?: PowerLossScenarioResult[];
 }
 
 When(
@@ -21,21 +21,21 @@
     first: number,
     last: number,
   ) {
-    this.days = [];
+    this.results = [];
     for (let seed = first; seed <= last; seed += 1) {
-      this.days.push(runPowerLossScenario(seed, { replicaCount, wantedMembers, lossesAtOnce }));
+      this.results.push(runPowerLossScenario(seed, { replicaCount, wantedMembers, lossesAtOnce }));
     }
   },
 );
 
 Then('no power loss scenario violates an invariant', function (this: World) {
-  const broken = this.days!.filter(({ violations }) => violations.length > 0);
+  const failed = this.results!.filter(({ violations }) => violations.length > 0);
   assert.deepEqual(
-    broken.map(({ seed, violations }) => `seed ${seed}: ${violations[0]}`),
+    failed.map(({ seed, violations }) => `seed ${seed}: ${violations[0]}`),
     [],
   );
 });
 
 Then('turns were stored in each power loss scenario', function (this: World) {
-  assert.ok(this.days!.length > 0 && this.days!.every(({ kept }) => kept >= MINIMUM_TURNS));
+  assert.ok(this.results!.length > 0 && this.results!.every(({ kept }) => kept >= MINIMUM_TURNS));
 });
--- a/features/steps/promises.steps.ts
+++ b/features/steps/promises.steps.ts
@@ -35,8 +35,13 @@
 });
 
 Then('at least {int} kinds of faults occurred', function (this: PromisesWorld, kinds: number) {
-  const struck = new Set(this.batches!.flat().flatMap((result) => [...result.faults.keys()]));
-  assert.ok(struck.size >= kinds, `only these kinds of faults occurred: ${[...struck].join(', ')}`);
+  const occurredKinds = new Set(
+    this.batches!.flat().flatMap((result) => [...result.faults.keys()]),
+  );
+  assert.ok(
+    occurredKinds.size >= kinds,
+    `only these kinds of faults occurred: ${[...occurredKinds].join(', ')}`,
+  );
 });
 
 Then('both runs recorded the same', function (this: PromisesWorld) {
--- a/features/steps/turn-histories.steps.ts
+++ b/features/steps/turn-histories.steps.ts
@@ -54,8 +54,8 @@
 );
 
 Then('no promise about turns is broken', function (this: World) {
-  const broken = this.histories!.filter((history) => history.violations.length > 0);
-  assert.deepEqual(broken, []);
+  const failed = this.histories!.filter((history) => history.violations.length > 0);
+  assert.deepEqual(failed, []);
 });
 
 Then('turns were kept, tokens granted and budgets refused', function (this: World) {
--- a/src/histories/configuration-fault-injector.ts
+++ b/src/histories/configuration-fault-injector.ts
@@ -47,10 +47,10 @@
   }
 
   /** Makes the store silent or refusing for all gateways; it accepts no writes meanwhile. */
-  disruptStore(mode: 'silent' | 'refusing', lasts: number): void {
+  disruptStore(mode: 'silent' | 'refusing', durationMilliseconds: number): void {
     this.storeAcceptsWrites = false;
-    this.disruptClients(this.options.gateways, mode, lasts);
-    this.later(lasts, () => {
+    this.disruptClients(this.options.gateways, mode, durationMilliseconds);
+    this.later(durationMilliseconds, () => {
       this.storeAcceptsWrites = true;
       this.options.onStoreWritable();
     });
@@ -60,21 +60,21 @@
   disruptClients(
     gateways: readonly HistoryGateway[],
     mode: 'silent' | 'refusing',
-    lasts: number,
+    durationMilliseconds: number,
   ): void {
     for (const gateway of gateways) {
-      this.options.exempt(gateway, lasts);
+      this.options.exempt(gateway, durationMilliseconds);
       gateway.storeClient.mode = mode;
       gateway.storeClient.dropConnections();
-      this.later(lasts, () => (gateway.storeClient.mode = 'well'));
+      this.later(durationMilliseconds, () => (gateway.storeClient.mode = 'well'));
     }
   }
 
   /** Delays each reply of the store. */
-  slowStore(lasts: number): void {
+  slowStore(durationMilliseconds: number): void {
     this.options.store.extraLatencyMilliseconds = EXTRA_LATENCY_MILLISECONDS;
-    this.exemptAll(lasts);
-    this.later(lasts, () => (this.options.store.extraLatencyMilliseconds = 0));
+    this.exemptAll(durationMilliseconds);
+    this.later(durationMilliseconds, () => (this.options.store.extraLatencyMilliseconds = 0));
   }
 
   /** Drops all open connections to the store; calls on them time out. */
@@ -97,9 +97,9 @@
   }
 
   /** Freezes stale lists; no gateway is exempt from checks. */
-  serveStaleLists(lasts: number): void {
+  serveStaleLists(durationMilliseconds: number): void {
     this.options.store.freezeStaleLists();
-    this.later(Math.min(lasts, MAXIMUM_STALE_LIST_MILLISECONDS), () =>
+    this.later(Math.min(durationMilliseconds, MAXIMUM_STALE_LIST_MILLISECONDS), () =>
       this.options.store.thawStaleLists(),
     );
   }
@@ -118,8 +118,8 @@
   }
 
   /** Pauses the processes of gateways. */
-  freezeGateways(gateways: readonly HistoryGateway[], lasts: number): void {
-    const milliseconds = Math.min(lasts, MAXIMUM_FREEZE_MILLISECONDS);
+  freezeGateways(gateways: readonly HistoryGateway[], durationMilliseconds: number): void {
+    const milliseconds = Math.min(durationMilliseconds, MAXIMUM_FREEZE_MILLISECONDS);
     for (const gateway of gateways) {
       this.options.exempt(gateway, milliseconds);
       gateway.process.pause();
@@ -128,18 +128,18 @@
   }
 
   /** Cuts gateways off from all other gateways. */
-  isolateGateways(gateways: readonly HistoryGateway[], lasts: number): void {
+  isolateGateways(gateways: readonly HistoryGateway[], durationMilliseconds: number): void {
     for (const gateway of gateways) {
-      this.options.exempt(gateway, lasts);
+      this.options.exempt(gateway, durationMilliseconds);
       this.isolatedHosts.add(gateway.host);
-      this.later(lasts, () => this.isolatedHosts.delete(gateway.host));
+      this.later(durationMilliseconds, () => this.isolatedHosts.delete(gateway.host));
     }
   }
 
   /** Raises the loss of datagrams; no gateway is exempt from checks. */
-  dropDatagrams(lasts: number): void {
+  dropDatagrams(durationMilliseconds: number): void {
     this.lossProbability = FAULT_LOSS_PROBABILITY;
-    this.later(lasts, () => (this.lossProbability = BASELINE_LOSS_PROBABILITY));
+    this.later(durationMilliseconds, () => (this.lossProbability = BASELINE_LOSS_PROBABILITY));
   }
 
   private exemptAll(milliseconds: number): void {
--- a/src/histories/replica-scenario.ts
+++ b/src/histories/replica-scenario.ts
@@ -151,8 +151,8 @@
     const id = `t${this.turnCount}`;
     const bytes = Buffer.from(id);
     const turn = { id, previous: '', input: bytes, output: bytes };
-    const kept = { ...turn, retentionMilliseconds: RETENTION_MILLISECONDS };
-    client.storeTurn(kept, OPERATION_TIMEOUT_MILLISECONDS, (done) => {
+    const turnToStore = { ...turn, retentionMilliseconds: RETENTION_MILLISECONDS };
+    client.storeTurn(turnToStore, OPERATION_TIMEOUT_MILLISECONDS, (done) => {
       if (done) {
         this.storedTurns.push(id);
         this.onTurnStored(id);
@@ -161,9 +161,9 @@
     });
   }
 
-  private losePower(unpowered: readonly string[], lost: readonly string[]): void {
+  private losePower(unpowered: readonly string[], wiped: readonly string[]): void {
     unpowered.forEach((name) => this.replicas.kill(name));
-    lost.forEach((name) => this.replicas.wipe(name));
+    wiped.forEach((name) => this.replicas.wipe(name));
     this.wait(DOWN_MILLISECONDS);
     unpowered.forEach((name) => this.replicas.start(name));
   }
--- a/src/histories/turn-history.ts
+++ b/src/histories/turn-history.ts
@@ -194,14 +194,14 @@
     const store = (before: string): void => {
       const input = `in ${turn};`;
       const output = `out ${turn};`;
-      const kept = {
+      const turnToStore = {
         id: turn,
         previous: program.lastTurn,
         input: Buffer.from(input),
         output: Buffer.from(output),
         retentionMilliseconds: RETENTION_MILLISECONDS,
       };
-      client.storeTurn(kept, OPERATION_TIMEOUT_MILLISECONDS, (done) => {
+      client.storeTurn(turnToStore, OPERATION_TIMEOUT_MILLISECONDS, (done) => {
         client.settle(program.name, turn, MAXIMUM_TURN_TOKENS, usedTokens);
         if (done) {
           program.lastTurn = turn;
