--- a/src/platform/back-end-port.ts
+++ b/src/platform/back-end-port.ts
@@ -1,16 +1,16 @@
-/** The port to model engines and tool services. One adapter speaks HTTP; a stand-in is in-process. */
+/** The port to model engines and tool services, implemented over HTTP and by an in-process simulation. */
 import type { CallId, EngineId, ProgramId, ServiceName, ShardId } from '../model/identifiers.js';
 import type { ChatMessage } from '../model/chat.js';
 import type { Usage } from '../model/call.js';
 import type { Verdict } from '../model/verdict.js';
 
-/** Who gives an order; a back end refuses orders of a lower term of the same shard. */
+/** Fencing token of a request: a back end refuses requests of a lower term of the same shard. */
 export interface Fence {
   readonly shard: ShardId;
   readonly term: number;
 }
 
-/** Work for a back end. */
+/** A model call or tool call to be run by a back end. */
 export interface BackEndRequest {
   readonly call: CallId;
   readonly program: ProgramId;
@@ -20,38 +20,38 @@
   readonly messages: readonly ChatMessage[];
   /** Body of a tool call; empty for a model. */
   readonly payload: string;
-  /** Text already sent to the caller, which the answer must continue. */
+  /** Text that the caller has already received; the answer continues after it. */
   readonly continueText: string;
   readonly maximumTokens: number;
-  /** Lower runs first. */
+  /** A lower value runs first. */
   readonly priority: number;
-  /** True when the prompt's memory is not worth keeping after the answer. */
+  /** True for the program's last call, whose prompt cache need not be kept after the answer. */
   readonly lastOfProgram: boolean;
 }
 
-/** What a back end tells about an order, in order: pieces, then one end. */
+/** Events of one request: any number of pieces, then exactly one `finished` or `failed`. */
 export type BackEndEvent =
   | { readonly type: 'piece'; readonly offset: number; readonly text: string }
   | { readonly type: 'finished'; readonly text: string; readonly usage: Usage }
   | { readonly type: 'failed'; readonly verdict: Verdict; readonly detail: string };
 
-/** Receives the events of one order. */
+/** Receives the events of one request. */
 export type BackEndListener = (event: BackEndEvent) => void;
 
-/** Stops an order; its listener hears nothing more. */
+/** Cancels a request; its listener receives no further events. */
 export type CancelRequest = () => void;
 
-/** What a back end reports of itself; lags behind by a second or more. */
+/** Load and cache state that a back end reports; at least a second old. */
 export interface BackEndReport {
   readonly running: number;
   readonly waiting: number;
   readonly cachedTokens: number;
   readonly cacheCapacityTokens: number;
-  /** Programs whose prompt memory is held on request, with their tokens. */
+  /** Programs whose prompt cache is pinned by `hold`, with their tokens. */
   readonly held: readonly HeldProgram[];
-  /** Prefixes dropped since the last report; with gaps. */
+  /** Programs whose cached prompts were evicted since the last report; may be incomplete. */
   readonly evictedPrograms: readonly ProgramId[];
-  /** True when nothing answered at the back end's address. */
+  /** True when the back end did not answer the request for its report. */
   readonly unreachable: boolean;
 }
 
@@ -66,26 +66,26 @@
   unreachable: true,
 };
 
-/** Prompt memory kept for a program on request. */
+/** Prompt cache pinned for a program by `hold`. */
 export interface HeldProgram {
   readonly program: ProgramId;
   readonly tokens: number;
 }
 
-/** Everything the system asks of back ends. */
+/** Operations on back ends. */
 export interface BackEndPort {
-  /** Runs an order. */
+  /** Sends a request to a back end and streams its events to the listener. */
   start(engine: EngineId, request: BackEndRequest, listener: BackEndListener): CancelRequest;
   /**
-   * Takes up the stream of an order given earlier, from its start, and raises the fence, so that
-   * an order of an earlier term that is still on its way will be refused. Fails with `MayHaveRun`
-   * when the back end does not know the order: it may have forgotten it.
+   * Reads the stream of a request sent earlier, from its start, and raises the fence, so that the
+   * back end refuses a request of an earlier term that is still in transit. Fails with
+   * `MayHaveRun` when the back end does not know the request, since it may have forgotten it.
    */
   resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelRequest;
-  /** Stops an order given earlier by anyone. */
+  /** Cancels a request, whichever node sent it. */
   cancel(engine: EngineId, call: CallId): void;
-  /** Keeps a program's prompt memory for at most the given time; 0 gives it back at once. */
+  /** Pins a program's prompt cache for at most the given time; 0 releases it at once. */
   hold(engine: EngineId, program: ProgramId, milliseconds: number, fence: Fence): void;
-  /** Asks for a report. */
+  /** Fetches a report; the listener gets `UNREACHABLE_REPORT` when the back end does not answer. */
   report(engine: EngineId, listener: (report: BackEndReport) => void): void;
 }
--- a/src/platform/etcd-key-value.ts
+++ b/src/platform/etcd-key-value.ts
@@ -1,4 +1,4 @@
-/** The key-value service over the published JSON gateway of etcd v3 (range, txn, watch). */
+/** The key-value port over the JSON gateway of etcd v3 (range, txn, watch). */
 import * as E from 'fp-ts/lib/Either.js';
 import { Agent, request } from 'undici';
 import { setRepeatingTimer } from '../runtime/runtime.js';
@@ -12,9 +12,7 @@
   RangeResult,
 } from './key-value-port.js';
 
-/** Time a request may take, in milliseconds. */
 const REQUEST_TIMEOUT_MILLISECONDS = 2_000;
-/** Pause before a lost watch is opened again, in milliseconds. */
 const WATCH_RETRY_DELAY_MILLISECONDS = 1_000;
 const TOO_MANY_REQUESTS = 429;
 
@@ -36,7 +34,7 @@
   return Buffer.from(text, 'base64').toString('utf8');
 }
 
-/** The end of the range of keys that start with a prefix, as etcd counts it. */
+/** The base64 `range_end` for all keys with a prefix: the prefix with its last byte incremented. */
 export function encodeRangeEnd(prefix: string): string {
   const bytes = Buffer.from(prefix, 'utf8');
   const last = bytes.length - 1;
@@ -44,14 +42,14 @@
   return bytes.toString('base64');
 }
 
-/** What the adapter is made with. */
+/** Options of `EtcdKeyValue`. */
 export interface EtcdKeyValueOptions {
-  /** Base URL, `http://address:port`. */
+  /** Base URL of the JSON gateway, `http://address:port`. */
   readonly url: string;
   readonly runtime: Runtime;
 }
 
-/** See the head of this file. */
+/** Key-value client that sends each operation as one HTTP request to the JSON gateway of etcd. */
 export class EtcdKeyValue implements KeyValuePort {
   private readonly agent = new Agent({
     bodyTimeout: 0,
@@ -140,7 +138,7 @@
       body: JSON.stringify({ create_request: { ...range, ...start } }),
     });
     for await (const _chunk of response.body) {
-      // Whatever the event says, the follower reads the whole range: events may have been missed.
+      // The event itself is ignored: events may have been missed, so the follower reads the range.
       onChange();
     }
   }
--- a/src/platform/event-stream.ts
+++ b/src/platform/event-stream.ts
@@ -1,16 +1,15 @@
-/** Reads server-sent events: the `data` of each, whatever the chunks it came in. */
+/** Parser of server-sent events; only their `data` is read. */
 import { StringDecoder } from 'node:string_decoder';
 
-/** Longest event understood, in characters. */
 const MAXIMUM_EVENT_CHARACTERS = 16 * 1024 * 1024;
 const DATA_FIELD = 'data:';
 
-/** Cuts a byte stream into events. */
+/** Splits a byte stream into events, which may span chunks. */
 export class EventStreamReader {
   private readonly decoder = new StringDecoder('utf8');
   private buffered = '';
 
-  /** Takes a chunk; returns the data of the events that are complete. */
+  /** Adds a chunk; returns the data of the events that it completes. Throws when an event is too long. */
   push(chunk: Buffer): string[] {
     this.buffered += this.decoder.write(chunk);
     if (this.buffered.length > MAXIMUM_EVENT_CHARACTERS) {
--- a/src/platform/http-back-ends.ts
+++ b/src/platform/http-back-ends.ts
@@ -1,5 +1,5 @@
 /**
- * Back ends over HTTP: OpenAI-compatible streaming for models, one POST for tools, and the
+ * The back-end port over HTTP: OpenAI-compatible streaming for models, one POST for tools, and the
  * extension endpoints of docs/reference/back-ends.md for resume, cancel, holds and reports.
  */
 import { Agent, request } from 'undici';
@@ -20,13 +20,12 @@
 } from './back-end-port.js';
 import { EventStreamReader } from './event-stream.js';
 
-/** Time a connection to a back end may take, in milliseconds. */
 const CONNECT_TIMEOUT_MILLISECONDS = 1_000;
-/** Connections kept to one back end. */
+/** Upper bound of concurrent connections to one back end. */
 const CONNECTIONS_PER_ENGINE = 256;
-/** Longest silence of a stream, in milliseconds. */
+/** Time without a byte after which a request fails, in milliseconds. */
 const INACTIVITY_TIMEOUT_MILLISECONDS = 60_000;
-/** Errors after which the request cannot have arrived. */
+/** Codes of connection errors after which the back end cannot have received the request. */
 const NOT_DELIVERED_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -34,9 +33,9 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** What the adapter is made with. */
+/** Options of `HttpBackEnds`. */
 export interface HttpBackEndsOptions {
-  /** Base URL of a back end; undefined when it is not configured. */
+  /** Base URL of a back end; undefined when the back end is not configured. */
   readonly urlOf: (engine: EngineId) => string | undefined;
 }
 
@@ -71,7 +70,7 @@
   return { verdict, detail: error.message ?? 'the request failed' };
 }
 
-/** See the head of this file. */
+/** Back ends that are called over HTTP. */
 export class HttpBackEnds implements BackEndPort {
   private readonly agent = new Agent({
     connections: CONNECTIONS_PER_ENGINE,
