--- a/src/telemetry/bounded-writer.ts
+++ b/src/telemetry/bounded-writer.ts
@@ -1,38 +1,38 @@
 /**
- * Writes lines to a file descriptor without ever blocking the process: lines wait in a bounded
- * queue, those beyond it are dropped and counted, and the count is told in a line of its own. Lines that
- * come within a moment go out in one write, since each write wakes a thread of its own.
+ * Writes log lines to a file descriptor without blocking the process. Lines are queued; when the queue
+ * is full, further lines are dropped and counted, and a line of its own reports the count. Lines are
+ * written in batches, since each write wakes a thread.
  */
 import { write } from 'node:fs';
 
-/** Bytes that may wait; a reader that stops reading stops nothing. */
+/** Size of the queue; beyond it lines are dropped, so that a stalled reader does not block the process. */
 export const MAXIMUM_QUEUED_BYTES = 1024 * 1024;
 const MAXIMUM_BATCH_BYTES = 64 * 1024;
 
-/** Writes bytes and calls back with the number written; replaced in tests. */
+/** Writes bytes and calls back with the number written. */
 export type WriteFunction = (
   bytes: Buffer,
   done: (error: Error | null, written: number) => void,
 ) => void;
 
-/** Calls back after a moment in which more lines may come. */
+/** Calls `flush` after a delay in which more lines may be queued. */
 export type ScheduleFlush = (flush: () => void) => void;
 
 const FLUSH_IMMEDIATELY: ScheduleFlush = (flush) => flush();
 
-/** Writes to a file descriptor by a thread, so that a full pipe blocks no caller. */
+/** Writes to a file descriptor on the thread pool, so that a full pipe does not block the caller. */
 export function writeToDescriptor(descriptor: number): WriteFunction {
   return (bytes, done) => write(descriptor, bytes, 0, bytes.length, null, done);
 }
 
-/** See the head of this file. */
+/** Queues lines up to a bound and writes them in batches. */
 export class BoundedWriter {
   private queue: Buffer[] = [];
   private queuedBytes = 0;
   private isWriting = false;
   private isFlushScheduled = false;
   private unreportedDrops = 0;
-  /** Lines dropped so far. */
+  /** Lines dropped since the start, both for a full queue and for a failed write. */
   droppedLines = 0;
 
   constructor(
@@ -40,7 +40,7 @@
     private readonly scheduleFlush: ScheduleFlush = FLUSH_IMMEDIATELY,
   ) {}
 
-  /** Takes one line without its line feed. */
+  /** Queues one line, given without its line feed. */
   push(line: string): void {
     const bytes = Buffer.from(`${line}\n`);
     if (this.queuedBytes + bytes.length > MAXIMUM_QUEUED_BYTES) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Hands over the lines that wait and were not begun to be written: for the end of the process. */
+  /** Removes and returns the queued lines that no write has taken, for the exit of the process. */
   takeQueued(): Buffer {
     const rest = Buffer.concat(this.queue);
     this.queue = [];
--- a/src/telemetry/explain-request.ts
+++ b/src/telemetry/explain-request.ts
@@ -1,11 +1,11 @@
-/** Says from log lines alone what became of one request, and which inputs decided it. */
+/** Explains from log lines how one request was handled and which inputs decided it. */
 import type { LogLine } from './log-lines.js';
 
 function fieldText(line: LogLine, field: string): string {
   return String(line.fields[field] ?? '');
 }
 
-/** One sentence about one line. */
+/** Describes one log line in a sentence. */
 function explainLine(line: LogLine): string {
   const at = `${line.node}:`;
   switch (line.event) {
@@ -22,7 +22,7 @@
   }
 }
 
-/** What an admission's cause means for its request. */
+/** Descriptions of the causes of an admission decision, by the value of the field `cause`. */
 const ADMISSION_CAUSES: ReadonlyMap<string, string> = new Map([
   ['bearable', 'let in, since its program can bear the wait'],
   ['shown', 'let in, since its program has run before'],
@@ -50,7 +50,7 @@
   }
 }
 
-/** Lines that bear on runners of the request's tries: what the node believed of them. */
+/** Lines about the health of the runners that the request was sent to, from the nodes that handled it. */
 function runnerLinesOf(lines: readonly LogLine[], requestLines: readonly LogLine[]): LogLine[] {
   const runners = new Set(
     requestLines.map((line) => fieldText(line, 'runner')).filter((id) => id !== ''),
@@ -65,7 +65,7 @@
   );
 }
 
-/** Sentences in order of time; empty when no line names the request. */
+/** One sentence for each line about a request, by time; empty when no line names the request. */
 export function explainRequest(lines: readonly LogLine[], id: string): string[] {
   const requestLines = lines.filter((line) => line.fields['request'] === id);
   if (requestLines.length === 0) {
--- a/src/telemetry/log-lines.ts
+++ b/src/telemetry/log-lines.ts
@@ -1,17 +1,17 @@
-/** Reads the JSON lines that processes write, wherever they stand in a line of text. */
+/** Parses the JSON log lines of the processes, also when other text precedes the JSON. */
 
-/** One line of a log. */
+/** One parsed log line. */
 export interface LogLine {
-  /** Wall time at which it was written, in milliseconds since 1970. */
+  /** Wall time, in milliseconds since 1970. */
   readonly time: number;
   readonly node: string;
   readonly event: string;
   readonly message: string;
-  /** All fields beside those above. */
+  /** The context without the standard fields (application, node, zone, event, log level). */
   readonly fields: Readonly<Record<string, string | number | boolean | null>>;
 }
 
-/** Which lines are wanted; a property that is absent wants all. */
+/** Selects lines whose fields equal all given values. */
 export interface LogFilter {
   readonly request?: string;
   readonly program?: string;
@@ -21,7 +21,7 @@
 
 const STANDARD_FIELDS = new Set(['application', 'node', 'event', 'logLevel', 'zone']);
 
-/** The log line in a line of text; undefined when there is none. */
+/** Parses the log line in a line of text; undefined when the text holds none. */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{"context"');
   if (start < 0) {
@@ -45,7 +45,7 @@
   }
 }
 
-/** Whether a line is wanted. */
+/** Whether a line matches a filter. */
 export function matchesFilter(line: LogLine, filter: LogFilter): boolean {
   const { request, program, node, event } = filter;
   return (
@@ -56,7 +56,7 @@
   );
 }
 
-/** A line for people. */
+/** Formats a line as `TIME NODE EVENT MESSAGE NAME=VALUE …`. */
 export function formatLogLine(line: LogLine): string {
   const fields = Object.entries(line.fields).map(([name, value]) => `${name}=${String(value)}`);
   const time = new Date(line.time).toISOString();
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,8 +1,8 @@
-/** Metrics of a node in the Prometheus text format, read from its roles when asked. */
+/** Metrics of a node in the Prometheus text format, computed from the node's state on each scrape. */
 import { collectDefaultMetrics, Gauge, Registry } from 'prom-client';
 import type { IvyloomNode } from '../node/node.js';
 
-/** A rendered page of metrics. */
+/** Body and content type of an answer to a scrape. */
 export interface RenderedMetrics {
   readonly contentType: string;
   readonly text: string;
@@ -93,7 +93,6 @@
   }
 }
 
-/** Renders a node's metrics. */
 export async function renderMetrics(node: IvyloomNode): Promise<RenderedMetrics> {
   const gauges = gaugesOf(node);
   update(node, gauges);
--- a/src/telemetry/program-traces.ts
+++ b/src/telemetry/program-traces.ts
@@ -1,31 +1,32 @@
-/** Programs put together again from the lines that gateways write at the end of each request. */
+/** Reconstructs programs from the log lines that gateways write at the end of each request. */
 import type { LogLine } from './log-lines.js';
 
-/** How a program went, as far as the logs show. */
+/** Outcome of a program, derived from its last request. */
 export type ProgramOutcome =
-  /** Its last request was answered before the program's time was over. */
+  /** The last request was answered before the program's deadline. */
   | 'in time'
+  /** The last request was answered after the program's deadline. */
   | 'late'
-  /** Its last request was broken off, lost, given up or refused for another reason than its budget. */
+  /** The last request was aborted, lost, abandoned by its client or refused for another reason than below. */
   | 'failed'
-  /** It was told that its budget is spent, or that its earlier turn does not exist. */
+  /** The tenant's budget is spent, or the turn that the request continues does not exist. */
   | 'stopped';
 
 /** One request of a program; times in milliseconds since 1970. */
 export interface RequestTrace {
   readonly route: string;
   readonly arrivedAt: number;
-  /** First time that it was sent to a runner; undefined if it never was. */
+  /** First time at which the request was sent to a runner; undefined if it never was. */
   readonly sentAt: number | undefined;
-  /** First byte passed on to the client; undefined if there was none. */
+  /** First byte sent to the client; undefined if there was none. */
   readonly firstByteAt: number | undefined;
   readonly endedAt: number;
   readonly outcome: string;
   readonly status: number;
   readonly tries: number;
-  /** Events of its stream; 0 for other answers. */
+  /** Events of a streamed answer; 0 for other answers. */
   readonly events: number;
-  /** Time that its unread prompt takes to be read, as the gateway expected, in milliseconds. */
+  /** The gateway's estimate of the prefill time of the uncached part of the prompt. */
   readonly prefillMilliseconds: number;
 }
 
@@ -34,10 +35,9 @@
   readonly program: string;
   readonly startedAt: number;
   readonly endedAt: number;
-  /** When it should have been over. */
   readonly deadlineAt: number;
   readonly outcome: ProgramOutcome;
-  /** Its requests by their arrival. */
+  /** Requests by arrival. */
   readonly requests: readonly RequestTrace[];
 }
 
@@ -78,7 +78,7 @@
   return last.endedAt > deadlineAt ? 'late' : 'in time';
 }
 
-/** Programs with a deadline, by their beginning. */
+/** Traces of the programs that have a deadline, by start. */
 export function tracePrograms(lines: readonly LogLine[]): ProgramTrace[] {
   const byProgram = new Map<string, LogLine[]>();
   for (const line of lines) {
--- a/src/telemetry/report-losses.ts
+++ b/src/telemetry/report-losses.ts
@@ -1,11 +1,11 @@
 /**
- * Where the time of programs went: each moment between a program's first request and its last answer
- * is put to the one cause that held it up, along its critical path. Of several requests under way the
- * one that ends last is the one that the program waits for.
+ * Attributes the time of programs to causes. Each interval between a program's first request and its
+ * last answer counts for one cause, along the critical path: of several concurrent requests, the one
+ * that ends last is the one that the program waits for.
  */
 import type { ProgramTrace, RequestTrace } from './program-traces.js';
 
-/** Causes in the order in which they are reported. */
+/** Causes in the order of their columns in reports. */
 export const TIME_CAUSES = [
   'before the first try',
   'tried again',
@@ -18,7 +18,7 @@
   'client pauses',
 ] as const;
 
-/** What a moment of a program was spent on. */
+/** Cause to which an interval is attributed. */
 export type TimeCause = (typeof TIME_CAUSES)[number];
 
 /** Milliseconds by cause. */
@@ -30,7 +30,7 @@
   readonly cause: TimeCause;
 }
 
-/** Phases of one request, one behind the other. */
+/** Phases of one request, consecutive from its arrival to its end. */
 function phasesOf(request: RequestTrace): Phase[] {
   const { arrivedAt, sentAt, firstByteAt, endedAt } = request;
   if (request.outcome === 'refused') {
@@ -65,7 +65,7 @@
   return Object.fromEntries(TIME_CAUSES.map((cause) => [cause, 0])) as Record<TimeCause, number>;
 }
 
-/** Splits one program's time; the parts add up to the time from its beginning to its end. */
+/** Splits one program's time by cause; the parts add up to the time from its start to its end. */
 export function splitTime(program: ProgramTrace): TimeSplit {
   const split = emptySplit();
   let now = program.startedAt;
@@ -97,7 +97,7 @@
   readonly mean: TimeSplit;
 }
 
-/** One row for each kind and outcome, the most frequent first. */
+/** Groups programs by kind and outcome, the most frequent group first. */
 export function lossRows(programs: readonly ProgramTrace[]): LossRow[] {
   const groups = new Map<string, ProgramTrace[]>();
   for (const program of programs) {
@@ -121,20 +121,20 @@
   return mean;
 }
 
-/** Programs that began within one window. */
+/** Counts of the programs that started within one time window. */
 export interface LossWindow {
-  /** Seconds from the first program's beginning. */
+  /** Start of the window, in seconds since the start of the first program. */
   readonly second: number;
   readonly begun: number;
   readonly late: number;
   readonly failed: number;
-  /** The cause that took most of the time of late and failed ones; empty when there are none. */
+  /** Cause with the largest mean time among late and failed programs; empty when there are none. */
   readonly mainCause: string;
 }
 
 const MILLISECONDS_IN_SECOND = 1_000;
 
-/** Programs by the time at which they began. */
+/** Counts programs by the window in which they started. */
 export function lossWindows(programs: readonly ProgramTrace[], seconds: number): LossWindow[] {
   const first = programs[0]?.startedAt ?? 0;
   const windows = new Map<number, ProgramTrace[]>();
--- a/src/telemetry/stall-detector.ts
+++ b/src/telemetry/stall-detector.ts
@@ -1,16 +1,15 @@
 /**
- * Notices that this process stood still: it was frozen, got no processor, or was busy with one piece
- * of work. Without such a line its silence looks like that of a link.
+ * Detects stalls of this process: it was suspended, got no processor time, or a task blocked the event
+ * loop. Without such a log line a stall cannot be told from a network failure.
  */
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
 import { setRepeatingTimer } from '../runtime/runtime.js';
 
-/** Time between two looks, in milliseconds. */
 const CHECK_INTERVAL_MILLISECONDS = 250;
-/** Delay of a look that is told, in milliseconds: others take a process for silent after as long. */
+/** Delay of a check that is logged as a stall; peers consider a process silent after this time. */
 const STALL_THRESHOLD_MILLISECONDS = 250;
 
-/** Logs each stall; returns how to end that. */
+/** Logs each stall until cancelled. */
 export function startStallDetector(runtime: Runtime): CancelTimer {
   let lastCheckAt = runtime.now();
   return setRepeatingTimer(runtime, CHECK_INTERVAL_MILLISECONDS, () => {
@@ -18,7 +17,7 @@
     lastCheckAt = runtime.now();
     if (stallMilliseconds > STALL_THRESHOLD_MILLISECONDS) {
       const fields = { event: 'process.stalled', milliseconds: Math.round(stallMilliseconds) };
-      runtime.log('warn', 'this process stood still', fields);
+      runtime.log('warn', 'process stalled', fields);
     }
   });
 }
