--- a/src/language/change-configuration.ts
+++ b/src/language/change-configuration.ts
@@ -1,4 +1,4 @@
-/** Commands that change the configuration: each is one guarded edit of one document. */
+/** Statements that change the configuration; each edits one document in one transaction. */
 import { randomBytes } from 'node:crypto';
 import * as E from 'fp-ts/lib/Either.js';
 import type { DocumentEdit } from '../configuration/configuration-writer.js';
@@ -20,14 +20,14 @@
 
 type ChangeStatement = SetStatement | CreateStatement | DeleteStatement | DrainStatement;
 
-/** Longest time a command waits for its change to be in force everywhere, in milliseconds. */
+/** Time that a command waits for all nodes to acknowledge its change, in milliseconds. */
 const IN_FORCE_TIMEOUT_MILLISECONDS = 12_000;
-/** Time between looks at who has the change in force, in milliseconds. */
+/** Interval at which acknowledgements are checked, in milliseconds. */
 const POLL_INTERVAL_MILLISECONDS = 100;
-/** Bytes of a new key. */
+/** Random bytes of a new API key. */
 const KEY_BYTES = 24;
 
-/** Who changes what, as it is recorded with the change. */
+/** Origin of a change, stored with it: request id, operator and statement. */
 export interface ChangeOrigin {
   readonly id: string;
   readonly by: string;
@@ -121,7 +121,7 @@
   }
 }
 
-/** Carries a command out and waits, for a while, until every node has it in force. */
+/** Applies a change, then waits until all nodes have it in force or the timeout passes. */
 export function changeConfiguration(
   node: IvyloomNode,
   statement: ChangeStatement,
--- a/src/language/evaluate-rows.ts
+++ b/src/language/evaluate-rows.ts
@@ -1,4 +1,4 @@
-/** Filters, groups, orders and limits rows as a `show` asks. */
+/** Evaluates a `show` statement over rows: filter, group, order, limit. */
 import type { Row, RowValue } from '../node/row-collector.js';
 import type { Aggregate, Condition, ShowStatement } from './statement.js';
 
@@ -37,7 +37,7 @@
   }
 }
 
-/** Name of an aggregate's column. */
+/** Name of the result column of an aggregate: `sum(tokens)` gives `sum_tokens`, `count(*)` gives `count`. */
 export function aggregateName(aggregate: Aggregate): string {
   return aggregate.column === '' ? aggregate.function : `${aggregate.function}_${aggregate.column}`;
 }
@@ -82,7 +82,7 @@
   });
 }
 
-/** The rows a `show` answers with. */
+/** Returns the result rows of a `show` statement. */
 export function evaluateShow(rows: readonly Row[], statement: ShowStatement): Row[] {
   const matchingRows = rows.filter((row) =>
     statement.conditions.every((condition) => satisfies(row, condition)),
--- a/src/language/explain-call.ts
+++ b/src/language/explain-call.ts
@@ -1,4 +1,4 @@
-/** `explain call`: why a call waits, or where it runs. */
+/** `explain call`: shows the state of a call, with the reason why it waits or the engine it runs on. */
 import * as E from 'fp-ts/lib/Either.js';
 import { notRun } from '../model/verdict.js';
 import type { IvyloomNode } from '../node/node.js';
@@ -31,7 +31,7 @@
   }
 }
 
-/** Explains a call that is under way. */
+/** Explains a call in progress, by its id. */
 export function explainCall(node: IvyloomNode, name: string, listener: StatementListener): void {
   node.rows.collect('calls', (calls) => {
     const call = calls.rows.find((row) => row['call'] === name);
--- a/src/language/parse-statement.ts
+++ b/src/language/parse-statement.ts
@@ -1,4 +1,4 @@
-/** The grammar of the operators' language, and errors that point at the character. */
+/** Grammar of the operators' query language. Syntax errors carry the offset of the offending character. */
 import { EmbeddedActionsParser, EOF, tokenMatcher } from 'chevrotain';
 import type { IToken, TokenType } from 'chevrotain';
 import * as E from 'fp-ts/lib/Either.js';
@@ -28,7 +28,7 @@
   Text,
 } from './tokens.js';
 
-/** Words a statement may start with. */
+/** Keywords that a statement may start with. */
 export const STATEMENT_WORDS = [
   'show',
   'set',
@@ -40,10 +40,10 @@
   'explain',
 ] as const;
 
-/** What is wrong with a statement, and where. */
+/** A syntax error. */
 export interface StatementError {
   readonly message: string;
-  /** Place of the offending character, from 0. */
+  /** Offset of the offending character, from 0. */
   readonly offset: number;
 }
 
@@ -59,7 +59,7 @@
   return image.slice(1, -1).replace(/\\(.)/g, '$1');
 }
 
-/** While the grammar is recorded, alternatives have no token. */
+/** Text of a token; empty while chevrotain records the grammar, since alternatives have no token then. */
 function imageOf(token: IToken | undefined): string {
   return token?.image ?? '';
 }
@@ -280,7 +280,7 @@
   return `Unexpected ${place}; the statement is understood up to there.`;
 }
 
-/** Understands a statement, or says what is wrong and where. */
+/** Parses a statement. */
 export function parseStatement(text: string): E.Either<StatementError, Statement> {
   const lexed = statementLexer.tokenize(text);
   const badCharacter = lexed.errors[0];
--- a/src/language/run-statement.ts
+++ b/src/language/run-statement.ts
@@ -1,4 +1,4 @@
-/** Runs one statement of an operator on a node and answers with rows, verdict and revision. */
+/** Runs an operator's statement on a node and returns its rows, verdict and revision. */
 import * as E from 'fp-ts/lib/Either.js';
 import { notRun } from '../model/verdict.js';
 import type { CallError, Verdict } from '../model/verdict.js';
@@ -15,40 +15,40 @@
 
 const FIRST_ERROR_STATUS = 400;
 
-/** Who runs a statement. */
+/** The operator that runs a statement. */
 export interface Operator {
   readonly name: string;
   /** False for a viewer. */
   readonly mayChange: boolean;
 }
 
-/** Where a change stands on the nodes. */
+/** Progress of a configuration change across the nodes. */
 export interface InForceState {
-  /** Nodes that have the revision in force. */
+  /** Number of nodes that have the revision in force. */
   readonly acknowledged: number;
   readonly total: number;
   readonly missing: readonly string[];
 }
 
-/** Answer to a statement. */
+/** Result of a statement. */
 export interface StatementResult {
   readonly columns: readonly string[];
   readonly rows: readonly Row[];
-  /** Nodes whose rows are missing. */
+  /** Nodes that did not answer, whose rows are missing. */
   readonly unreachable: readonly string[];
-  /** For a command: that it was carried out. */
+  /** `Ran` for a command that was carried out; undefined for a query. */
   readonly verdict?: Verdict;
-  /** For a change of configuration: the revision that has it. */
+  /** Revision that contains a configuration change. */
   readonly revision?: number;
   readonly inForce?: InForceState;
-  /** Something to be shown once, such as a new key. */
+  /** A new API key, which is shown only once. */
   readonly secret?: string;
 }
 
-/** Receives the answer, once. */
+/** Receives the result, once. */
 export type StatementListener = (result: E.Either<CallError, StatementResult>) => void;
 
-/** Runs a statement; `id` names it among changes. */
+/** Parses and runs a statement; `id` identifies the change that it makes. */
 export function runStatement(
   node: IvyloomNode,
   text: string,
@@ -153,7 +153,7 @@
   }
 }
 
-/** Each node knows a part of a group's account; the whole is their sum. */
+/** Sums the rows of each group over the nodes, since each node holds a part of the group's account. */
 function mergeGroups(rows: readonly Row[]): Row[] {
   const merged = new Map<string, Record<string, string | number | boolean>>();
   for (const row of rows) {
--- a/src/language/statement.ts
+++ b/src/language/statement.ts
@@ -1,17 +1,17 @@
-/** Statements of the operators' language, as the parser understands them. */
+/** Syntax tree of the statements of the operators' query language. */
 import type { RowValue } from '../node/row-collector.js';
 
-/** How a column is compared with a value. */
+/** Comparison operators. */
 export type Comparison = '=' | '!=' | '<' | '<=' | '>' | '>=' | 'like';
 
-/** One condition of a `where`. */
+/** One condition of a `where` clause. */
 export interface Condition {
   readonly column: string;
   readonly comparison: Comparison;
   readonly value: RowValue;
 }
 
-/** A value computed over the rows of a group. */
+/** An aggregate function over a column. */
 export interface Aggregate {
   readonly function: 'count' | 'sum' | 'avg' | 'max' | 'p95';
   /** Empty for `count(*)`. */
@@ -29,10 +29,10 @@
   readonly limit?: number;
 }
 
-/** Kinds of objects that commands name. */
+/** Kinds of configuration objects. */
 export type ObjectKind = 'group' | 'service' | 'engine' | 'key';
 
-/** Named values of a `set` or `create`. */
+/** Property values of a `set` or `create` statement. */
 export type Properties = Readonly<Record<string, RowValue>>;
 
 /** `set KIND NAME property value …`. */
@@ -77,7 +77,6 @@
   readonly name: string;
 }
 
-/** Any statement. */
 export type Statement =
   | ShowStatement
   | SetStatement
--- a/src/language/suggest.ts
+++ b/src/language/suggest.ts
@@ -1,6 +1,6 @@
 /** Suggestions for mistyped words. */
 
-/** Most edits between a word and its suggestion. */
+/** Largest edit distance at which a word is suggested. */
 const MAXIMUM_EDITS = 2;
 
 function editDistance(left: string, right: string): number {
@@ -22,7 +22,7 @@
   return previous[right.length]!;
 }
 
-/** The known word nearest to a mistyped one, if any is near. */
+/** The known word with the smallest edit distance to a mistyped one; undefined when none is close. */
 export function closestWord(word: string, known: readonly string[]): string | undefined {
   const typed = word.toLowerCase();
   const ranked = known
--- a/src/language/tables.ts
+++ b/src/language/tables.ts
@@ -1,14 +1,14 @@
-/** Tables that `show` knows, with their columns, units and meaning; the reference is made from it. */
+/** Tables that `show` can query, with their columns, units and meaning. The reference page lists them. */
 
-/** One column. */
+/** A column of a table. */
 export interface Column {
   readonly name: string;
-  /** What the values are counted in; empty for names. */
+  /** Unit of the values; empty for those without one. */
   readonly unit: string;
   readonly meaning: string;
 }
 
-/** One table. */
+/** A table that `show` can query. */
 export interface Table {
   readonly name: string;
   readonly meaning: string;
@@ -19,7 +19,6 @@
   return { name, unit, meaning };
 }
 
-/** Every table. */
 export const TABLES: readonly Table[] = [
   {
     name: 'calls',
@@ -125,7 +124,7 @@
   },
 ];
 
-/** A table by its name. */
+/** Finds a table by name; undefined when there is none. */
 export function findTable(name: string): Table | undefined {
   return TABLES.find((table) => table.name === name);
 }
--- a/src/language/tokens.ts
+++ b/src/language/tokens.ts
@@ -1,19 +1,19 @@
-/** Words of the operators' language. Keywords are not reserved: they may still be names. */
+/** Lexer of the operators' query language. Keywords are not reserved: they are also valid names. */
 import { createToken, Lexer } from 'chevrotain';
 import type { TokenType } from 'chevrotain';
 
-/** A name: letters, digits, dots, dashes, slashes, colons. */
+/** A name: a letter or underscore, then letters, digits, underscores, dots, dashes, slashes or colons. */
 export const Name = createToken({ name: 'Name', pattern: /[A-Za-z_][A-Za-z0-9_.:/-]*/ });
-/** A quoted text. */
+/** A string in single or double quotes, with backslash escapes. */
 export const Text = createToken({ name: 'Text', pattern: /'(?:[^'\\]|\\.)*'|"(?:[^"\\]|\\.)*"/ });
-/** A number, with k, M or G for thousands, millions and milliards. */
+/** A number with an optional suffix: k (10^3), M (10^6) or G (10^9). */
 export const Quantity = createToken({
   name: 'Quantity',
   pattern: /-?\d+(?:\.\d+)?[kMG]?(?![A-Za-z0-9_.:/-])/,
 });
 /** A name that starts with a digit. */
 export const DigitName = createToken({ name: 'DigitName', pattern: /\d[A-Za-z0-9_.:/-]*/ });
-/** How two values are compared. */
+/** A comparison operator. */
 export const Comparator = createToken({ name: 'Comparator', pattern: /<=|>=|!=|=|<|>/ });
 /** `(` */
 export const OpenParenthesis = createToken({ name: 'Open', pattern: /\(/ });
@@ -31,7 +31,7 @@
   return createToken({ name, pattern: new RegExp(word, 'i'), longer_alt: Name, categories: Name });
 }
 
-/** Keywords by their word. */
+/** Token types of the keywords, by keyword. */
 export const KEYWORDS = {
   show: keyword('show'),
   where: keyword('where'),
@@ -62,7 +62,7 @@
   p95: keyword('p95'),
 } as const;
 
-/** Every token, in the order in which they are tried. */
+/** Token types in the order in which the lexer tries them. */
 export const ALL_TOKENS: TokenType[] = [
   Whitespace,
   Semicolon,
@@ -78,5 +78,5 @@
   Comma,
 ];
 
-/** Cuts a statement into tokens. */
+/** Splits a statement into tokens. */
 export const statementLexer = new Lexer(ALL_TOKENS);
