--- a/src/runtime/enable-roarr.ts
+++ b/src/runtime/enable-roarr.ts
@@ -1,2 +1,2 @@
-/** `roarr` writes nothing unless this is set before it is loaded; levels are filtered here instead. */
+/** Enables `roarr`, which reads this variable when it is loaded; levels are filtered in `real-runtime.ts`. */
 process.env['ROARR_LOG'] = 'true';
--- a/src/runtime/hashing.ts
+++ b/src/runtime/hashing.ts
@@ -1,30 +1,31 @@
 /**
- * 64-bit hashes (xxhash) for placement, digests and identifiers. Not for secrets. Each program prepares them
- * before anything else: a module that waits for itself could not be kept as compiled code.
+ * Non-cryptographic hashes (xxhash) for placement, digests and identifiers; not for secrets. Each program
+ * calls `prepareHashing` first. This module does not await it itself, since the bundled program is a script
+ * with a V8 code cache, which rules out a top-level await.
  */
 import xxhash from 'xxhash-wasm';
 import type { XXHashAPI } from 'xxhash-wasm';
 
 let prepared: XXHashAPI | undefined;
 
-/** Resolves when hashes can be taken. */
+/** Loads the WebAssembly module; resolves once the functions below may be called. */
 export async function prepareHashing(): Promise<void> {
   prepared ??= await xxhash();
 }
 
 function hasher(): XXHashAPI {
   if (prepared === undefined) {
-    throw new Error('hashes are taken before prepareHashing()');
+    throw new Error('prepareHashing() must resolve before a hash is computed');
   }
   return prepared;
 }
 
-/** Hash of a text as 16 hexadecimal digits. */
+/** 64-bit hash of a text, as 16 hexadecimal digits. */
 export function hashText(text: string): string {
   return hasher().h64ToString(text);
 }
 
-/** Hash of a text as an unsigned 32-bit number, for buckets. */
+/** 32-bit hash of a text, as an unsigned number. */
 export function hashToNumber(text: string): number {
   return hasher().h32(text);
 }
@@ -32,7 +33,7 @@
 const MIX_MULTIPLIER = 0x9e37_79b1;
 const MIX_SHIFT = 15;
 
-/** A hash of two hashes, unsigned 32 bits: ranks things for a key without building a text for each pair. */
+/** Combines two hashes into an unsigned 32-bit one; ranks pairs without building a text for each. */
 export function mixHashes(left: number, right: number): number {
   let mixed = Math.imul(left ^ right, MIX_MULTIPLIER);
   mixed ^= mixed >>> MIX_SHIFT;
--- a/src/runtime/random.ts
+++ b/src/runtime/random.ts
@@ -1,23 +1,23 @@
-/** Seeded random numbers; the only source of randomness of the core. */
+/** Seeded pseudo-random numbers. The core draws all its random numbers from here. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { hashToNumber } from './hashing.js';
 
-/** Random draws used by jitter, sampling and workloads. */
+/** A source of random numbers for jitter, sampling and workloads. */
 export interface RandomSource {
   /** Uniform in [0, 1). */
   uniform(): number;
   /** Uniform integer in [low, high]. */
   integer(low: number, high: number): number;
-  /** Exponential with the given mean. */
+  /** Exponentially distributed with the given mean. */
   exponential(mean: number): number;
-  /** Log-normal with the given median and sigma of the logarithm. */
+  /** Log-normally distributed with the given median and standard deviation of the logarithm. */
   logNormal(median: number, sigma: number): number;
-  /** One element of a non-empty list. */
+  /** A uniformly chosen element of a non-empty list. */
   pick<Item>(items: readonly Item[]): Item;
 }
 
-/** Makes a source whose draws depend on nothing but the seed and the label. */
+/** Creates a source whose sequence depends only on the seed and the label. */
 export function createRandom(seed: number, label = ''): RandomSource {
   const generator = xoroshiro128plus((seed ^ hashToNumber(label)) | 0);
   const uniform = (): number => uniformFloat64(generator);
--- a/src/runtime/real-runtime.ts
+++ b/src/runtime/real-runtime.ts
@@ -1,4 +1,4 @@
-/** The real surroundings of a process: the machine's clocks, timers and standard output. */
+/** The runtime of a real process: system clocks, timers and standard output. */
 import './enable-roarr.js';
 import { randomInt } from 'node:crypto';
 import { writeSync } from 'node:fs';
@@ -8,28 +8,28 @@
 import { createRandom } from './random.js';
 import type { LogFields, LogFunction, LogLevel, Runtime } from './runtime.js';
 
-/** Settings of the real surroundings. */
+/** Options of `createRealRuntime`. */
 export interface RealRuntimeOptions {
-  /** Seed of the random numbers; by default one from the machine. */
+  /** Seed of the random numbers; random by default. */
   readonly seed?: number;
-  /** Fields of every log line. */
+  /** Fields added to every log line. */
   readonly fields?: LogFields;
-  /** Least severity written. @default 'info' */
+  /** Lowest level that is written. @default 'info' */
   readonly logLevel?: LogLevel;
 }
 
 const STANDARD_OUTPUT = 1;
 const SEED_LIMIT = 2 ** 31;
 
-/** Time for which log lines are gathered for one write, in milliseconds: longer saves wake-ups, and a crash may lose that much. */
+/** Time for which log lines are collected for one write, in milliseconds. A crash loses the lines collected. */
 const FLUSH_DELAY_MILLISECONDS = 250;
 
-/** Writes the last lines before the process ends. */
+/** Writes the queued lines synchronously, when the process exits. */
 function writeFinalLines(bytes: Buffer): void {
   try {
     writeSync(STANDARD_OUTPUT, bytes);
   } catch {
-    // Nobody reads, and there is no later moment in which to say so.
+    // The reader has gone, and the process exits: the error cannot be reported.
   }
 }
 
@@ -41,10 +41,10 @@
   return writer;
 }
 
-/** One for all logs of the process. */
+/** Shared by all loggers of the process. */
 let standardOutput: BoundedWriter | undefined;
 
-/** A logger that writes JSON lines by `roarr`. */
+/** Creates a logger that writes JSON lines to standard output with `roarr`. */
 export function createLog(fields: LogFields, minimumLevel: LogLevel): LogFunction {
   standardOutput ??= openStandardOutput();
   const writer = standardOutput;
@@ -57,7 +57,7 @@
   };
 }
 
-/** Makes the real surroundings. */
+/** Creates the runtime of this process. */
 export function createRealRuntime(options: RealRuntimeOptions = {}): Runtime {
   return {
     now: () => performance.now(),
--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -1,23 +1,22 @@
-/** What the core may ask of its surroundings: time, timers, random numbers and a log. */
+/** Interface between the core and its environment: clocks, timers, random numbers and the log. */
 import type { RandomSource } from './random.js';
 
-/** Stops a timer; calling it twice does nothing. */
+/** Cancels a timer; further calls have no effect. */
 export type CancelTimer = () => void;
 
-/** Severity of a log line. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** Values allowed as fields of a log line. */
+/** Context fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | null>>;
 
-/** Writes one structured line. */
+/** Writes one structured log line. */
 export type LogFunction = (level: LogLevel, message: string, fields?: LogFields) => void;
 
-/** The surroundings of one node. The real one and the simulated one are interchangeable. */
+/** Environment of one node, either that of the process (`createRealRuntime`) or a simulated one. */
 export interface Runtime {
-  /** Milliseconds on a clock that never goes back; its origin means nothing. */
+  /** Milliseconds on a monotonic clock with an arbitrary origin. */
   now(): number;
-  /** Milliseconds since 1970; may jump either way, used for display and expiry dates only. */
+  /** Wall time in milliseconds since 1970; may jump, so it is used only for display and expiry dates. */
   wallTime(): number;
   /** Calls back once after a delay in milliseconds. */
   setTimer(delayMilliseconds: number, callback: () => void): CancelTimer;
@@ -25,7 +24,7 @@
   readonly log: LogFunction;
 }
 
-/** Calls back again and again until cancelled; the first call comes after one period. */
+/** Calls back once every period until cancelled; the first call comes after one period. */
 export function setRepeatingTimer(
   runtime: Runtime,
   periodMilliseconds: number,
--- a/src/runtime/sync-folder.ts
+++ b/src/runtime/sync-folder.ts
@@ -1,11 +1,11 @@
 /**
- * Makes names of files last. The content of a file outlasts a loss of power once the file is synced, its
- * name once its folder is: a disk may keep the one and lose the other.
+ * Makes directory entries durable. Syncing a file makes its content durable, but its name survives a
+ * power failure only once its folder is synced.
  */
 import { mkdir, open } from 'node:fs/promises';
 import { dirname } from 'node:path';
 
-/** Makes the names in a folder last as they are now. Rejects when the disk refuses. */
+/** Syncs a folder, which makes its entries durable. Rejects when the folder cannot be opened or synced. */
 export async function syncFolder(folder: string): Promise<void> {
   const handle = await open(folder, 'r');
   try {
@@ -15,7 +15,7 @@
   }
 }
 
-/** Makes a folder, and those above it, that are missing; resolves when all their names last. */
+/** Creates a folder and its missing parents; resolves once the entries of all of them are durable. */
 export async function createDurableFolder(path: string): Promise<void> {
   const topmost = (await mkdir(path, { recursive: true })) ?? path;
   let current = path;
