--- a/src/model/call.ts
+++ b/src/model/call.ts
@@ -1,49 +1,49 @@
-/** One call of a program: what its caller asks and what comes back. */
+/** Types of a call: its request, its events and its answer. */
 import type { CallId, GroupName, ProgramId, ServiceName } from './identifiers.js';
 import type { ChatMessage } from './chat.js';
 import type { CallError } from './verdict.js';
 
-/** Urgency of a call: urgent before interactive before batch. */
+/** Scheduling class of a call; urgent precedes interactive, interactive precedes batch. */
 export type CallClass = 'urgent' | 'interactive' | 'batch';
 
-/** Every class, most urgent first; the order is that of the wire format. */
+/** All classes, most urgent first, in the order of the wire format. */
 export const CALL_CLASSES: readonly CallClass[] = ['urgent', 'interactive', 'batch'];
 
-/** A call as its owner receives it, checked and authenticated. */
+/** A validated and authenticated call, as the shard owner receives it. */
 export interface CallRequest {
   readonly call: CallId;
   readonly program: ProgramId;
   readonly group: GroupName;
   readonly service: ServiceName;
   readonly callClass: CallClass;
-  /** Place in the program's order, from 1; 0 takes the next one. */
+  /** Sequence number in the program, from 1; 0 takes the next one. */
   readonly sequence: number;
-  /** Empty when the caller gave none. */
+  /** Empty when the caller set none. */
   readonly idempotencyKey: string;
-  /** False for a request that may run at most once, such as posting an order. */
+  /** False for a request that must run at most once, such as a payment. */
   readonly repeatable: boolean;
-  /** New messages only; the owner holds the history. Empty for a tool call. */
+  /** New messages only; the shard owner holds the history. Empty for a tool call. */
   readonly messages: readonly ChatMessage[];
   /** Body of a tool call; empty for a chat call. */
   readonly payload: string;
-  /** Most tokens the answer may have. */
+  /** Upper bound of the tokens of the answer. */
   readonly maximumTokens: number;
-  /** Milliseconds the caller is willing to wait from now. */
+  /** Time for which the caller waits, from the receipt of the request. */
   readonly timeoutMilliseconds: number;
   /** True when the program ends with this call's answer. */
   readonly endsProgram: boolean;
-  /** Text the caller has already been sent by an owner that was lost. */
+  /** Text that the caller received from a previous shard owner, which has failed. */
   readonly receivedText: string;
 }
 
-/** Tokens a call used, as the back end counted them. */
+/** Tokens used by a call, as counted by the back end. */
 export interface Usage {
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly completionTokens: number;
 }
 
-/** The whole answer of a call. */
+/** The complete answer of a call. */
 export interface Answer {
   readonly call: CallId;
   readonly sequence: number;
@@ -51,7 +51,7 @@
   readonly usage: Usage;
 }
 
-/** What a caller hears of its call, in order: pieces, then exactly one end. */
+/** Events of a call: any number of pieces, then exactly one `answered` or `failed`. */
 export type CallEvent =
   | { readonly type: 'piece'; readonly offset: number; readonly text: string }
   | { readonly type: 'answered'; readonly answer: Answer }
@@ -60,5 +60,5 @@
 /** Receives the events of one call. */
 export type CallListener = (event: CallEvent) => void;
 
-/** Usage of a call that reached no back end. */
+/** Usage of a call that did not reach a back end. */
 export const NO_USAGE: Usage = { promptTokens: 0, cachedTokens: 0, completionTokens: 0 };
--- a/src/model/chat.ts
+++ b/src/model/chat.ts
@@ -1,18 +1,18 @@
-/** Chat messages, the unit of a program's history, and the digests that chain them. */
+/** Chat messages of a program's history, their token estimates and their hash chain. */
 import { hashText } from '../runtime/hashing.js';
 
-/** Who wrote a message, as in the OpenAI chat format. */
+/** Author of a message, as in the OpenAI chat format. */
 export type ChatRole = 'system' | 'user' | 'assistant' | 'tool';
 
-/** One message of a conversation. Never changed after it is made. */
+/** One message of a conversation. Immutable, since its digest is cached by identity. */
 export interface ChatMessage {
   readonly role: ChatRole;
   readonly content: string;
 }
 
-/** Characters counted as one token; an estimate good enough for cost and limits. */
+/** Estimate used for costs and limits. */
 export const CHARACTERS_PER_TOKEN = 4;
-/** Tokens a message costs beside its content (role markers). */
+/** Tokens of a message besides its content, such as role markers. */
 export const TOKENS_PER_MESSAGE = 4;
 /** Digest of the empty history. */
 export const EMPTY_HISTORY_DIGEST = '0000000000000000';
@@ -48,12 +48,12 @@
   return digest;
 }
 
-/** Next link of the history's hash chain: depends on every message before it. */
+/** Appends a message to the hash chain of a history; the digest depends on all messages before it. */
 export function chainDigest(previous: string, message: ChatMessage): string {
   return hashText(`${previous}:${digestOfMessage(message)}`);
 }
 
-/** Digest of a whole conversation, from the empty history. */
+/** Digest of a conversation, chained from `EMPTY_HISTORY_DIGEST`. */
 export function digestConversation(messages: readonly ChatMessage[]): string {
   return messages.reduce(chainDigest, EMPTY_HISTORY_DIGEST);
 }
--- a/src/model/verdict.ts
+++ b/src/model/verdict.ts
@@ -1,9 +1,9 @@
-/** Errors of calls: a tagged union, each carrying a verdict on whether the request may have run. */
+/** Errors of calls. Each has a tag and a verdict that says whether the request may have run. */
 
-/** Whether the refused or failed request may have reached a back end. */
+/** Whether a refused or failed request may have reached a back end. */
 export type Verdict = 'NotRun' | 'MayHaveRun' | 'Ran';
 
-/** Every reason for which a call or a command can end without its answer. */
+/** Reasons for which a call or a command ends without an answer. */
 export type CallErrorTag =
   | 'Malformed'
   | 'Unauthorised'
@@ -19,17 +19,17 @@
   | 'DeadlinePassed'
   | 'Stopped';
 
-/** A call's failure, as callers and checkers see it. */
+/** The failure of a call or a command. */
 export interface CallError {
   readonly tag: CallErrorTag;
   readonly verdict: Verdict;
-  /** One sentence for people: what happened and what to do. */
+  /** Human-readable sentence: what happened and what to do. */
   readonly detail: string;
-  /** Seconds after which a new try makes sense; 0 when none does. */
+  /** Seconds after which to retry; 0 when a retry is pointless. */
   readonly retryAfterSeconds: number;
 }
 
-/** Every tag, in the order of the wire format; append only. */
+/** All tags in the order of the wire format; append only. */
 export const CALL_ERROR_TAGS: readonly CallErrorTag[] = [
   'Malformed',
   'Unauthorised',
@@ -46,7 +46,7 @@
   'Stopped',
 ];
 
-/** Every verdict, in the order of the wire format; append only. */
+/** All verdicts in the order of the wire format; append only. */
 export const VERDICTS: readonly Verdict[] = ['NotRun', 'MayHaveRun', 'Ran'];
 
 const HTTP_STATUS: Readonly<Record<CallErrorTag, number>> = {
@@ -65,17 +65,17 @@
   Stopped: 409,
 };
 
-/** HTTP status of an error, by its tag. */
+/** HTTP status with which an error is reported. */
 export function httpStatusOf(error: CallError): number {
   return HTTP_STATUS[error.tag];
 }
 
-/** A refusal of something that provably never reached a back end. */
+/** Creates an error for a request that certainly did not reach a back end. */
 export function notRun(tag: CallErrorTag, detail: string, retryAfterSeconds = 0): CallError {
   return { tag, verdict: 'NotRun', detail, retryAfterSeconds };
 }
 
-/** A failure after which nobody can tell whether the request ran. */
+/** Creates an error for a request of which it is unknown whether it ran. */
 export function mayHaveRun(tag: CallErrorTag, detail: string): CallError {
   return { tag, verdict: 'MayHaveRun', detail, retryAfterSeconds: 0 };
 }
