--- a/src/types/restructure.d.ts
+++ b/src/types/restructure.d.ts
@@ -1,6 +1,6 @@
-/** Types of the parts of `restructure` 3 in use here; the package ships none. */
+/** Types for the part of `restructure` 3 that this project uses; the package ships none. */
 declare module 'restructure' {
-  /** Where decoding stands. */
+  /** A buffer with the position of the next read. */
   export class DecodeStream {
     constructor(buffer: Uint8Array);
     readonly buffer: Uint8Array;
@@ -13,7 +13,7 @@
     readDoubleBE(): number;
   }
 
-  /** Where encoding stands. */
+  /** A buffer with the position of the next write. */
   export class EncodeStream {
     constructor(buffer: Uint8Array);
     readonly buffer: Uint8Array;
@@ -25,7 +25,7 @@
     writeDoubleBE(value: number): void;
   }
 
-  /** Anything that can be encoded and decoded. */
+  /** A codec of one value. */
   export interface Field {
     decode(stream: DecodeStream, parent?: unknown): unknown;
     encode(stream: EncodeStream, value: unknown, parent?: unknown): void;
