--- a/src/commands/bench-commands.ts
+++ b/src/commands/bench-commands.ts
@@ -1,4 +1,4 @@
-/** The commands of the bench. */
+/** Commands of `ivyloom-bench`. */
 import { runChaos } from '../bench/chaos.js';
 import { DEPLOYMENTS } from '../bench/deployments.js';
 import type { Deployment } from '../bench/deployments.js';
@@ -15,7 +15,7 @@
 import { POLICY_NAMES } from '../scheduling/create-policy.js';
 import type { PolicyName } from '../scheduling/create-policy.js';
 
-/** Flags of the bench, as its help describes them. */
+/** Flags of `ivyloom-bench`; its help describes them. */
 export interface BenchFlags {
   readonly once: boolean;
   readonly deployment: string;
@@ -29,22 +29,22 @@
   readonly calls: number;
   readonly nodes: string;
   readonly minutes: number;
-  /** Replicas of turn histories; 0 leaves it to the seeds. */
+  /** Replicas in turn histories; 0 lets the seed decide. */
   readonly replicas: number;
-  /** Replicas of turn histories that the record is to name; 0 stands for all. */
+  /** Members among the replicas in turn histories; 0 makes all replicas members. */
   readonly members: number;
-  /** Replicas of turn histories that are lost at once. */
+  /** Replicas lost at the same time in turn histories. */
   readonly losses: number;
-  /** Milliseconds that a synced write takes in turn histories. */
+  /** Duration of a synced write in turn histories, in milliseconds. */
   readonly write: number;
-  /** Milliseconds after its start from which on a replica that replaces another counts. */
+  /** Time after its start after which a replacement replica counts, in milliseconds. */
   readonly catchUp: number;
-  /** Gateways of configuration histories. */
+  /** Gateways in configuration histories. */
   readonly gateways: number;
   readonly json: boolean;
 }
 
-/** Replicas and members of a day where none are named. */
+/** Replicas and members of a power-loss day when the flags are 0. */
 const DEFAULT_DAY_REPLICAS = 8;
 const DEFAULT_DAY_MEMBERS = 5;
 
@@ -105,7 +105,7 @@
   readonly last: number;
 }
 
-/** Reads `A..B`; undefined, with a complaint, when the text is no range. */
+/** Parses `A..B`; reports a usage error and returns undefined when the text is not a range. */
 function parseSeeds(text: string): SeedRange | undefined {
   const range = SEED_RANGE.exec(text);
   if (range === null) {
@@ -204,7 +204,7 @@
   return sizes.map((nodes) => measureScale({ nodes, seed: flags.seed }));
 }
 
-/** Runs one command; resolves with the exit code. */
+/** Runs a command; resolves with the exit code. */
 export async function runBenchCommand(
   input: readonly string[],
   flags: BenchFlags,
--- a/src/commands/client.ts
+++ b/src/commands/client.ts
@@ -1,4 +1,4 @@
-/** What the operators' client does: asks, prints, and says by its exit code how it went. */
+/** The operators' client: sends statements to a node, prints the answers and returns an exit code. */
 import { createInterface } from 'node:readline';
 import { setTimeout as wait } from 'node:timers/promises';
 import Table from 'cli-table3';
@@ -16,14 +16,14 @@
   notInForce: 5,
 } as const;
 
-/** What the client is run with. */
+/** Options of the client. */
 export interface ClientOptions {
   readonly url: string;
   readonly key: string;
   readonly json: boolean;
-  /** Seconds between runs of the same statement. */
+  /** Interval at which the statement is repeated; undefined runs it once. */
   readonly watchSeconds?: number;
-  /** Most runs of a watched statement. @default Infinity */
+  /** Upper bound of the runs of a repeated statement. @default Infinity */
   readonly limitRuns?: number;
 }
 
@@ -155,7 +155,7 @@
   return exitCode;
 }
 
-/** Runs the client; resolves with its exit code. */
+/** Runs a statement, or those read from standard input if it is empty; resolves with the exit code. */
 export async function runClient(statement: string, options: ClientOptions): Promise<number> {
   if (statement === '') {
     return readStatements(options);
--- a/src/commands/ivyloom-bench.ts
+++ b/src/commands/ivyloom-bench.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The bench: a local cluster, emulators, experiments and proofs. */
+/** The command `ivyloom-bench`: a local cluster, experiments, fault histories and measurements. */
 import '../runtime/prepared-hashing.js';
 import meow from 'meow';
 import { DEFAULT_CATCH_UP_MILLISECONDS } from '../turns/membership-timings.js';
@@ -74,5 +74,5 @@
   },
 );
 
-// The emulators keep timers and sockets of their own; the command's end is the process's end.
+// Emulators leave timers and sockets open, which would keep the process alive.
 process.exit(await runBenchCommand(cli.input, cli.flags));
--- a/src/commands/ivyloom.ts
+++ b/src/commands/ivyloom.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' client: sends statements to a node and shows what comes back. */
+/** The command `ivyloom`: the operators' client, which also evaluates logs. */
 import '../runtime/prepared-hashing.js';
 import meow from 'meow';
 import { runClient } from './client.js';
@@ -68,14 +68,14 @@
   },
 );
 
-/** Commands on logs; undefined when the words are a statement for a node. */
+/** Runs a command on logs; undefined when the input is a statement for a node. */
 function runLogCommand(): Promise<number> | undefined {
   const [first, second, id] = cli.input;
   const { logs, request, program, node, event } = cli.flags;
   if (first === 'explain' && second === 'request' && id !== undefined) {
     return runExplainRequest(id, logs ?? []);
   }
-  // Without logs, `explain program` asks a node about a program that is under way.
+  // Without logs, `explain program` is a statement: a node explains a running program.
   if (first === 'explain' && second === 'program' && id !== undefined && logs?.length) {
     return runExplainProgram(id, logs);
   }
--- a/src/commands/ivyloomd.ts
+++ b/src/commands/ivyloomd.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon: one on every machine. */
+/** The command `ivyloomd`: the daemon, which runs one node of the scheduler on its machine. */
 import '../runtime/prepared-hashing.js';
 import * as E from 'fp-ts/lib/Either.js';
 import meow from 'meow';
@@ -8,7 +8,6 @@
 import { createRealRuntime } from '../runtime/real-runtime.js';
 import type { LogLevel } from '../runtime/runtime.js';
 
-/** Exit codes of the daemon. */
 const EXIT_BAD_SETTINGS = 2;
 const EXIT_FAILED = 1;
 
--- a/src/commands/log-commands.ts
+++ b/src/commands/log-commands.ts
@@ -10,7 +10,6 @@
 import { lossRows, lossWindows, splitTime, TIME_CAUSES } from '../telemetry/report-losses.js';
 import { EXIT } from './client.js';
 
-/** Width of the windows in which programs are counted, in seconds. */
 const WINDOW_SECONDS = 2;
 
 async function readLines(files: readonly string[], filter: LogFilter): Promise<LogLine[]> {
@@ -33,12 +32,12 @@
   return EXIT.wrong;
 }
 
-/** Explains one request from files of logs, or from standard input; the exit code says how it went. */
+/** Explains one request from log files, or from standard input; resolves with the exit code. */
 export async function runExplainRequest(id: string, files: readonly string[]): Promise<number> {
   try {
     const sentences = explainRequest(await readLines(files, {}), id);
     if (sentences.length === 0) {
-      process.stderr.write(`ivyloom: no line names request ${id}\n`);
+      process.stderr.write(`ivyloom: no log line names request ${id}\n`);
       return EXIT.refused;
     }
     sentences.forEach((sentence) => process.stdout.write(`${sentence}\n`));
@@ -61,18 +60,18 @@
   return tracePrograms(await readLines(files, {}));
 }
 
-/** Splits the time of one program by cause. */
+/** Prints the time of one program by cause; resolves with the exit code. */
 export async function runExplainProgram(id: string, files: readonly string[]): Promise<number> {
   try {
     const program = (await readPrograms(files)).find((one) => one.program === id);
     if (program === undefined) {
-      process.stderr.write(`ivyloom: no line names a program ${id} with a deadline\n`);
+      process.stderr.write(`ivyloom: no log line names a program ${id} with a deadline\n`);
       return EXIT.refused;
     }
     const overrunMilliseconds = Math.round(program.endedAt - program.deadlineAt);
     const totalMilliseconds = Math.round(program.endedAt - program.startedAt);
     process.stdout.write(
-      `${id}: ${program.outcome}, ${totalMilliseconds} ms, ${Math.abs(overrunMilliseconds)} ms ${overrunMilliseconds > 0 ? 'after' : 'before'} its time was over\n`,
+      `${id}: ${program.outcome}, ${totalMilliseconds} ms, ${Math.abs(overrunMilliseconds)} ms ${overrunMilliseconds > 0 ? 'after' : 'before'} its deadline\n`,
     );
     const split = splitTime(program);
     printTable(
@@ -85,7 +84,7 @@
   }
 }
 
-/** Reports where the time of all programs went, by kind and outcome, and when programs were lost. */
+/** Prints mean times by cause, kind and outcome, and counts of late and failed programs by time window. */
 export async function runReportLosses(files: readonly string[]): Promise<number> {
   try {
     const programs = await readPrograms(files);
@@ -114,7 +113,7 @@
   }
 }
 
-/** Prints the lines of files, or of standard input, that match a filter. */
+/** Prints the lines of log files, or of standard input, that match a filter; resolves with the exit code. */
 export async function runLogs(filter: LogFilter, files: readonly string[]): Promise<number> {
   try {
     const lines = await readLines(files, filter);
