--- a/features/logs.feature
+++ b/features/logs.feature
@@ -1,20 +1,20 @@
 Feature: Explaining a request from logs
-  Scenario: What became of a request is told in order, with what decided it
-    Given logs of two nodes, mixed, with a request that failed at one runner and was answered by another
+  Scenario: The handling of a request is explained in order, with the inputs that decided it
+    Given interleaved logs of two nodes, with a request that failed at one runner and was answered by another
     When the request is explained
-    Then the sentences name, in order, the failed try, the belief about its runner and the answer
+    Then the sentences name, in order, the failed attempt, the state of its runner and the answer
 
-  Scenario: A request that no line names
-    Given logs of two nodes, mixed, with a request that failed at one runner and was answered by another
+  Scenario: A request that no log line names
+    Given interleaved logs of two nodes, with a request that failed at one runner and was answered by another
     When another request is explained
-    Then nothing is said
+    Then no sentence is returned
 
-  Scenario: Why a program was kept out is told with the figures that decided it
-    Given a log of a program that was kept out
+  Scenario: A program that was not admitted is explained with the figures that decided it
+    Given a log of a program that was not admitted
     When the request is explained
-    Then the sentence names the wait, what was bearable, who goes before, their age and the pause
+    Then the sentence names the expected wait, the limit, the requests ahead, the age of the load and the retry delay
 
-  Scenario: The time of programs is split by what held them up
+  Scenario: The time of programs is split by cause
     Given logs of a program that was late, one that was in time and one whose last answer was lost
     When the losses are reported
     Then the late program spent these milliseconds
@@ -28,21 +28,21 @@
     And of 3 programs 1 was in time, 1 late and 1 failed
     And any program's parts add up to its time
 
-  Scenario: A reader that stops reading stops nothing
+  Scenario: A stalled reader does not block the writer
     Given a writer whose reader has stopped reading
     When 100000 lines are written
-    Then the bytes that wait are bounded and the dropped lines are counted
-    When the reader reads again
-    Then it is told how many lines were dropped
+    Then the queued bytes are bounded and the dropped lines are counted
+    When the reader resumes reading
+    Then a line reports how many lines were dropped
 
-  Scenario: Lines that come within a moment go out in one write
-    Given a writer that gathers lines
+  Scenario: Lines written within the flush delay go out in one write
+    Given a writer with a flush delay
     When 50 lines are written
     Then nothing is written yet
-    When the moment is over
+    When the flush delay has passed
     Then all 50 lines went out in one write
     When 3 lines are written
-    Then 3 lines are handed over when the process ends
+    Then 3 lines are left to be written when the process exits
 
   Scenario: Every event and metric of the code is documented, and no other
     Then the events and metrics named in the code are those of its reference page
--- a/features/steps/logs.steps.ts
+++ b/features/steps/logs.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about logs: what they explain, and that writing them never blocks. */
+/** Steps about logs: explaining requests and programs from them, and writing them without blocking. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -40,7 +40,7 @@
 }
 
 Given(
-  'logs of two nodes, mixed, with a request that failed at one runner and was answered by another',
+  'interleaved logs of two nodes, with a request that failed at one runner and was answered by another',
   function (this: World) {
     const end = { request: 'q1', outcome: 'answered', status: 200, runner: 'b', tries: 2 };
     const texts = [
@@ -65,7 +65,7 @@
   },
 );
 
-Given('a log of a program that was kept out', function (this: World) {
+Given('a log of a program that was not admitted', function (this: World) {
   const load = { ahead: 300, moreUrgent: 40, slots: 204, age: 120 };
   const time = { wait: 141, bearable: 97, left: 2_700, turns: 7, pause: 88 };
   const fields = { request: 'q1', cause: 'unbearable', ...load, ...time };
@@ -74,7 +74,7 @@
 });
 
 Then(
-  'the sentence names the wait, what was bearable, who goes before, their age and the pause',
+  'the sentence names the expected wait, the limit, the requests ahead, the age of the load and the retry delay',
   function (this: World) {
     const [sentence, ...others] = this.sentences!;
     assert.deepEqual(others, []);
@@ -92,7 +92,7 @@
 });
 
 Then(
-  'the sentences name, in order, the failed try, the belief about its runner and the answer',
+  'the sentences name, in order, the failed attempt, the state of its runner and the answer',
   function (this: World) {
     assert.equal(this.sentences!.length, 3);
     assert.match(this.sentences![0]!, /n1: try 1 at runner a ended .* as NeverSent/);
@@ -101,7 +101,7 @@
   },
 );
 
-Then('nothing is said', function (this: World) {
+Then('no sentence is returned', function (this: World) {
   assert.deepEqual(this.sentences, []);
 });
 
@@ -130,7 +130,7 @@
   }
 });
 
-Given('a writer that gathers lines', function (this: World) {
+Given('a writer with a flush delay', function (this: World) {
   this.written = [];
   this.pending = [];
   this.writer = new BoundedWriter(
@@ -146,7 +146,7 @@
   assert.deepEqual(this.written, []);
 });
 
-When('the moment is over', function (this: World) {
+When('the flush delay has passed', function (this: World) {
   this.pending!.splice(0).forEach((writeNow) => writeNow());
 });
 
@@ -155,17 +155,20 @@
   assert.equal(this.written![0]!.trim().split('\n').length, count);
 });
 
-Then('{int} lines are handed over when the process ends', function (this: World, count: number) {
-  assert.equal(this.writer!.takeQueued().toString().trim().split('\n').length, count);
-});
+Then(
+  '{int} lines are left to be written when the process exits',
+  function (this: World, count: number) {
+    assert.equal(this.writer!.takeQueued().toString().trim().split('\n').length, count);
+  },
+);
 
-Then('the bytes that wait are bounded and the dropped lines are counted', function (this: World) {
+Then('the queued bytes are bounded and the dropped lines are counted', function (this: World) {
   const maximumQueuedLines = Math.ceil(MAXIMUM_QUEUED_BYTES / 90);
   assert.ok(this.writer!.droppedLines >= 100_000 - maximumQueuedLines);
   assert.equal(this.pending!.length, 1);
 });
 
-When('the reader reads again', async function (this: World) {
+When('the reader resumes reading', async function (this: World) {
   this.stopped = false;
   this.pending!.forEach((finish) => finish());
   for (let check = 0; check < 200 && !this.written!.join('').includes('dropped'); check += 1) {
@@ -173,14 +176,14 @@
   }
 });
 
-Then('it is told how many lines were dropped', function (this: World) {
+Then('a line reports how many lines were dropped', function (this: World) {
   const dropReport = this.written!.join('')
     .split('\n')
     .find((text) => text.includes('dropped'));
   assert.equal((JSON.parse(dropReport!) as { dropped: number }).dropped, this.writer!.droppedLines);
 });
 
-/** All matches of a pattern's first group in the sources under some folders. */
+/** The first groups of all matches of a pattern in the TypeScript sources under the folders. */
 function collectNames(folders: readonly string[], pattern: RegExp): Set<string> {
   const names = new Set<string>();
   for (const folder of folders) {
@@ -204,7 +207,7 @@
   assert.deepEqual(listed(/^\| `(ivyloom_[a-z_]+)`/gm), metrics);
 });
 
-/** The end of a request that came at one time and ended at another, in milliseconds. */
+/** Log line of the end of a request, with its times of arrival and end in milliseconds. */
 function createEndText(
   program: string,
   from: number,
@@ -224,7 +227,7 @@
     const refusal = { outcome: 'refused', status: 503, beforeDispatch: -1, firstByte: -1 };
     const texts = [
       createEndText('late', 0, 200, turn),
-      // Two calls at a time: the program waits for the longer one.
+      // Two concurrent calls: the program waits for the longer one.
       createEndText('late', 250, 300, {}),
       createEndText('late', 250, 500, {}),
       createEndText('late', 570, 600, refusal),
@@ -233,7 +236,7 @@
       createEndText('lost', 100, 300, { outcome: 'left', status: undefined }),
     ];
     this.lines = texts.flatMap((text) => parseLogLine(text) ?? []);
-    // The refusal came back as an answer of no length, so that the program ends late and not refused.
+    // A last answer of no duration follows the refusal, so that the program counts as late, not as failed.
     this.lines.push(parseLogLine(createEndText('late', 600, 600, {}))!);
   },
 );
