--- a/src/commands/client.ts
+++ b/src/commands/client.ts
@@ -21,7 +21,7 @@
   readonly url: string;
   readonly key: string;
   readonly json: boolean;
-  /** Interval at which the statement is repeated; undefined runs it once. */
+  /** Pause between runs of the statement, in seconds; undefined runs it once. */
   readonly watchSeconds?: number;
   /** Upper bound of the runs of a repeated statement. @default Infinity */
   readonly limitRuns?: number;
--- a/src/platform/back-end-port.ts
+++ b/src/platform/back-end-port.ts
@@ -41,7 +41,7 @@
 /** Cancels a request; its listener receives no further events. */
 export type CancelRequest = () => void;
 
-/** Load and cache state that a back end reports; at least a second old. */
+/** Load and cache state that a back end reports; lags by a second or more. */
 export interface BackEndReport {
   readonly running: number;
   readonly waiting: number;
--- a/src/telemetry/bounded-writer.ts
+++ b/src/telemetry/bounded-writer.ts
@@ -5,7 +5,7 @@
  */
 import { write } from 'node:fs';
 
-/** Size of the queue; beyond it lines are dropped, so that a stalled reader does not block the process. */
+/** Capacity of the queue; beyond it lines are dropped, so that a stalled reader does not block the process. */
 export const MAXIMUM_QUEUED_BYTES = 1024 * 1024;
 const MAXIMUM_BATCH_BYTES = 64 * 1024;
 
