--- a/src/commands/log-commands.ts
+++ b/src/commands/log-commands.ts
@@ -37,7 +37,7 @@
   try {
     const sentences = explainRequest(await readLines(files, {}), id);
     if (sentences.length === 0) {
-      process.stderr.write(`ivyloom: no log line names request ${id}\n`);
+      process.stderr.write(`ivyloom: no line names request ${id}\n`);
       return EXIT.refused;
     }
     sentences.forEach((sentence) => process.stdout.write(`${sentence}\n`));
@@ -65,13 +65,13 @@
   try {
     const program = (await readPrograms(files)).find((one) => one.program === id);
     if (program === undefined) {
-      process.stderr.write(`ivyloom: no log line names a program ${id} with a deadline\n`);
+      process.stderr.write(`ivyloom: no line names a program ${id} with a deadline\n`);
       return EXIT.refused;
     }
     const overrunMilliseconds = Math.round(program.endedAt - program.deadlineAt);
     const totalMilliseconds = Math.round(program.endedAt - program.startedAt);
     process.stdout.write(
-      `${id}: ${program.outcome}, ${totalMilliseconds} ms, ${Math.abs(overrunMilliseconds)} ms ${overrunMilliseconds > 0 ? 'after' : 'before'} its deadline\n`,
+      `${id}: ${program.outcome}, ${totalMilliseconds} ms, ${Math.abs(overrunMilliseconds)} ms ${overrunMilliseconds > 0 ? 'after' : 'before'} its time was over\n`,
     );
     const split = splitTime(program);
     printTable(
--- a/src/telemetry/explain-request.ts
+++ b/src/telemetry/explain-request.ts
@@ -10,7 +10,7 @@
   const at = `${line.node}:`;
   switch (line.event) {
     case 'relay.refused':
-      return `${at} refused at ingress with ${fieldText(line, 'status')}, because ${fieldText(line, 'reason')}; configuration version ${fieldText(line, 'version')}, host ${fieldText(line, 'host')}, path ${fieldText(line, 'path')}.`;
+      return `${at} refused at the door with ${fieldText(line, 'status')}, because ${fieldText(line, 'reason')}; configuration version ${fieldText(line, 'version')}, host ${fieldText(line, 'host')}, path ${fieldText(line, 'path')}.`;
     case 'relay.try':
       return `${at} try ${fieldText(line, 'tries')} at runner ${fieldText(line, 'runner')} ended after ${fieldText(line, 'age')} ms as ${fieldText(line, 'tag')} (${fieldText(line, 'detail')}); ${fieldText(line, 'inFlight')} other requests of this gateway were there.`;
     case 'relay.admission':
@@ -24,16 +24,16 @@
 
 /** Descriptions of the causes of an admission decision, by the value of the field `cause`. */
 const ADMISSION_CAUSES: ReadonlyMap<string, string> = new Map([
-  ['bearable', 'admitted, since its program tolerates the wait'],
-  ['shown', 'admitted, since its program has run before'],
-  ['unbearable', 'kept out, since its program does not tolerate the wait'],
+  ['bearable', 'let in, since its program can bear the wait'],
+  ['shown', 'let in, since its program has run before'],
+  ['unbearable', 'kept out, since its program cannot bear the wait'],
 ]);
 
 function explainAdmission(line: LogLine, at: string): string {
   const cause = ADMISSION_CAUSES.get(fieldText(line, 'cause')) ?? fieldText(line, 'cause');
-  const wait = `expected wait ${fieldText(line, 'wait')} ms a turn, ${fieldText(line, 'bearable')} bearable with ${fieldText(line, 'left')} ms left for ${fieldText(line, 'turns')} turns`;
-  const load = `${fieldText(line, 'ahead')} requests ahead of it at ${fieldText(line, 'slots')} places, ${fieldText(line, 'moreUrgent')} of them more urgent, from load reports ${fieldText(line, 'age')} ms old`;
-  return `${at} ${cause}: ${wait}; ${load}; retry delay ${fieldText(line, 'pause')} ms.`;
+  const wait = `${fieldText(line, 'wait')} ms a turn expected, ${fieldText(line, 'bearable')} bearable with ${fieldText(line, 'left')} ms left for ${fieldText(line, 'turns')} turns`;
+  const load = `${fieldText(line, 'ahead')} requests go before it at ${fieldText(line, 'slots')} places, ${fieldText(line, 'moreUrgent')} of them more urgent, by loads ${fieldText(line, 'age')} ms old`;
+  return `${at} ${cause}: ${wait}; ${load}; pause told ${fieldText(line, 'pause')} ms.`;
 }
 
 function explainEnd(line: LogLine, at: string): string {
@@ -44,9 +44,9 @@
     case 'refused':
       return `${at} refused with ${fieldText(line, 'status')} (${fieldText(line, 'verdict')}) ${spent}, because ${fieldText(line, 'reason')}.`;
     case 'left':
-      return `${at} the client disconnected ${spent}.`;
+      return `${at} its client left ${spent}.`;
     default:
-      return `${at} aborted ${spent}, because ${fieldText(line, 'reason')}.`;
+      return `${at} broken off ${spent}, because ${fieldText(line, 'reason')}.`;
   }
 }
 
