--- a/soak/cost/cost-load.ts
+++ b/soak/cost/cost-load.ts
@@ -1,40 +1,40 @@
-/** Sends programs' turns to one gateway at an even rate. */
+/** Load generator of the cost measurement: sends turns of programs to one gateway at a constant rate. */
 import { Agent, request as httpRequest } from 'node:http';
 import { PLATFORM_HEADER_NAMES as NAMES } from '../../platform/header-names.js';
 import type { Runtime } from '../../src/runtime/runtime.js';
 import { SOAK_PORTS } from '../platform-process.js';
 import { SOAK_EVENTS, SOAK_HOST, SOAK_KEY, SOAK_TOKENS_PER_EVENT } from '../soak-client.js';
 
-/** What a load is made with. */
+/** Options of a load. */
 export interface CostLoadOptions {
   readonly runtime: Runtime;
   readonly host: string;
-  /** Tells loads of one world apart. */
+  /** Prefix of the program ids, unique per load. */
   readonly name: string;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
   readonly seconds: number;
 }
 
-/** What came of a load. */
+/** Result of a load. */
 export interface CostLoadCounts {
   readonly sent: number;
-  /** Answered whole, with 200. */
+  /** Requests with a complete 200 response. */
   readonly answered: number;
 }
 
 const MILLISECONDS_IN_SECOND = 1_000;
 const TIMEOUT_MILLISECONDS = 3_000;
-/** Turns of one program. */
+/** Turns per program. */
 const TURNS = 5;
 const TURN_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
 const PROMPT_BYTES = 2_000;
 const OK = 200;
 
-/** Programs of five turns. A turn goes to a program whose last one was answered; where there is none, one begins. */
+/** Sends each turn to a program whose last turn was answered, or to a new program if there is none. */
 class CostLoad {
   private readonly agent = new Agent({ keepAlive: true });
-  /** Programs whose last turn was answered: their names and turns so far. */
+  /** Programs whose last turn was answered, with the number of turns so far. */
   private readonly waiting: { readonly program: string; readonly turns: number }[] = [];
   private programs = 0;
   sent = 0;
@@ -90,7 +90,7 @@
   }
 }
 
-/** Sends for some seconds; resolves when all are answered. */
+/** Sends requests for `seconds` seconds; resolves when all have ended. */
 export async function sendCostLoad(options: CostLoadOptions): Promise<CostLoadCounts> {
   const load = new CostLoad(options);
   const { runtime, rate, seconds } = options;
--- a/soak/cost/cost-world.ts
+++ b/soak/cost/cost-world.ts
@@ -1,4 +1,4 @@
-/** What costs are measured in: one gateway and three replicas as processes, hollow gateways, one runner, the store. */
+/** The deployment for cost measurements: one gateway, three replicas, hollow gateways, emulated runners, the store. */
 import { mkdirSync, mkdtempSync, rmSync } from 'node:fs';
 import { request as httpRequest } from 'node:http';
 import { tmpdir } from 'node:os';
@@ -17,14 +17,14 @@
 import { startHollowGateways } from './hollow-gateways.js';
 import type { HollowPlace } from './hollow-gateways.js';
 
-/** What the world is made with. */
+/** Options of the deployment. */
 export interface CostWorldOptions {
   readonly runtime: Runtime;
-  /** Path of the bundle that is measured. */
+  /** Path of the program that is measured. */
   readonly program: string;
-  /** Gateways that are known, the measured one among them. */
+  /** Number of gateways, including the measured one. */
   readonly gatewayCount: number;
-  /** Block of its addresses, see `SoakHosts`. */
+  /** Block of loopback addresses, see `SoakHosts`. */
   readonly block: number;
 }
 
@@ -37,7 +37,7 @@
 /** Pause before each event of a stream, in milliseconds. */
 const EVENT_MILLISECONDS = 8;
 const CONFIGURATION_SEED = 7;
-/** The configuration is the first thing in the store. */
+/** The configuration is the first entry written to the store. */
 const CONFIGURATION_REVISION = 1;
 const READY_LOOK_MILLISECONDS = 20;
 const OK = 200;
@@ -46,7 +46,7 @@
   return `z${((number - 1) % ZONES) + 1}`;
 }
 
-/** See the head of this file. */
+/** Starts and stops the processes and servers of a cost measurement. */
 export class CostWorld {
   readonly replicas: PlatformProcess[] = [];
   private readonly hosts: SoakHosts;
@@ -67,7 +67,7 @@
     return this.gateway.machine.host;
   }
 
-  /** Starts everything but the measured gateway. */
+  /** Starts everything except the measured gateway. */
   async startSurroundings(): Promise<void> {
     await this.store.listen(this.hosts.of('store', 1), STORE_PORT);
     const configuration = new SoakConfiguration(createRandom(CONFIGURATION_SEED));
@@ -83,7 +83,7 @@
     this.endHollow = this.startOthers();
   }
 
-  /** Starts the measured gateway; resolves when it says that it is ready. */
+  /** Starts the measured gateway; resolves when its readiness endpoint returns 200. */
   async startGateway(): Promise<void> {
     this.gateway.start();
     while (!(await this.isReady())) {
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Ends everything. */
+  /** Stops everything and deletes the data. */
   async stop(): Promise<void> {
     const processes = [this.gateway, ...this.replicas];
     const ended = processes.map((process) => process.ended());
@@ -103,7 +103,7 @@
     rmSync(this.folder, { recursive: true, force: true });
   }
 
-  /** Ends the processes at once. */
+  /** Kills all processes. */
   killAll(): void {
     [this.gateway, ...this.replicas].forEach((process) => process.signal('SIGKILL'));
   }
--- a/soak/cost/hollow-gateways.ts
+++ b/soak/cost/hollow-gateways.ts
@@ -1,4 +1,4 @@
-/** Gateways of which nothing stands but what they tell one another: they let one process know many. */
+/** Simulated peer gateways that only gossip and answer proof requests, so that one real gateway has many peers. */
 import { hashToNumber } from '../../src/runtime/hashing.js';
 import type { StoreProof } from '../../src/mirror/store-freshness.js';
 import { ConfigurationProof } from '../../src/mirror/configuration-proof.js';
@@ -8,30 +8,30 @@
 import { LoadGossip } from '../../src/peers/load-gossip.js';
 import { ProofExchange } from '../../src/peers/proof-exchange.js';
 
-/** What hollow gateways are made with. */
+/** Options of the hollow gateways. */
 export interface HollowGatewayOptions {
   readonly runtime: Runtime;
-  /** Ports of the loads and of the proofs. */
+  /** UDP ports of load gossip and of configuration proofs. */
   readonly ports: { readonly peer: number; readonly proof: number };
-  /** Hosts and zones of the hollow gateways. */
+  /** Host and zone of each hollow gateway. */
   readonly places: readonly HollowPlace[];
   readonly seeds: readonly string[];
-  /** Revision of the store; the first of them tells it as proved. */
+  /** Current revision of the store; the first hollow gateway announces it as proved. */
   readonly revision: () => number;
-  /** Revision of the configuration, which stays what it is. */
+  /** Revision of the configuration, which does not change. */
   readonly configurationRevision: number;
 }
 
 /** Time between two proofs that the configuration is the newest, in milliseconds. */
 const PROOF_MILLISECONDS = 200;
 
-/** Where a hollow gateway stands. */
+/** Host and zone of a hollow gateway. */
 export interface HollowPlace {
   readonly host: string;
   readonly zone: string;
 }
 
-/** Answers those that ask how new the configuration is; returns how to end. */
+/** Answers requests for a proof of the configuration's revision; returns a function that stops it. */
 function answerProofs(options: HollowGatewayOptions): () => void {
   const { runtime, ports, places, configurationRevision } = options;
   const proof = new ConfigurationProof(runtime, () => configurationRevision);
@@ -55,7 +55,7 @@
   };
 }
 
-/** Starts hollow gateways; returns how to end them. */
+/** Starts hollow gateways; returns a function that stops them. */
 export function startHollowGateways(options: HollowGatewayOptions): () => void {
   const { runtime, ports, places, seeds, revision } = options;
   let proofs = 0;
--- a/soak/cost/main.ts
+++ b/soak/cost/main.ts
@@ -1,4 +1,4 @@
-/** `npm run cost`: what a start, an idle gateway and a request cost, paired between builds. */
+/** Command line of the cost measurement (`npm run cost`): compares the processor time of builds. */
 import '../../src/runtime/prepared-hashing.js';
 import meow from 'meow';
 import { createRealRuntime } from '../../src/runtime/real-runtime.js';
@@ -16,16 +16,16 @@
     $ npm run -s cost -- [--against FOLDER] [--runs N] [--gateways G] [--idle S] [--rates A,B,…] [--seconds S]
 
   Measures real processes on loopback: processor time of the gateway and the replicas, in milliseconds.
-  Prints for each figure the median of the runs and the least and the most.
+  Prints for each figure the median, the minimum and the maximum of the runs.
 
   Options
-    --program FOLDER  folder of the build that is measured (default target)
-    --against FOLDER  the same of an earlier build; runs alternate between the two
-    --runs N          runs of each build (default 5)
-    --gateways G      gateways known, all but one hollow (default 16)
-    --idle S          seconds without requests (default 5)
-    --rates A,B       requests a second (default 2,15,100)
-    --seconds S       seconds of each rate (default 5)
+    --program FOLDER  folder of the build to measure (default target)
+    --against FOLDER  folder of a build to compare with; runs alternate between the two
+    --runs N          runs per build (default 5)
+    --gateways G      number of gateways, all but one hollow (default 16)
+    --idle S          seconds of the idle measurement (default 5)
+    --rates A,B       requests per second (default 2,15,100)
+    --seconds S       seconds per rate (default 5)
     --block B         block of loopback addresses, 0 to ${MOST_BLOCKS} (default 40)
 `,
   {
@@ -46,7 +46,9 @@
 const { program, against, runs, gateways: gatewayCount, idle, seconds, block } = cli.flags;
 const rates = cli.flags.rates.split(',').filter(Boolean).map(Number);
 if (![runs, gatewayCount, idle, seconds, ...rates].every((number) => number > 0)) {
-  process.stderr.write('cost: runs, gateways, seconds and rates are positive numbers\n');
+  process.stderr.write(
+    'cost: --runs, --gateways, --idle, --seconds and --rates must be positive numbers\n',
+  );
   process.exit(EXIT_WRONG_USE);
 }
 
--- a/soak/cost/measure-costs.ts
+++ b/soak/cost/measure-costs.ts
@@ -1,4 +1,4 @@
-/** One measurement: the processor time of a start, of an idle minute, and of requests at several rates. */
+/** Measures the processor time of a start, of an idle minute, and of requests at several rates. */
 import type { Runtime } from '../../src/runtime/runtime.js';
 import { sendCostLoad } from './cost-load.js';
 import { CostWorld } from './cost-world.js';
@@ -6,23 +6,23 @@
 import { processorUse, usedBetween } from './processor-time.js';
 import type { ProcessorUse } from './processor-time.js';
 
-/** How long each part of a measurement takes. */
+/** Durations and request rates of a measurement. */
 export interface CostParts {
   readonly idleSeconds: number;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rates: readonly number[];
   readonly secondsOfRate: number;
 }
 
-/** Named figures: milliseconds of processor time, or counts where the name says so. */
+/** Figures by name: processor time in milliseconds, or counts and fractions where the name says so. */
 export type CostFigures = ReadonlyMap<string, number>;
 
 const SECONDS_IN_MINUTE = 60;
-/** Time after which the processes have found one another, in milliseconds. */
+/** Time within which the processes discover one another, in milliseconds. */
 const SETTLE_MILLISECONDS = 3_000;
 const MILLISECONDS_IN_SECOND = 1_000;
 
-/** Readings of the gateway and of all replicas together. */
+/** Processor use of the gateway and the sum over all replicas. */
 interface Reading {
   readonly gateway: ProcessorUse;
   readonly replicas: ProcessorUse;
@@ -83,7 +83,7 @@
   ];
 }
 
-/** Measures one program once in a world of its own. */
+/** Measures one program once in a new deployment; `onWorld` receives it for cleanup on exit. */
 export async function measureCosts(
   options: CostWorldOptions,
   parts: CostParts,
--- a/soak/cost/processor-time.ts
+++ b/soak/cost/processor-time.ts
@@ -1,11 +1,11 @@
-/** Processor time and wake-ups of a process, as the kernel counts them for each of its threads. */
+/** Reads the processor time and wake-ups of a process from the kernel's counters of its threads in /proc. */
 import { readdirSync, readFileSync } from 'node:fs';
 
-/** What a process has used since its start. */
+/** Processor use of a process since its start. */
 export interface ProcessorUse {
-  /** Processor time of all threads that live, in milliseconds. */
+  /** Processor time of all live threads, in milliseconds. */
   readonly milliseconds: number;
-  /** Times that a thread went to sleep of its own accord. */
+  /** Voluntary context switches of all live threads. */
   readonly wakeUps: number;
 }
 
@@ -21,7 +21,7 @@
   };
 }
 
-/** Reads what a process has used. Throws where there is no such process. */
+/** Reads the processor use of a process. Throws if the process does not exist. */
 export function processorUse(processId: number): ProcessorUse {
   const tasks = `/proc/${processId}/task`;
   const uses = readdirSync(tasks).map((thread) => useOfThread(`${tasks}/${thread}`));
@@ -31,7 +31,7 @@
   };
 }
 
-/** What was used between two readings. */
+/** Returns the difference between two readings. */
 export function usedBetween(before: ProcessorUse, after: ProcessorUse): ProcessorUse {
   return {
     milliseconds: after.milliseconds - before.milliseconds,
