--- a/soak/built-program.ts
+++ b/soak/built-program.ts
@@ -1,13 +1,13 @@
-/** The platform's program as a commit of this repository's history has it, built into a folder of its own. */
+/** Builds the platform's program of a given commit of this repository in a temporary folder. */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdtempSync, symlinkSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
 
-/** A commit that this repository doesn't hold, or that can't be built. */
+/** Thrown when a commit is not in this clone or can't be built. */
 export class BuildError extends Error {}
 
-/** Longest listing of a commit's files, in bytes. */
+/** Largest archive of a commit's files, in bytes. */
 const MAXIMUM_ARCHIVE_BYTES = 256 * 1024 * 1024;
 
 function run(step: string, program: string, words: readonly string[], folder: string): void {
@@ -20,7 +20,7 @@
   }
 }
 
-/** The whole name of a commit. Throws where the history that is at hand doesn't reach so far. */
+/** Resolves a commit name to its full hash. Throws `BuildError` when the clone doesn't contain the commit. */
 function commitNamed(name: string): string {
   const words = ['rev-parse', '--verify', '--quiet', `${name}^{commit}`];
   try {
@@ -29,17 +29,17 @@
       stdio: ['ignore', 'pipe', 'ignore'],
     }).trim();
   } catch {
-    throw new BuildError(`no commit ${name} in this clone; is it a shallow one?`);
+    throw new BuildError(`commit ${name} not found in this clone; it may be a shallow clone`);
   }
 }
 
-/** The program of a folder that a build left; earlier builds left a module. */
+/** Returns the path of the program in a build folder: main.cjs, or main.mjs of older builds. */
 export function programIn(folder: string): string {
   const path = resolve(folder, 'main.cjs');
   return existsSync(path) ? path : resolve(folder, 'main.mjs');
 }
 
-/** Builds a commit with the packages that stand here; the path of its program. Throws `BuildError`. */
+/** Builds a commit with the installed packages and returns the path of its program. Throws `BuildError`. */
 export function buildProgram(name: string): string {
   const commit = commitNamed(name);
   const folder = mkdtempSync(join(tmpdir(), `ivyloom-build-${commit.slice(0, 8)}-`));
--- a/soak/configuration-check.ts
+++ b/soak/configuration-check.ts
@@ -1,46 +1,47 @@
 /**
- * Checks from outside that each gateway in touch holds in force what the store has acknowledged: a route
- * that was added is served, one that was dropped is not, within the bound.
+ * Checks from outside that each gateway in contact with the store applies acknowledged configuration changes
+ * within the bound: an added route is served, and a dropped route is not.
  */
 import { request as httpRequest } from 'node:http';
 import { PLATFORM_HEADER_NAMES as NAMES } from '../platform/header-names.js';
 import { SOAK_APPLY_MILLISECONDS, SOAK_PORTS } from './platform-process.js';
 import { SOAK_HOST, SOAK_KEY } from './soak-client.js';
 
-/** Time after a trouble in which a gateway owes nothing, in milliseconds. */
+/** Time after a fault in which a gateway may still be behind, in milliseconds. */
 const CONTACT_MILLISECONDS = 3_000;
 const LOOK_MILLISECONDS = 200;
 const ANSWER_MILLISECONDS = 900;
 const NOT_FOUND = 404;
 const OK = 200;
 
-/** A change that the store took. */
+/** A configuration change that the store acknowledged. */
 interface Acknowledged {
+  /** Time of the acknowledgement by `performance.now()`, in milliseconds. */
   readonly at: number;
   readonly version: number;
   readonly added: string;
-  /** Routes that this version lacks and an earlier one had. */
+  /** Routes of earlier versions that this version lacks. */
   readonly dropped: readonly string[];
 }
 
-/** What the check is made with. */
+/** Dependencies of the configuration check. */
 export interface ConfigurationCheckOptions {
   readonly gatewayHosts: readonly string[];
   readonly violate: (promise: string, detail: string) => void;
 }
 
-/** See the head of this file. */
+/** Polls the routes of all gateways and reports overdue configuration changes. */
 export class ConfigurationCheck {
-  /** Looks at gateways in touch that had something to show. */
+  /** Completed checks of gateways that had a change due and were not excused. */
   looks = 0;
   private readonly changes: Acknowledged[] = [];
-  /** Local time until which a gateway owes nothing, by host. */
+  /** Local time until which a gateway is excused, by host. */
   private readonly excusedUntil = new Map<string, number>();
   private requestCount = 0;
 
   constructor(private readonly options: ConfigurationCheckOptions) {}
 
-  /** Notes a change that the store took at a local time, in milliseconds. */
+  /** Records a change that the store acknowledged at a local time, in milliseconds. */
   acknowledge(
     version: number,
     added: string,
@@ -50,7 +51,7 @@
     this.changes.push({ at, version, added, dropped });
   }
 
-  /** Notes that a trouble begins for gateways; returns how to note its end. */
+  /** Excuses gateways for the duration of a fault; returns a function that ends the fault. */
   excuse(hosts: readonly string[]): () => void {
     hosts.forEach((host) => this.excusedUntil.set(host, Infinity));
     return () => {
@@ -59,7 +60,7 @@
     };
   }
 
-  /** Looks at all gateways until told to stop. */
+  /** Checks all gateways at an interval until `isOver` returns true. */
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
       await Promise.all(this.options.gatewayHosts.map((host) => this.look(host)));
@@ -80,15 +81,19 @@
     this.looks += 1;
     const age = Math.round(performance.now() - owed.at);
     if (added === NOT_FOUND && !this.isDroppedAfter(owed)) {
-      this.violate(`${host} has no route ${owed.added} of version ${owed.version}, ${age} ms old`);
+      this.violate(
+        `gateway ${host} does not serve route ${owed.added}, added by version ${owed.version} ${age} ms ago`,
+      );
     }
     if (dropped === OK) {
       const route = owed.dropped.at(-1)!;
-      this.violate(`${host} serves ${route}, dropped by version ${owed.version}, ${age} ms old`);
+      this.violate(
+        `gateway ${host} still serves route ${route}, dropped by version ${owed.version} ${age} ms ago`,
+      );
     }
   }
 
-  /** Whether a newer change that the store took has dropped the route: who is faster than the bound is right. */
+  /** Whether a newer acknowledged change drops the route; a gateway may apply that change before its bound. */
   private isDroppedAfter({ version, added }: Acknowledged): boolean {
     return this.changes.some(
       (change) => change.version > version && change.dropped.includes(added),
@@ -108,7 +113,7 @@
     return performance.now() >= (this.excusedUntil.get(host) ?? 0);
   }
 
-  /** Status of the answer on a route; 0 when none came. */
+  /** Requests a route; resolves to the response status, or 0 without a response. */
   private statusOf(host: string, route: string): Promise<number> {
     this.requestCount += 1;
     const headers = {
--- a/soak/ended-connections.ts
+++ b/soak/ended-connections.ts
@@ -1,6 +1,7 @@
 /**
- * Connections to replicas that ended over a message that the replica couldn't read. One on which nothing else is
- * sent may end so, and its caller says so in its log; any other ends what others wait for.
+ * Finds connections that a replica closed because it couldn't read a message. A connection opened only to probe
+ * the peer's protocol may end so, and its caller logs the probe; the end of any other connection also fails the
+ * requests of others that are pending on it.
  */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -26,7 +27,10 @@
   return counts;
 }
 
-/** What the logs of a soak's processes, one folder each, tell of such connections beyond those tried. */
+/**
+ * Reads the process logs, one subfolder each, and returns a violation for every replica that closed more
+ * connections than were probes.
+ */
 export function endedConnections(folder: string): string[] {
   const ended = linesOf(folder, 'replica.unreadable').map(({ context }) => context?.node ?? '');
   const forms = linesOf(folder, 'replica.forms');
@@ -34,6 +38,6 @@
   return [...countBy(ended)]
     .filter(([node, count]) => count > (tried.get(node) ?? 0))
     .map(([node, count]) => {
-      return `upgrade: ${node} ended ${count} connections over a message, ${tried.get(node) ?? 0} were tried`;
+      return `upgrade: ${node} closed ${count} connections over unreadable messages, ${tried.get(node) ?? 0} of them probes`;
     });
 }
--- a/soak/fault-proxy.ts
+++ b/soak/fault-proxy.ts
@@ -1,22 +1,22 @@
-/** A TCP relay on loopback that can delay, cut, silence or reset what passes through it. */
+/** A TCP proxy on loopback that can delay or drop bytes and reset connections. */
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 
-/** What the proxy does with bytes. */
+/** Modes of the proxy. */
 export type ProxyMode =
   | 'pass'
-  /** Every chunk waits. */
+  /** Every chunk is delayed by a fixed time. */
   | 'delay'
-  /** Nothing passes either way, and nothing is closed. */
+  /** Bytes are dropped in both directions; connections stay open. */
   | 'silence'
-  /** Requests pass, answers do not. */
+  /** Bytes to the target pass; bytes from it are dropped. */
   | 'oneWay'
-  /** Connections are reset, new ones as well. */
+  /** Existing and new connections are reset. */
   | 'reset';
 
 const DELAY_MILLISECONDS = 150;
 
-/** See the head of this file. */
+/** Forwards TCP connections to one target, subject to the current mode. */
 export class FaultProxy {
   private mode: ProxyMode = 'pass';
   private readonly sockets = new Set<Socket>();
@@ -29,12 +29,12 @@
     this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** Listens; resolves when it does. */
+  /** Starts to listen; resolves once the proxy accepts connections. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve) => this.server.listen(port, host, () => resolve()));
   }
 
-  /** Changes what is done; `reset` breaks what stands. */
+  /** Changes the mode; `reset` also resets the open connections. */
   setMode(mode: ProxyMode): void {
     this.mode = mode;
     if (mode === 'reset') {
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Ends at once. */
+  /** Stops listening and destroys all connections. */
   close(): void {
     this.server.close();
     this.sockets.forEach((socket) => socket.destroy());
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak`: the fault soak from the command line. */
+/** Command line of the fault soak: `npm run soak`. */
 import '../src/runtime/prepared-hashing.js';
 import meow from 'meow';
 import { BuildError, buildProgram } from './built-program.js';
@@ -16,30 +16,30 @@
     $ npm run -s soak -- [--seed N] [--minutes M] [--clients C] [--gateways G] [--replicas R] [--block B] [--faults A,B,…]
 
   Starts gateways, replicas and stand-ins as real processes and servers on loopback,
-  strikes them with faults from outside, and checks the promises from what clients and runners see.
+  injects faults from outside, and checks the platform's guarantees by what clients and runners observe.
 
   Options
-    --seed N      faults and load depend on it (default: the time)
-    --minutes M   how long faults strike (default 2)
-    --clients C   clients at work (default 8)
-    --gateways G  gateways at work (default 3)
-    --replicas R  replicas at work, three of them members (default 4)
-    --faults A,B  kinds of faults that strike (default all), or none: ${FAULTS.join(', ')}
-    --no-strangers  no entries of other writers stand in the store: older builds end over them
-    --upgrade-from COMMIT  all machines start with the build of this commit, and one after the other begins
-                  again with the build at hand
-    --order O     which machines come first: ${UPGRADE_ORDERS.join(', ')} (default ${UPGRADE_ORDERS[0]})
+    --seed N      seed of the faults and the load (default: from the time)
+    --minutes M   how long faults are injected (default 2)
+    --clients C   number of concurrent clients (default 8)
+    --gateways G  number of gateways (default 3)
+    --replicas R  number of replicas, three of them members (default 4)
+    --faults A,B  fault kinds to inject (default all), or none: ${FAULTS.join(', ')}
+    --no-strangers  put no invalid runner entries of other writers into the store: older builds exit on them
+    --upgrade-from COMMIT  start all machines with the build of this commit, and restart one after another
+                  with the current build
+    --order O     which machines are upgraded first: ${UPGRADE_ORDERS.join(', ')} (default ${UPGRADE_ORDERS[0]})
     --upgrade-end E  how far the upgrade goes: ${UPGRADE_ENDS.join(', ')} (default ${UPGRADE_ENDS[0]});
-                  back is a step back from halfway
-    --no-judge-refusals  an upgrade without faults may refuse requests, as on a machine that is busy otherwise;
-                  no connection may end over a message all the same
-    --block B     block of loopback addresses, 0 to ${MOST_BLOCKS}: soaks of different blocks run beside
-                  one another (default 0)
+                  back rolls back from halfway
+    --no-judge-refusals  allow refused requests during an upgrade without faults, for a machine that is busy
+                  with other work; connections closed over unreadable messages still fail the run
+    --block B     block of loopback addresses, 0 to ${MOST_BLOCKS}: soaks in different blocks can run
+                  concurrently (default 0)
 
   Exit codes
-    0  no promise broken
-    1  a promise was broken; the report names it, the seed and the folder with the logs
-    2  wrong use, a commit that is not at hand or can't be built, or ended by a signal
+    0  no guarantee violated
+    1  a guarantee was violated; the report names it, the seed and the folder with the logs
+    2  invalid usage, a commit that is not in the clone or can't be built, or ended by a signal
 `,
   {
     importMeta: import.meta,
@@ -68,19 +68,19 @@
 const hasReplicas = Number.isInteger(replicaCount) && replicaCount >= LEAST_REPLICAS;
 if (!isWhole || !hasGateways || !hasReplicas) {
   process.stderr.write(
-    'soak: --block, --gateways and --replicas are whole numbers within their bounds\n',
+    'soak: --block, --gateways and --replicas must be whole numbers within their bounds\n',
   );
   process.exit(EXIT_WRONG_USE);
 }
 const named = cli.flags.faults === 'none' ? [] : cli.flags.faults.split(',');
 const unknown = named.filter((name) => !FAULTS.some((fault) => fault === name));
 if (unknown.length > 0) {
-  process.stderr.write(`soak: no such faults: ${unknown.join(', ')}\n`);
+  process.stderr.write(`soak: unknown fault kinds in --faults: ${unknown.join(', ')}\n`);
   process.exit(EXIT_WRONG_USE);
 }
 const faults = FAULTS.filter((fault) => named.includes(fault));
 
-/** The upgrade to be played; ends the soak where its commit is not at hand. */
+/** Builds the old commit and returns the upgrade plan; exits when the commit can't be built. */
 function upgradeOf(from: string): UpgradePlan {
   const { order, upgradeEnd, judgeRefusals } = cli.flags;
   try {
@@ -108,7 +108,7 @@
 for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) {
   process.once(signal, () => process.exit(EXIT_WRONG_USE));
 }
-// Also where the soak itself fails: no process of it stays behind.
+// Runs even when the soak itself throws, so that no child process is left behind.
 process.once('exit', () => soak.killAll());
 const report = await soak.report;
 process.stdout.write(`${JSON.stringify(report, null, 2)}\n`);
--- a/soak/platform-process.ts
+++ b/soak/platform-process.ts
@@ -1,4 +1,4 @@
-/** One process of the platform's program, started and struck by the soak. */
+/** One gateway or replica process of the soak, with its settings, signals and disk faults. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { createWriteStream, mkdirSync, rmSync, writeFileSync } from 'node:fs';
@@ -8,21 +8,21 @@
 import { losePower } from './power-loss-ledger.js';
 import type { PowerLoss, RecordedFolder } from './power-loss-ledger.js';
 
-/** The role of a process. */
+/** Role of a process. */
 export type PlatformRole = 'gateway' | 'replica';
 
-/** Where one machine of the soak is. */
+/** Identity and addresses of one machine of the soak. */
 export interface SoakMachine {
   readonly name: string;
   readonly role: PlatformRole;
   readonly host: string;
   readonly zone: string;
-  /** `host:port` at which it finds the store. */
+  /** `host:port` at which the process reaches the store. */
   readonly storeAddress: string;
   readonly seeds: readonly string[];
 }
 
-/** Ports, alike on all machines. */
+/** Ports, the same on all machines. */
 export const SOAK_PORTS = {
   front: 18149,
   ready: 18141,
@@ -31,31 +31,31 @@
   metrics: 17395,
 };
 
-/** Time within which a change of the configuration must be in force, in milliseconds. */
+/** Time within which a configuration change must take effect, in milliseconds. */
 export const SOAK_APPLY_MILLISECONDS = 2_000;
 
-/** Time after its start from which on a machine that replaces another one counts, in milliseconds. */
+/** Time after its start within which a replacement replica must have caught up, in milliseconds. */
 export const SOAK_CATCH_UP_MILLISECONDS = 4_000;
 
-/** Bounds on tenants. */
+/** Bounds on key revocation and tenant quotas. */
 export const SOAK_BOUNDS = {
   revokeMilliseconds: 4_000,
   quotaOvershoot: 0.1,
   quotaSlack: 20,
 };
 
-/** The program as the build leaves it. */
+/** Path of the program of the current build. */
 export const PROGRAM = resolve('target/main.cjs');
-/** Memory of each machine as its settings tell it, in megabytes: as deployed. */
+/** Memory limit in the settings of each role, in megabytes. */
 const MEMORY_MEGABYTES = { gateway: 178, replica: 210 };
-/** Sizes of the heaps, as where they are deployed. */
+/** V8 heap options by role, as in deployments. */
 const HEAP_FLAGS = {
   gateway: ['--max-old-space-size=80', '--max-semi-space-size=4'],
   replica: ['--max-old-space-size=128', '--max-semi-space-size=4'],
 };
-/** Loaded before the program where there is a disk. */
+/** Module that is preloaded into replicas to record their disk operations. */
 const RECORDER = pathToFileURL(resolve('dist/soak/record-disk.js')).href;
-/** Parts of the names that were not synced which a loss of power takes away. */
+/** Values from which a power loss picks the probability that an unsynced name is undone. */
 const NAME_LOSSES = [0.5, 1];
 
 function dataFolder(folder: string): string {
@@ -93,31 +93,31 @@
       QuotaOvershoot: SOAK_BOUNDS.quotaOvershoot,
       QuotaSlack: SOAK_BOUNDS.quotaSlack,
     },
-    // One machine may be lost at once: three replicas are members, others stand by.
+    // Tolerates the loss of one machine: three replicas are members, others idle standbys.
     FaultTolerance: { Machines: 1, Zones: 0, Regions: 0 },
     Limits: { MemoryMb: MEMORY_MEGABYTES[role] },
     Platform: { Address: storeAddress },
   };
 }
 
-/** How a process is run. */
+/** Options of a process. */
 export interface PlatformProcessOptions {
-  /** Path of the program. @default that of the last build */
+  /** Path of the program. @default the current build */
   readonly program?: string;
-  /** Whether what a replica's disk would lose is recorded, which costs time. @default true */
+  /** Whether a replica's disk operations are recorded, which takes processor time. @default true */
   readonly recordsDisk?: boolean;
 }
 
-/** See the head of this file. */
+/** A process of the platform's program that can be started, signalled and restarted. */
 export class PlatformProcess {
   private child: ChildProcess | undefined;
-  /** True from a signal of the soak that ends the process until it is started again. */
+  /** True from a terminating signal of the soak until the next start. */
   private endExpected = false;
-  /** Exits that nobody asked for. */
+  /** Exits that the soak did not cause. */
   readonly ownExits: string[] = [];
   private readonly disk: RecordedFolder;
   private readonly recordsDisk: boolean;
-  /** What it starts with the next time: that of the build at hand, or of another. */
+  /** Path of the program for the next start. */
   program: string;
 
   constructor(
@@ -131,23 +131,22 @@
     this.disk = { root: dataFolder(folder), ledger: join(folder, 'disk-ledger') };
   }
 
-  /** Number of the process; undefined while it does not run. */
+  /** Process id; undefined while the process does not run. */
   get processId(): number | undefined {
     return this.child?.pid;
   }
 
-  /** Whether the process lives. */
   get isRunning(): boolean {
     return this.child !== undefined;
   }
 
-  /** Starts the process. */
+  /** Writes the settings and starts the process; its output is appended to the log file. */
   start(): void {
     const file = join(this.folder, 'node.json');
     writeFileSync(file, JSON.stringify(settingsOf(this.machine, this.folder)));
     const log = createWriteStream(join(this.folder, 'log'), { flags: 'a' });
     const child = spawn(process.execPath, this.words(), { env: this.environment(file) });
-    // The log outlasts whichever of the two ends first.
+    // Neither stream may close the log while the other still writes.
     child.stdout.pipe(log, { end: false });
     child.stderr.pipe(log, { end: false });
     child.on('close', () => log.end());
@@ -163,7 +162,7 @@
     });
   }
 
-  /** Sends a signal; SIGKILL and SIGTERM are expected to end the process. */
+  /** Sends a signal; an exit after SIGKILL or SIGTERM counts as expected. */
   signal(name: NodeJS.Signals): void {
     if (name === 'SIGKILL' || name === 'SIGTERM') {
       this.endExpected = true;
@@ -171,7 +170,7 @@
     this.child?.kill(name);
   }
 
-  /** Resolves when the process has ended. */
+  /** Resolves when the process has exited, or at once if it does not run. */
   ended(): Promise<void> {
     const { child } = this;
     return new Promise((done) => {
@@ -183,13 +182,13 @@
     });
   }
 
-  /** Empties the disk of an ended process. */
+  /** Deletes the data and the ledger of a stopped process. */
   wipe(): void {
     rmSync(this.disk.root, { recursive: true, force: true });
     rmSync(this.disk.ledger, { force: true });
   }
 
-  /** Takes from the disk of an ended process what was not synced. */
+  /** Discards unsynced changes from the data of a stopped process. */
   losePower(random: RandomSource): PowerLoss {
     return losePower(this.disk, { random, nameLoss: random.pick(NAME_LOSSES) });
   }
@@ -203,7 +202,7 @@
   private environment(settingsFile: string): NodeJS.ProcessEnv {
     return {
       ...process.env,
-      // Reading certificates that nothing needs would count as a cost of each start.
+      // Loading extra certificates would add to the measured cost of each start.
       NODE_EXTRA_CA_CERTS: undefined,
       IVYLOOM_NODE_FILE: settingsFile,
       IVYLOOM_SOAK_DISK: this.disk.root,
--- a/soak/power-loss-counts.ts
+++ b/soak/power-loss-counts.ts
@@ -1,17 +1,17 @@
-/** Sums up what losses of power took from disks. */
+/** Totals of what simulated power losses removed from disks. */
 import type { PowerLoss } from './power-loss-ledger.js';
 
-/** Sums over all losses of one soak. */
+/** Totals over all power losses of one soak. */
 export interface PowerLossCounts {
-  /** Disks that lost power. */
+  /** Power losses of single disks. */
   disks: number;
-  /** Names that were made and are gone, or were removed and are back. */
+  /** Directory entries whose creation or removal was undone. */
   names: number;
-  /** Bytes that were written and are gone. */
+  /** Written but unsynced bytes that were discarded. */
   bytes: number;
 }
 
-/** Adds one disk's loss. */
+/** Adds the loss of one disk. */
 export function addLoss(
   counts: PowerLossCounts,
   { lostNames, returnedNames, lostBytes }: PowerLoss,
--- a/soak/power-loss-ledger.ts
+++ b/soak/power-loss-ledger.ts
@@ -1,8 +1,7 @@
 /**
- * What a folder would still hold after a loss of power: a ledger of what was made, removed and synced in
- * it, and the loss itself. The content of a file lasts up to its last sync. A name that was made, renamed
- * or removed lasts once its folder has been synced after that; without it, each is kept or lost
- * independently of any other.
+ * Simulates a power loss on a folder from a ledger of what was created, removed and synced in it. File content
+ * is durable up to the last sync of the file. The creation or removal of a name is durable once its folder was
+ * synced afterwards; until then, each is kept or undone independently of the others.
  */
 import {
   appendFileSync,
@@ -17,54 +16,55 @@
 import { dirname, join } from 'node:path';
 import type { RandomSource } from '../src/runtime/random.js';
 
-/** Where a folder and its ledger are; both absolute, the ledger outside of the folder. */
+/** Absolute paths of a folder and its ledger; the ledger lies outside of the folder. */
 export interface RecordedFolder {
-  /** The folder that loses what was not synced. */
+  /** The folder that loses its unsynced changes. */
   readonly root: string;
-  /** The file with the ledger. */
+  /** The ledger file, one JSON object per line. */
   readonly ledger: string;
 }
 
-/** What a path stands for: a folder, or a file by its inode. */
+/** What a path refers to: a folder, or a file by its inode. */
 type Target = number | 'folder';
 
-/** One line of a ledger, as JSON. */
+/** One line of a ledger. */
 export type LedgerLine =
   | { readonly op: 'made'; readonly path: string; readonly target: Target }
-  /** `kept` is another link to the same file, so that the name can come back. */
+  /** `kept` is another hard link to the file, from which the name can be restored. */
   | { readonly op: 'removed'; readonly path: string; readonly inode: number; readonly kept: string }
   | { readonly op: 'folderSynced'; readonly path: string }
   | { readonly op: 'fileSynced'; readonly inode: number; readonly bytes: number };
 
-/** Adds a line; it is there even if the process is killed right after. */
+/** Appends a line synchronously, so that it survives a kill of the process right afterwards. */
 export function noteInLedger({ ledger }: RecordedFolder, line: LedgerLine): void {
   appendFileSync(ledger, `${JSON.stringify(line)}\n`);
 }
 
-/** What was lost. */
+/** Changes that a power loss undid. */
 export interface PowerLoss {
-  /** Names that were made and are gone. */
+  /** Paths that were created and are gone. */
   readonly lostNames: readonly string[];
-  /** Names that were removed and are back. */
+  /** Paths that were removed and are restored. */
   readonly returnedNames: readonly string[];
-  /** Bytes that were written and are gone. */
+  /** Written bytes that were discarded. */
   readonly lostBytes: number;
 }
 
-/** How much of what was not synced is lost. */
+/** Extent of a power loss. */
 export interface PowerLossOptions {
   readonly random: RandomSource;
-  /** Chance of each name that was not synced to be lost, or to come back, 0 to 1. */
+  /** Probability that an unsynced creation or removal is undone, 0 to 1. */
   readonly nameLoss: number;
 }
 
+/** What a path refers to durably and at present, and the link kept of a removed file. */
 interface NameState {
   synced: Target | undefined;
   now: Target | undefined;
   kept: string | undefined;
 }
 
-/** Names and synced lengths as a ledger tells them. */
+/** State of all names, and synced bytes by inode, as replayed from a ledger. */
 interface LedgerState {
   readonly names: Map<string, NameState>;
   readonly syncedBytes: Map<number, number>;
@@ -87,7 +87,7 @@
       return;
     }
     case 'removed': {
-      // A name that the ledger never saw made has been there since before the last loss.
+      // A name whose creation is not in the ledger dates from before it and is durable.
       const synced = names.has(line.path) ? names.get(line.path)!.synced : line.inode;
       names.set(line.path, { synced, now: undefined, kept: line.kept });
       return;
@@ -104,13 +104,13 @@
   }
 }
 
-/** Loses what was not synced, and begins a new ledger: what is left lasts. */
+/** Discards unsynced changes at random and removes the ledger; what is left is durable. */
 export function losePower(folder: RecordedFolder, options: PowerLossOptions): PowerLoss {
   const state = readLedger(folder.ledger);
   const lostBytes = loseBytes(state, options.random);
   const lostNames: string[] = [];
   const returnedNames: string[] = [];
-  // Folders first: with a folder's name all that stands in it is gone.
+  // Parents before children: a lost folder takes its content with it.
   const byDepth = [...state.names].sort(([left], [right]) => left.length - right.length);
   for (const [path, name] of byDepth) {
     const isLost = name.synced !== name.now && options.random.uniform() < options.nameLoss;
@@ -132,7 +132,7 @@
   return { lostNames, returnedNames, lostBytes };
 }
 
-/** Files end somewhere between what was synced and what was written. */
+/** Truncates each file to a random length between its synced and its written bytes; returns the bytes lost. */
 function loseBytes({ names, syncedBytes }: LedgerState, random: RandomSource): number {
   let lost = 0;
   for (const [path, { now }] of names) {
@@ -148,7 +148,7 @@
   return lost;
 }
 
-/** Where a removed file is kept until the next loss of power. */
+/** Path of the hard link that keeps a removed file until the next power loss. */
 export function keptPathFor({ ledger }: RecordedFolder, inode: number): string {
   return join(dirname(ledger), `removed-${inode}`);
 }
--- a/soak/power-loss-recorder.ts
+++ b/soak/power-loss-recorder.ts
@@ -1,7 +1,7 @@
 /**
- * Records in a ledger what this process makes, removes and syncs under a folder through Node's file
- * promises, so that a loss of power can be played afterwards. The operations themselves are done as
- * they are; nothing is delayed or refused.
+ * Records in a ledger what this process creates, removes and syncs in a folder through `node:fs/promises`, so
+ * that a power loss can be simulated afterwards. The operations themselves are passed through unchanged, except
+ * that renames are refused.
  */
 import { fstatSync, linkSync, statSync } from 'node:fs';
 import files from 'node:fs/promises';
@@ -19,9 +19,9 @@
   return statSync(path, { throwIfNoEntry: false }) !== undefined;
 }
 
-/** Notes each sync of an open file or folder. */
+/** Wraps the sync methods of an open file or folder, to record each sync. */
 function recordSyncs(folder: RecordedFolder, path: string, file: FileHandle): void {
-  // What is written while a sync is under way may not be part of it, so the length counts from before.
+  // Bytes written during a sync may not be covered by it, so the length is read before the sync.
   const lineOf = (): LedgerLine => {
     const status = fstatSync(file.fd);
     return status.isDirectory()
@@ -44,10 +44,10 @@
   unlink: files.unlink,
   rename: files.rename,
 };
-/** Folders that are recorded now. */
+/** Folders that are being recorded. */
 const folders = new Set<RecordedFolder>();
 
-/** The recorded folder that a path is in. */
+/** Returns the recorded folder that contains a path, if any. */
 function folderOf(path: unknown): RecordedFolder | undefined {
   return typeof path !== 'string'
     ? undefined
@@ -90,7 +90,7 @@
 
 const recordedRename: typeof files.rename = async (from, to) => {
   if (folderOf(from) !== undefined || folderOf(to) !== undefined) {
-    throw new Error('renames are not recorded');
+    throw new Error('cannot rename in a recorded folder: renames are not supported');
   }
   await ORIGINAL.rename(from, to);
 };
@@ -100,7 +100,7 @@
   syncBuiltinESMExports();
 }
 
-/** Begins to record a folder; returns how to end that. */
+/** Starts to record a folder; returns a function that stops it. */
 export function recordFolder(folder: RecordedFolder): () => void {
   folders.add(folder);
   install({
--- a/soak/record-disk.ts
+++ b/soak/record-disk.ts
@@ -1,4 +1,4 @@
-/** Loaded before the program in replicas of the soak: records their disk for losses of power. */
+/** Preloaded into replicas of the soak: records their disk operations for simulated power losses. */
 import { recordFolder } from './power-loss-recorder.js';
 
 const { IVYLOOM_SOAK_DISK: root, IVYLOOM_SOAK_LEDGER: ledger } = process.env;
--- a/soak/recovery-check.ts
+++ b/soak/recovery-check.ts
@@ -1,32 +1,32 @@
-/** Whether every kind of request is served again after a fault, within the time allowed for that. */
+/** Checks that every kind of request is served again within the allowed time after a fault. */
 import { noCounts } from './soak-client.js';
 import type { AnsweredTurn, SoakClient, SoakCounts } from './soak-client.js';
 
-/** What the check is made with. */
+/** Dependencies of the recovery check. */
 export interface RecoveryCheckOptions {
-  /** Makes a client that counts what it sends for itself. */
+  /** Creates a client that counts its requests in `counts`. */
   readonly newClient: (name: string, counts: SoakCounts) => SoakClient;
   readonly violate: (promise: string, detail: string) => void;
 }
 
-/** Time within which every kind is to be served again, in milliseconds: that of the users' deployments. */
+/** Time within which every kind must be served again, in milliseconds; equals `RecoveryS` of the settings. */
 const RECOVERY_MILLISECONDS = 12_000;
-/** Plain requests answered one after another that show that these are served. */
+/** Consecutive answered plain requests after which plain requests count as served. */
 const ANSWERS_IN_A_ROW = 10;
 const PAUSE_MILLISECONDS = 50;
-/** Tries to go on from one turn. */
+/** Attempts to continue from one turn. */
 const TURN_TRIES = 5;
-/** Lost turns after which no more are tried: the soak has failed, and each takes seconds. */
+/** Lost turns after which the check stops: the soak has failed by then, and each lost turn takes seconds. */
 const MOST_LOST = 8;
 
-/** See the head of this file. */
+/** Measures the time to recovery, and checks that answered turns can be continued. */
 export class RecoveryCheck {
-  /** Milliseconds until service was back, for each check. */
+  /** Duration of each check until all kinds were served or the time was over, in milliseconds. */
   readonly recoveries: number[] = [];
 
   constructor(private readonly options: RecoveryCheckOptions) {}
 
-  /** Begins when the processes are started; resolves once all kinds are served, or the time is over. */
+  /** Call once the processes are started; resolves when all kinds are served or the time is over. */
   async check(fault: string): Promise<void> {
     const begunAt = performance.now();
     const until = begunAt + RECOVERY_MILLISECONDS;
@@ -41,12 +41,15 @@
       await client.run(() => performance.now() > until || counts.kept > 0);
     }
     if (inARow < ANSWERS_IN_A_ROW || counts.kept === 0) {
-      this.options.violate('recovery', `not all kinds were served in time after ${fault}`);
+      this.options.violate(
+        'recovery',
+        `not all kinds of requests were served in time after ${fault}`,
+      );
     }
     this.recoveries.push(Math.round(performance.now() - begunAt));
   }
 
-  /** Whether programs can go on from turns that were answered whole; tried again as clients do. */
+  /** Checks that completely answered turns can be continued, with several attempts as clients make them. */
   async checkTurns(turns: readonly AnsweredTurn[]): Promise<void> {
     const client = this.options.newClient('turns', noCounts());
     let lost = 0;
@@ -60,7 +63,10 @@
       }
       if (!isFound) {
         lost += 1;
-        this.options.violate('history', `nothing went on from ${turn.id} in ${TURN_TRIES} tries`);
+        this.options.violate(
+          'history',
+          `turn ${turn.id} could not be continued in ${TURN_TRIES} attempts`,
+        );
       }
     }
   }
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -1,6 +1,6 @@
 /**
- * The fault soak: real processes of the platform's program on one machine, faults from outside, and
- * the promises checked from what clients and runners see.
+ * The fault soak: runs real processes of the platform's program on one machine, injects faults from outside, and
+ * checks the platform's guarantees by what clients and runners observe.
  */
 import type { StoreMode } from '../platform/stand-in/store-server.js';
 import { CONFIGURATION_KEY, RETIRE_PREFIX, RETIRE_STATUS_PREFIX } from '../platform/store-keys.js';
@@ -33,27 +33,28 @@
 const GATEWAYS = 3;
 const REPLICAS = 4;
 const RUNNERS = 4;
+/** Pause after a fault in which the processes recover, in milliseconds. */
 const SETTLE_MILLISECONDS = 4_500;
-/** Part of the faults that begin while another lasts. */
+/** Probability that the next fault begins while the last one is still active. */
 const OVERLAP = 0.5;
 const LONGEST_OVERLAP_MILLISECONDS = 1_200;
-/** Least and longest pause of a runner that reads slowly, in milliseconds. */
+/** Shortest and longest read pause of a slow runner, in milliseconds. */
 const READ_PAUSES_MILLISECONDS: readonly [number, number] = [100, 1_500];
 
-/** Time within which a machine is to be reported empty, in milliseconds: that of the users' deployments. */
+/** Time within which the retirement of a replica must be reported as succeeded, in milliseconds. */
 const EMPTYING_MILLISECONDS = 8_000;
-/** What stands for a machine that changes its build, beside the faults. */
+/** Entry among the active faults for a machine that is restarted with another build. */
 const ROLL = 'roll';
-/** Time after the start of a machine of another build in which nothing else strikes it, in milliseconds. */
+/** Time after a restart with another build in which no fault strikes that machine, in milliseconds. */
 const ROLL_MILLISECONDS = 2_000;
-/** Pause before another fault is drawn when one can not be struck now, in milliseconds. */
+/** Interval at which the soak polls for a state or for a fault whose targets are free, in milliseconds. */
 const SOAK_STEP_MILLISECONDS = 50;
 
 function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-/** See the head of this file. */
+/** One run of the fault soak. */
 class Soak {
   private readonly random: RandomSource;
   private readonly world: SoakWorld;
@@ -63,7 +64,7 @@
   private readonly counts = noCounts();
   private readonly pairs: Record<string, number> = {};
   private readonly lost: PowerLossCounts = { disks: 0, names: 0, bytes: 0 };
-  /** Faults that last, and what each of them strikes: a machine, or the store. */
+  /** Active faults, with the targets of each. */
   private readonly lasting = new Map<Fault | typeof ROLL, readonly string[]>();
   private readonly configuration: ConfigurationCheck;
   private readonly tenants: TenantCheck;
@@ -135,7 +136,7 @@
     return { seed, counts, faults, pairs, ...looks, recoveries, lost, upgrade, violations, folder };
   }
 
-  /** Strikes in series, and now and then while another fault lasts. */
+  /** Injects faults one after another, with a random overlap, until `isOver` returns true. */
   private async strikeUntil(isOver: () => boolean): Promise<void> {
     const { faults = FAULTS } = this.options;
     let lasting: Promise<void>[] = [];
@@ -168,7 +169,7 @@
     return targets.some((target) => taken.has(target));
   }
 
-  /** Lets a machine change its build: like a fault, never at the same time as one that strikes it. */
+  /** Runs an action on a machine once no fault has it as a target, and keeps faults off it meanwhile. */
   private async reserve(machine: PlatformProcess, action: () => Promise<void>): Promise<void> {
     const { name, role, host } = machine.machine;
     const targets = role === 'replica' ? [name, REPLICAS_TOGETHER] : [name];
@@ -191,7 +192,7 @@
     }
   }
 
-  /** Strikes, and notes meanwhile which gateways owe nothing. */
+  /** Injects a fault, and excuses the affected gateways from the configuration check meanwhile. */
   private async strikeOnce(fault: Fault, struck: readonly string[]): Promise<void> {
     this.lasting.set(fault, struck);
     const gateways = this.world.of('gateway');
@@ -216,7 +217,7 @@
     };
   }
 
-  /** The process of the first machine that is struck; any, where a fault strikes no machine. */
+  /** Returns the process of the first machine among the targets; the first process if there is none. */
   private named(struck: readonly string[]): PlatformProcess {
     const { processes } = this.world;
     const named = struck.map((name) => processes.find(({ machine }) => machine.name === name));
@@ -323,7 +324,7 @@
     runner.readPauseMilliseconds = 0;
   }
 
-  /** A machine is gone for good; the last fault comes the moment that its successor counts. */
+  /** Replaces a replica's machine for good; once the replacement must have caught up, all power is lost. */
   private async replaceReplica(gone: PlatformProcess, pause: number): Promise<void> {
     const ended = gone.ended();
     gone.signal('SIGKILL');
@@ -334,7 +335,7 @@
     await this.loseAllPower(pause);
   }
 
-  /** A machine is emptied and goes; the moment that is reported, another replica loses its disk. */
+  /** Retires a replica; as soon as the success is reported, its disk and that of another replica are lost. */
   private async emptyReplica(machine: PlatformProcess, pause: number): Promise<void> {
     const { store } = this.world;
     const { name } = machine.machine;
@@ -351,12 +352,12 @@
       const lost = [machine, this.random.pick(others)];
       await this.kill(lost, pause, () => lost.forEach((replica) => replica.wipe()));
     } else {
-      this.violations.push(`emptying: ${name} was not reported empty in time`);
+      this.violations.push(`emptying: the retirement of ${name} was not reported in time`);
     }
     store.remove(RETIRE_PREFIX + name);
   }
 
-  /** One replica's disk is lost, all others lose what was not synced. */
+  /** Wipes the disk of one replica; all others lose what was not synced. */
   private loseDisks(): void {
     const replicas = this.world.of('replica');
     const lost = this.random.pick(replicas);
@@ -379,12 +380,12 @@
     const mode: ProxyMode = this.random.pick(['delay', 'silence', 'oneWay', 'reset']);
     proxy.setMode(mode);
     await sleep(pause);
-    // What was held up is lost: both ends find out by a reset.
+    // Bytes were dropped, so that the open connections must be reset before traffic passes again.
     proxy.setMode('reset');
     proxy.setMode('pass');
   }
 
-  /** Ends all processes; nothing is checked any more. */
+  /** Kills all processes without further checks. */
   killAll(): void {
     this.world.processes.forEach((process) => process.signal('SIGKILL'));
   }
@@ -396,7 +397,7 @@
   }
 }
 
-/** Runs one soak. */
+/** Starts a soak. */
 export function runSoak(options: SoakOptions): RunningSoak {
   const soak = new Soak(options);
   return { report: soak.run(), killAll: () => soak.killAll() };
--- a/soak/slow-reading.ts
+++ b/soak/slow-reading.ts
@@ -1,36 +1,39 @@
-/** How a client of the soak reads a long stream: in fits and starts, or not at all for a while. */
+/** Slow reading of long streams by clients of the soak, and the check that such readers are served at all. */
 import type { IncomingMessage } from 'node:http';
 import type { RandomSource } from '../src/runtime/random.js';
 
-/** Events of a long stream. */
+/** Number of events of a long stream. */
 export const LONG_EVENTS = 150;
-/** A stream of 9 MB: more than the kernel takes for a client that reads nothing. */
+/** Path of a 9 MB stream, which exceeds what the kernel buffers for a client that does not read. */
 export const LONG_PATH = `/long/work?stream&events=${LONG_EVENTS}&fill=61440`;
 
-/** Long streams that may all be broken off by faults; of more than these, one at least comes whole. */
+/** Up to this many long streams may all be interrupted by faults; of more, at least one must complete. */
 const SLOW_ENOUGH = 10;
 
-/** What is broken where clients that read slowly were never served whole, and enough of them asked to tell. */
+/** Returns a violation when enough long streams were requested and none was received completely. */
 export function slowReaderViolations(counts: {
   readonly slowAsked: number;
   readonly slowWhole: number;
 }): string[] {
   const { slowAsked, slowWhole } = counts;
   const isServed = slowAsked <= SLOW_ENOUGH || slowWhole > 0;
-  return isServed ? [] : [`slow readers: none of ${slowAsked} long streams came whole`];
+  return isServed
+    ? []
+    : [`slow readers: none of ${slowAsked} long streams was received completely`];
 }
 
-/** Pauses of one stream, and the least and longest of them, in milliseconds. */
+/** Number of pauses in one stream. */
 const PAUSES = 3;
+/** Shortest and longest pause, in milliseconds. */
 const PAUSE_MILLISECONDS: readonly [number, number] = [20, 700];
-/** Time read between two pauses, in milliseconds. */
+/** Time for which the client reads between two pauses, in milliseconds. */
 const READ_MILLISECONDS = 30;
 
-/** See the head of this file. */
+/** Pauses the reading of a response several times, for random durations. */
 export class SlowReading {
   constructor(private readonly random: RandomSource) {}
 
-  /** Pauses an answer several times, then reads the rest. */
+  /** Pauses a response several times, then lets the rest be read. */
   slowDown(response: IncomingMessage): void {
     this.pause(response, PAUSES);
   }
--- a/soak/soak-client.ts
+++ b/soak/soak-client.ts
@@ -1,4 +1,4 @@
-/** Clients of the soak: send requests of every kind and keep what they were promised. */
+/** Load clients of the soak: send every kind of request and check each response against the platform's guarantees. */
 import { request as httpRequest } from 'node:http';
 import type { IncomingMessage } from 'node:http';
 import type { RelayRunner, RunnerRun } from '../src/emulator/relay-runner.js';
@@ -7,27 +7,28 @@
 import { PLATFORM_HEADER_NAMES as NAMES } from '../platform/header-names.js';
 import { SOAK_PORTS } from './platform-process.js';
 
-/** Host of the routes. */
+/** Host name that all routes of the soak match. */
 export const SOAK_HOST = 'soak.example';
-/** Tenant of the clients, and its key. */
+/** Tenant under which the clients send, and its API key. */
 export const SOAK_TENANT = 'soak';
 export const SOAK_KEY = 'key-of-soak';
-/** Events of each stream, and tokens in each event. */
+/** Events of each short stream, and tokens in each event. */
 export const SOAK_EVENTS = 6;
 export const SOAK_TOKENS_PER_EVENT = 10;
 
 const MOST_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
 const TIMEOUT_MILLISECONDS = 3_000;
-/** Part of what a client does that is a long stream, read slowly or not at all for a while. */
+/** Fraction of a client's actions that read a long stream with pauses. */
 const SLOW_SHARE = 0.03;
-/** Part of plain requests that carry a long body, and its bytes: more than a runner that reads nothing takes. */
+/** Fraction of plain requests that carry the long body, which exceeds what a non-reading runner's socket buffers. */
 const LONG_BODY_SHARE = 0.01;
 const LONG_BODY = 'x'.repeat(3 * 1024 * 1024);
-/** Programs of one client whose last turn is remembered. */
+/** Programs per client whose last turn is remembered for the final history check. */
 const REMEMBERED_PROGRAMS = 12;
+/** Statuses by which a gateway guarantees that the request did not run. */
 const PROMISES = new Set([408, 421, 429, 503]);
 
-/** Headers of a turn of a program. */
+/** Request headers of one turn; `previous` is the request id of the turn it continues, or empty. */
 function turnHeaders(program: string, previous: string): Record<string, string> {
   return {
     [NAMES.program]: program,
@@ -45,7 +46,7 @@
   readonly complete: boolean;
 }
 
-/** Counts of a soak. */
+/** Request counts of a soak. */
 export interface SoakCounts {
   sent: number;
   answered: number;
@@ -53,37 +54,37 @@
   failed: number;
   kept: number;
   budgetRefused: number;
-  /** Long streams that were read slowly, and how many of them came whole. */
+  /** Long streams that were requested and read slowly, and how many of them were received completely. */
   slowAsked: number;
   slowWhole: number;
 }
 
-/** Counts before anything was sent. */
+/** Creates counts that are all zero. */
 export function noCounts(): SoakCounts {
   const plain = { sent: 0, answered: 0, refused: 0, failed: 0 };
   return { ...plain, kept: 0, budgetRefused: 0, slowAsked: 0, slowWhole: 0 };
 }
 
-/** A turn that was answered whole: what it is, and the chain that ends with it. */
+/** A completely answered turn: its request id, and the conversation text up to and including its output. */
 export interface AnsweredTurn {
   readonly id: string;
   readonly chain: string;
 }
 
-/** What clients share. */
+/** State and dependencies that the clients of one soak share. */
 export interface SoakClientContext {
   readonly random: RandomSource;
   readonly gatewayHosts: readonly string[];
-  /** All runners there ever were. */
+  /** Every runner started so far, including crashed ones. */
   readonly runners: readonly RelayRunner[];
   readonly counts: SoakCounts;
   readonly violate: (promise: string, detail: string) => void;
 }
 
-/** One client that does one thing after another. */
+/** A client that sends one request at a time, of a randomly chosen kind. */
 export class SoakClient {
   private programCount = 0;
-  /** The last turns of the newest programs, the newest last. */
+  /** Last answered turn of each recent program, the newest last. */
   private readonly lastTurns: AnsweredTurn[] = [];
 
   constructor(
@@ -91,7 +92,7 @@
     private readonly context: SoakClientContext,
   ) {}
 
-  /** Goes on until told to stop. */
+  /** Sends requests until `isOver` returns true. */
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
       const draw = this.context.random.uniform();
@@ -108,7 +109,7 @@
     }
   }
 
-  /** Sends one request of a kind; true when it was answered well. */
+  /** Sends one request to the route of that kind; resolves to true when the response was 200 and complete. */
   async sendPlain(kind: 'single' | 'repeatable'): Promise<boolean> {
     const id = this.newId();
     const body = this.context.random.uniform() < LONG_BODY_SHARE ? LONG_BODY : '';
@@ -117,14 +118,17 @@
     if (result.status === 200 && result.complete) {
       const signer = /^signed by (.*)$/.exec(String(result.headers[NAMES.signature]))?.[1];
       if (result.body !== `answer of ${signer} to ${id}`) {
-        this.context.violate('own answer', `${id} got "${result.body.slice(0, 80)}"`);
+        this.context.violate(
+          'own answer',
+          `request ${id} got the body "${result.body.slice(0, 80)}"`,
+        );
       }
       return true;
     }
     return false;
   }
 
-  /** A long stream: whatever the pauses, its events come in order, and its end only after the last. */
+  /** Reads a long stream with pauses; its events must arrive in order, and its end only after the last event. */
   private async readSlowly(): Promise<void> {
     const id = this.newId();
     const reading = new SlowReading(this.context.random);
@@ -137,24 +141,27 @@
     counts.slowWhole += result.status === 200 && result.complete ? 1 : 0;
   }
 
-  /** The last turns of the newest programs: of each program one, the newest last. */
+  /** The last answered turn of each recent program, the newest last. */
   get answeredTurns(): readonly AnsweredTurn[] {
     return this.lastTurns;
   }
 
-  /** Goes on from a turn; true when that ran with its whole chain. */
+  /** Continues from a turn; resolves to true when the response was 200 and complete. */
   async goOnFrom(turn: AnsweredTurn): Promise<boolean> {
     const id = this.newId();
     const input = `in ${id};`;
     const result = await this.send('/kept/work?stream', id, turnHeaders(id, turn.id), input);
     this.checkChain(id, turn.chain + input);
     if (result.status === 404) {
-      this.context.violate('history', `${turn.id} was answered whole and is said not to exist`);
+      this.context.violate(
+        'history',
+        `turn ${turn.id} was answered completely, but a continuation got 404`,
+      );
     }
     return result.status === 200 && result.complete;
   }
 
-  /** Turns that go on from one another, until the budget is spent or too many fail. */
+  /** Sends a program's turns, each continuing the last answered one, until its budget is spent or four fail. */
   private async runProgram(isOver: () => boolean): Promise<void> {
     const { random, counts, violate } = this.context;
     this.programCount += 1;
@@ -172,7 +179,10 @@
       this.checkEvents(id, events, result);
       this.checkChain(id, last.chain + input);
       if (handed > budget + MOST_TOKENS) {
-        violate('budget', `${program} was handed ${handed} of ${budget} tokens`);
+        violate(
+          'budget',
+          `program ${program} received ${handed} tokens with a budget of ${budget}`,
+        );
       }
       if (result.status === 402) {
         counts.budgetRefused += 1;
@@ -180,7 +190,7 @@
         return;
       }
       if (result.status === 404 && last.id !== '') {
-        violate('history', `${last.id} was answered whole and is said not to exist`);
+        violate('history', `turn ${last.id} was answered completely, but a continuation got 404`);
       }
       this.judge('single', id, result);
       if (result.status === 200 && result.complete) {
@@ -196,7 +206,7 @@
     }
   }
 
-  /** Takes the place of the turn before it. */
+  /** Replaces the program's previous turn, and drops the oldest program beyond the limit. */
   private remember(turn: AnsweredTurn, before: AnsweredTurn): void {
     const place = this.lastTurns.indexOf(before);
     if (place >= 0) {
@@ -220,26 +230,32 @@
     }
     const expected = events.map((_, index) => index + 1);
     if (events.some((event, index) => event !== expected[index])) {
-      violate('whole answer', `${id} got events ${events.join(',')}`);
+      violate('whole answer', `request ${id} received events out of sequence: ${events.join(',')}`);
     }
     if (result.complete && events.length !== whole) {
-      violate('whole answer', `${id} ended as complete after ${events.length} events`);
+      violate('whole answer', `response to ${id} ended as complete after ${events.length} events`);
     }
   }
 
-  /** What the runner got is the whole chain and nothing else. */
+  /** Checks that the runner received exactly the conversation so far and the new input. */
   private checkChain(id: string, expected: string): void {
     const run = this.runsOf(id)[0];
     if (run !== undefined && run.body !== expected) {
-      this.context.violate('history', `${id} ran with "${run.body.slice(0, 120)}"`);
+      this.context.violate(
+        'history',
+        `request ${id} reached the runner with body "${run.body.slice(0, 120)}"`,
+      );
     }
   }
 
-  /** Runners are told the tenant and never the key. */
+  /** Checks that runners receive the tenant's name and never its API key. */
   private checkTenant(id: string): void {
     for (const { headers } of this.runsOf(id)) {
       if (headers[NAMES.tenant] !== SOAK_TENANT || headers[NAMES.key] !== undefined) {
-        this.context.violate('tenant', `${id} ran as ${String(headers[NAMES.tenant])}`);
+        this.context.violate(
+          'tenant',
+          `request ${id} reached a runner with tenant ${String(headers[NAMES.tenant])} or with the API key`,
+        );
       }
     }
   }
@@ -256,13 +272,13 @@
       counts.failed += 1;
     }
     if (kind === 'single' && this.runsOf(id).length > 1) {
-      this.context.violate('at most once', `${id} ran ${this.runsOf(id).length} times`);
+      this.context.violate('at most once', `request ${id} ran ${this.runsOf(id).length} times`);
     }
   }
 
   private checkNotRun(id: string, status: number): void {
     if (!id.includes('repeatable') && this.runsOf(id).length > 0) {
-      this.context.violate('not run', `${id} got ${status} and ran`);
+      this.context.violate('not run', `request ${id} got status ${status}, but ran`);
     }
   }
 
--- a/soak/soak-configuration.ts
+++ b/soak/soak-configuration.ts
@@ -1,23 +1,23 @@
-/** The configuration of a soak: each version adds a route and a key, and drops older ones. */
+/** Generates the configuration versions of a soak: each adds a route and a key, and drops older ones. */
 import type { RandomSource } from '../src/runtime/random.js';
 import { SOAK_HOST, SOAK_KEY, SOAK_TENANT, SOAK_TOKENS_PER_EVENT } from './soak-client.js';
 import { LIMITED_KEY, LIMITED_RATE, LIMITED_TENANT } from './tenant-check.js';
 
-/** Service that all routes go to. */
+/** Service that is the target of all routes. */
 export const SOAK_SERVICE = 'workers';
-/** Routes of earlier versions that are kept. */
+/** Number of the newest added routes that a version contains. */
 const KEPT_ROUTES = 2;
-/** Largest step from one version to the next. */
+/** Largest increment of the version number. */
 const LARGEST_STEP = 4;
 
-/** One change of the configuration. */
+/** One new configuration version and its difference to earlier ones. */
 export interface ConfigurationChange {
   readonly version: number;
-  /** The whole configuration, as it is written to the store. */
+  /** The complete configuration, as written to the store. */
   readonly value: Record<string, unknown>;
   readonly addedRoute: string;
   readonly droppedRoutes: readonly string[];
-  /** Key that this change takes away. */
+  /** API key of the guest tenant that this version revokes. */
   readonly removedKey: string;
 }
 
@@ -36,7 +36,7 @@
   };
 }
 
-/** See the head of this file. */
+/** Produces one configuration version after another. */
 export class SoakConfiguration {
   private version = 1;
   private addedRoutes: string[] = [];
@@ -44,7 +44,7 @@
 
   constructor(private readonly random: RandomSource) {}
 
-  /** Draws the next version. */
+  /** Creates the next version, with a random increment of its number. */
   next(): ConfigurationChange {
     this.version += this.random.integer(1, LARGEST_STEP);
     const { version, guestKey: removedKey } = this;
--- a/soak/soak-faults.ts
+++ b/soak/soak-faults.ts
@@ -1,7 +1,7 @@
-/** Kinds of faults of the soak, and what each strikes: two that strike the same never overlap. */
+/** Fault kinds of the soak and the targets of each: two faults with a common target never overlap. */
 import type { RunnerBehaviour } from '../src/emulator/relay-runner.js';
 
-/** Kinds of faults. */
+/** Names of all fault kinds, as the `--faults` option takes them. */
 export const FAULTS = [
   'killGateway',
   'killReplica',
@@ -17,25 +17,25 @@
   'storePath',
   'runnerPath',
   'runnerCrash',
-  // A runner starts again under its id, and knows nothing of before.
+  // A runner restarts under its id with empty state.
   'runnerRestart',
   'runnerMisbehaves',
-  // A runner takes requests and leaves their bodies unread for a while.
+  // A runner accepts requests but pauses before it reads their bodies.
   'runnerReadsSlowly',
   'configurationChange',
-  // A replica loses power, and what was not synced.
+  // A replica is killed and loses the writes that were not synced.
   'losePower',
-  // All machines do, and one replica its whole disk besides.
+  // All machines are killed and lose unsynced writes; one replica also loses its whole disk.
   'loseAllPower',
-  // A replica's machine is emptied; once that is reported it goes, and another loses its disk right then.
+  // A replica is retired; once its retirement is reported, its disk and that of another replica are lost.
   'emptyReplica',
-  // A replica's machine is gone for good; the moment that its successor counts, all power and a disk are lost.
+  // A replica is replaced for good; once the replacement must have caught up, loseAllPower follows.
   'replaceReplica',
 ] as const;
-/** One of these. */
+/** A fault kind. */
 export type Fault = (typeof FAULTS)[number];
 
-/** What runners do wrong. */
+/** Runner behaviours from which `runnerMisbehaves` draws. */
 export const MISBEHAVIOURS: readonly RunnerBehaviour[] = [
   'refuse',
   'loseAnswer',
@@ -48,23 +48,26 @@
   'unframed',
 ];
 
-/** Faults of the store: all gateways owe nothing of the configuration meanwhile. */
+/** Faults of the store; the configuration check excuses all gateways while one lasts. */
 export const STORE_FAULTS: ReadonlySet<Fault> = new Set([
   'storeRefuses',
   'storeSilent',
   'storeLosesAnswers',
   'storeForgets',
 ]);
-/** What faults of replicas strike: one at a time, since two of three disks lost are not promised to be borne. */
+/**
+ * Common target of all replica faults, so that they strike one at a time: the platform does not guarantee to
+ * tolerate the loss of two of three disks.
+ */
 export const REPLICAS_TOGETHER = 'replicas';
-/** Machines drawn for a fault, by name. */
+/** Randomly chosen machines for a fault, by name. */
 export interface FaultTargets {
   readonly gateway: string;
   readonly replica: string;
   readonly all: readonly string[];
 }
 
-/** Names of the machines that a fault strikes, or of the store or a runner. */
+/** Returns the targets of a fault: names of machines, 'store', 'runners' or the shared replica target. */
 export function targetsOf(
   fault: Fault,
   { gateway, replica, all }: FaultTargets,
--- a/soak/soak-hosts.ts
+++ b/soak/soak-hosts.ts
@@ -1,6 +1,6 @@
-/** Loopback addresses of one soak: soaks of different blocks run beside one another. */
+/** Loopback addresses of one soak; soaks in different blocks can run concurrently. */
 
-/** Parts of a soak's machines, as the third number of their addresses. */
+/** Third octet of the addresses, by the machine's part in the soak. */
 const PARTS = {
   gateway: 2,
   replica: 3,
@@ -10,17 +10,17 @@
   runnerProxy: 7,
 } as const;
 
-/** Largest block. */
+/** Largest block number. */
 export const MOST_BLOCKS = 100;
 
-/** See the head of this file. */
+/** Assigns addresses of the form 127.block.part.number. */
 export class SoakHosts {
   constructor(
-    /** From 0 to `MOST_BLOCKS`. */
+    /** Block number, 0 to `MOST_BLOCKS`. */
     private readonly block: number,
   ) {}
 
-  /** Address of a part's machine, counted from 1. */
+  /** Returns the address of a machine; `number` starts at 1. */
   of(part: keyof typeof PARTS, number: number): string {
     return `127.${this.block}.${PARTS[part]}.${number}`;
   }
--- a/soak/soak-report.ts
+++ b/soak/soak-report.ts
@@ -1,56 +1,56 @@
-/** What a soak is run with, and what it shows. */
+/** Options and report of a soak run. */
 import type { PowerLossCounts } from './power-loss-counts.js';
 import type { SoakCounts } from './soak-client.js';
 import type { Fault } from './soak-faults.js';
 import type { UpgradePlan, UpgradeStep } from './soak-upgrade.js';
 
-/** What a soak is run with. */
+/** Options of a soak run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly minutes: number;
-  /** Clients at work at the same time. @default 8 */
+  /** Number of concurrent clients. @default 8 */
   readonly clientCount?: number;
-  /** Gateways at work. @default 3 */
+  /** Number of gateways. @default 3 */
   readonly gatewayCount?: number;
-  /** Replicas at work: three are members, others stand by. @default 4 */
+  /** Number of replicas: three are members, others idle standbys. @default 4 */
   readonly replicaCount?: number;
-  /** Kinds of faults that strike. @default all */
+  /** Fault kinds to inject. @default all */
   readonly faults?: readonly Fault[];
-  /** Block of addresses, so that soaks can run beside one another. @default 0 */
+  /** Block of loopback addresses; soaks in different blocks can run concurrently. @default 0 */
   readonly block?: number;
-  /** Whether entries of other writers stand in the store; older builds end over them. @default true */
+  /** Whether the store also holds invalid runner entries of other writers; older builds exit on them. @default true */
   readonly hasStrangeEntries?: boolean;
-  /** Machines that change their build meanwhile. @default none */
+  /** Rolling upgrade to perform during the run. @default none */
   readonly upgrade?: UpgradePlan | undefined;
 }
 
-/** What a soak showed. */
+/** Result of a soak run; the command prints it as JSON. */
 export interface SoakReport {
   readonly seed: number;
   readonly counts: SoakCounts;
   readonly faults: Readonly<Record<string, number>>;
-  /** Pairs of faults that struck at the same time. */
+  /** Counts of faults that were active at the same time, by pair. */
   readonly pairs: Readonly<Record<string, number>>;
-  /** Looks at the configuration of gateways in touch. */
+  /** Completed configuration checks of gateways that were not excused by a fault. */
   readonly configurationLooks: number;
-  /** Requests sent under keys that were taken away. */
+  /** Requests sent with revoked keys. */
   readonly oldKeyRequests: number;
-  /** Requests of the tenant with a limit that were answered. */
+  /** Answered requests of the rate-limited tenant. */
   readonly limitedAnswers: number;
-  /** Milliseconds from the start of all processes after each loss of all power to service of every kind. */
+  /** Time from the restart after each loss of all power until every kind was served, in milliseconds. */
   readonly recoveries: readonly number[];
-  /** What losses of power took that was not synced: that they bite. */
+  /** Unsynced data that power losses discarded; shows that the fault has an effect. */
   readonly lost: PowerLossCounts;
-  /** Machines that were started with another build, in their order. */
+  /** Machines restarted with another build, in order. */
   readonly upgrade: readonly UpgradeStep[];
   readonly violations: readonly string[];
-  /** Where the logs of the processes are. */
+  /** Folder with the logs of the processes. */
   readonly folder: string;
 }
 
-/** A soak under way. */
+/** A soak in progress. */
 export interface RunningSoak {
   readonly report: Promise<SoakReport>;
-  /** Ends all processes at once, for when the soak itself is to end. */
+  /** Kills all processes at once, for use when the soak itself exits. */
   readonly killAll: () => void;
 }
--- a/soak/soak-upgrade.ts
+++ b/soak/soak-upgrade.ts
@@ -1,42 +1,42 @@
 /**
- * Machines that are stopped one after the other and start again with another build, while clients work and
- * faults strike; then, if wanted, back again.
+ * A rolling upgrade during a soak: machines are stopped one after another and restarted with another build, and
+ * optionally rolled back, while clients send requests and faults may be injected.
  */
 import { endedConnections } from './ended-connections.js';
 import type { PlatformProcess, PlatformRole } from './platform-process.js';
 import { PROGRAM } from './platform-process.js';
 import type { SoakCounts } from './soak-client.js';
 
-/** Which machines come first. */
+/** Which role is upgraded first. */
 export const UPGRADE_ORDERS = ['gateways', 'replicas'] as const;
-/** One of these. */
+/** The role that is upgraded first. */
 export type UpgradeOrder = (typeof UPGRADE_ORDERS)[number];
 
-/** How far an upgrade goes. */
+/** Extents of an upgrade. */
 export const UPGRADE_ENDS = ['whole', 'halfway', 'back'] as const;
-/** One of these: all machines, half of them for good, or half of them and then all back. */
+/** All machines, half of them for good, or half of them followed by a rollback. */
 export type UpgradeEnd = (typeof UPGRADE_ENDS)[number];
 
 /**
- * What is judged: nothing while faults strike; else that no shared connection ended over an unreadable message
- * (`connections`), and besides that no request was refused (`refusals`).
- * On a machine that is busy with other work replicas may be too slow for a request without any upgrade.
+ * What is checked besides the guarantees: nothing while faults are injected; otherwise that no shared connection
+ * was closed over an unreadable message (`connections`), and also that no request was refused (`refusals`).
+ * Refusals are left out on a machine that is busy with other work, where replicas may be too slow anyway.
  */
 export type UpgradeJudgement = 'nothing' | 'connections' | 'refusals';
 
-/** An upgrade that is played. */
+/** Plan of a rolling upgrade. */
 export interface UpgradePlan {
-  /** Commit with which all machines start. */
+  /** Commit whose build all machines start with. */
   readonly from: string;
-  /** Its program. */
+  /** Path of that build's program. */
   readonly program: string;
   readonly order: UpgradeOrder;
   readonly end: UpgradeEnd;
-  /** What is judged of it, beside the promises. */
+  /** What is checked besides the guarantees. */
   readonly judged: UpgradeJudgement;
 }
 
-/** One machine that was started with another build, and what clients saw until the next one was. */
+/** A machine restarted with another build, and the request counts until the next restart. */
 export interface UpgradeStep {
   readonly machine: string;
   readonly build: 'old' | 'new';
@@ -45,16 +45,16 @@
   readonly failed: number;
 }
 
-/** What the upgrade is played with. */
+/** Dependencies of the rolling upgrade. */
 export interface SoakUpgradeOptions {
   readonly plan: UpgradePlan;
   readonly of: (role: PlatformRole) => readonly PlatformProcess[];
   readonly counts: SoakCounts;
-  /** Runs an action on a machine once no fault strikes it, and keeps faults away meanwhile. */
+  /** Runs an action on a machine once no fault has it as a target, and keeps faults off it meanwhile. */
   readonly reserve: (machine: PlatformProcess, action: () => Promise<void>) => Promise<void>;
 }
 
-/** Time between two machines: a replica has read what it missed, and clients have met the mix. */
+/** Pause between two machines, in which a replica catches up and clients use the mixed builds, in milliseconds. */
 const BETWEEN_MILLISECONDS = 3_000;
 
 interface PlannedStep {
@@ -63,13 +63,13 @@
   readonly build: 'old' | 'new';
 }
 
-/** See the head of this file. */
+/** Performs a rolling upgrade and reports what went wrong in it. */
 export class SoakUpgrade {
   readonly steps: UpgradeStep[] = [];
 
   constructor(private readonly options: SoakUpgradeOptions) {}
 
-  /** Rolls all machines of the plan; resolves after the last one's pause. */
+  /** Restarts all machines of the plan; resolves after the pause that follows the last one. */
   async run(): Promise<void> {
     for (const step of this.plannedSteps()) {
       const before = { ...this.options.counts };
@@ -86,7 +86,7 @@
     }
   }
 
-  /** What is wrong with it, once all processes have ended; their logs are in folders of this one. */
+  /** Returns the upgrade's violations. Call once all processes have ended; `folder` holds a subfolder for each log. */
   violationsIn(folder: string): string[] {
     const { judged } = this.options.plan;
     const ended = judged === 'nothing' ? [] : endedConnections(folder);
@@ -97,7 +97,7 @@
     return this.steps
       .filter(({ refused }) => refused > 0)
       .map(({ machine, build, sent, refused }) => {
-        return `upgrade: ${refused} of ${sent} refused as ${machine} began with the ${build} build`;
+        return `upgrade: ${refused} of ${sent} requests refused after ${machine} started with the ${build} build`;
       });
   }
 
@@ -107,7 +107,7 @@
       plan.order === 'gateways' ? ['gateway', 'replica'] : ['replica', 'gateway'];
     const machines = roles.flatMap((role) => of(role).map(({ machine }) => machine));
     const onwards = machines.map(({ name, role }) => ({ name, role, build: 'new' as const }));
-    // More than half, so that machines of either role are of both builds at the end.
+    // More than half of the machines.
     const half = onwards.slice(0, Math.ceil((machines.length + 1) / 2));
     const back = [...half].reverse().map((step) => ({ ...step, build: 'old' as const }));
     const ends = { whole: onwards, halfway: half, back: [...half, ...back] };
@@ -117,13 +117,13 @@
   private async roll({ name, role, build }: PlannedStep): Promise<void> {
     const { plan, of, reserve } = this.options;
     const rolled = of(role).find(({ machine }) => machine.name === name);
-    // Its machine may be gone for good by now; the one in its place began with the same build.
+    // A fault may have replaced the machine for good; the replacement started with the same build.
     if (rolled === undefined) {
       return;
     }
     await reserve(rolled, async () => {
       const ended = rolled.ended();
-      // One that ended by itself is told as such, and starts again with the others.
+      // An exit that the soak did not cause stays recorded in ownExits; the process is restarted all the same.
       rolled.signal('SIGTERM');
       await ended;
       rolled.program = build === 'new' ? PROGRAM : plan.program;
--- a/soak/soak-world.ts
+++ b/soak/soak-world.ts
@@ -1,4 +1,4 @@
-/** What a soak is played on: gateways and replicas as processes, runners, the store, and paths to both. */
+/** The deployment under soak: gateway and replica processes, emulated runners, the store, and proxies before both. */
 import { mkdirSync, mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -13,28 +13,28 @@
 import { SOAK_SERVICE } from './soak-configuration.js';
 import { SoakHosts } from './soak-hosts.js';
 
-/** How large the world is. */
+/** Size and content of the deployment. */
 export interface SoakWorldOptions {
   readonly gatewayCount: number;
   readonly replicaCount: number;
   readonly runnerCount: number;
-  /** Block of its addresses, see `SoakHosts`. */
+  /** Block of loopback addresses, see `SoakHosts`. */
   readonly block: number;
-  /** Program with which all machines start. */
+  /** Path of the program with which all machines start. */
   readonly program: string;
-  /** Whether entries of other writers stand in the store. */
+  /** Whether the store also holds invalid runner entries of other writers. */
   readonly hasStrangeEntries: boolean;
 }
 
 const STORE_PORT = 18142;
 const RUNNER_PORT = 18080;
 const ZONES = 3;
-/** Time in which all processes have started and found one another. */
+/** Time within which all processes have started and discovered one another, in milliseconds. */
 const START_MILLISECONDS = 5_000;
 /** Time between two events of a stream, in milliseconds. */
 const EVENT_MILLISECONDS = 8;
 
-/** Entries of other writers, which stand beside those of the runners: none names a runner. */
+/** Invalid entries under the runners' prefix; processes must ignore them. */
 const STRANGE_ENTRIES: readonly Record<string, unknown>[] = [
   { Service: SOAK_SERVICE, Address: 'x', State: 'ready' },
   { Service: SOAK_SERVICE, Address: '127.0.0.1:99999', State: 'ready' },
@@ -47,19 +47,19 @@
   return `z${((number - 1) % ZONES) + 1}`;
 }
 
-/** See the head of this file. */
+/** Starts, replaces and stops the processes and servers of a soak. */
 export class SoakWorld {
-  /** Where the logs and disks of the processes are. */
+  /** Folder with the logs and data of the processes. */
   readonly folder = mkdtempSync(join(tmpdir(), 'ivyloom-soak-'));
   readonly store = new StandInStore();
-  /** Paths of processes to the store, by the process's name. */
+  /** Proxy to the store of each process, by the process's name. */
   readonly storeProxies = new Map<string, FaultProxy>();
   readonly runnerProxies: FaultProxy[] = [];
-  /** All runners there ever were. */
+  /** Every runner started so far, including crashed ones. */
   readonly runners: RelayRunner[] = [];
   readonly liveRunners: RelayRunner[] = [];
   readonly processes: PlatformProcess[] = [];
-  /** Those whose machines are gone for good. */
+  /** Processes whose machines were removed for good. */
   readonly gone: PlatformProcess[] = [];
   private startedReplicas = 0;
   private readonly hosts: SoakHosts;
@@ -68,7 +68,7 @@
     this.hosts = new SoakHosts(options.block);
   }
 
-  /** Addresses of all gateways, whether they run or not. */
+  /** Addresses of all gateways, running or not. */
   get gatewayHosts(): string[] {
     const { gatewayCount } = this.options;
     return Array.from({ length: gatewayCount }, (_, index) => this.hosts.of('gateway', index + 1));
@@ -79,7 +79,7 @@
     return this.processes.filter((process) => process.machine.role === role);
   }
 
-  /** Starts the store and the runners; the configuration is written next. */
+  /** Starts the store and the runners; the caller writes the configuration next. */
   async startSurroundings(): Promise<void> {
     await this.store.listen(this.hosts.of('store', 1), STORE_PORT);
     for (let index = 0; index < this.options.runnerCount; index += 1) {
@@ -91,7 +91,7 @@
     );
   }
 
-  /** Starts all processes; resolves when they have had time to find one another. */
+  /** Starts all processes; resolves after the time they take to discover one another. */
   async startProcesses(): Promise<void> {
     const { gatewayCount, replicaCount, program } = this.options;
     for (let number = 1; number <= gatewayCount; number += 1) {
@@ -103,27 +103,27 @@
     await new Promise((resolve) => setTimeout(resolve, START_MILLISECONDS));
   }
 
-  /** Lets a killed replica's machine be gone for good and starts an empty one elsewhere in its place. */
+  /** Removes a killed replica for good and starts an empty replacement at a new address in the same zone. */
   async replaceReplica(gone: PlatformProcess): Promise<void> {
     this.processes.splice(this.processes.indexOf(gone), 1);
     this.gone.push(gone);
     await this.startReplica(gone.machine.zone, gone.program);
   }
 
-  /** Crashes a runner; another takes its address after a pause. */
+  /** Crashes a runner; after a pause a runner with a new id starts at its address. */
   async replaceRunner(index: number, pauseMilliseconds: number): Promise<void> {
     const crashed = await this.crashRunner(index, pauseMilliseconds);
     this.store.remove(RUNNER_PREFIX + crashed.id);
     await this.startRunner(index, `runner-${index}-${this.runners.length}`);
   }
 
-  /** Crashes a runner; it starts again under its id after a pause, and knows nothing of before. */
+  /** Crashes a runner; after a pause it restarts under the same id with empty state. */
   async restartRunner(index: number, pauseMilliseconds: number): Promise<void> {
     const crashed = await this.crashRunner(index, pauseMilliseconds);
     await this.startRunner(index, crashed.id);
   }
 
-  /** Ends everything. */
+  /** Kills all processes and closes the proxies, runners and store. */
   async stop(): Promise<void> {
     const ended = this.processes.map((process) => process.ended());
     this.processes.forEach((process) => process.signal('SIGKILL'));
--- a/soak/tenant-check.ts
+++ b/soak/tenant-check.ts
@@ -1,7 +1,6 @@
 /**
- * Checks from outside what tenants are promised: nothing runs under a key that was taken away longer
- * ago than the bound, or that nobody holds, and no more of a tenant's requests run in any window than
- * its limit allows.
+ * Checks the tenant guarantees from outside: no request runs with an unknown key or with a key that was revoked
+ * longer ago than the bound, and no more of a tenant's requests run in any window than its rate limit allows.
  */
 import { request as httpRequest } from 'node:http';
 import { PLATFORM_HEADER_NAMES as NAMES } from '../platform/header-names.js';
@@ -10,7 +9,7 @@
 import { SOAK_BOUNDS, SOAK_PORTS } from './platform-process.js';
 import { SOAK_HOST } from './soak-client.js';
 
-/** Name and key of the tenant whose limit is checked, and its limit. */
+/** Name, key and rate limit (requests per second) of the tenant whose limit is checked. */
 export const LIMITED_TENANT = 'limited';
 export const LIMITED_KEY = 'key-of-limited';
 export const LIMITED_RATE = 20;
@@ -22,46 +21,46 @@
 const OLD_KEY_PAUSE_MILLISECONDS = 60;
 const UNKNOWN_KEY = 'key-of-nobody';
 const UNKNOWN_SHARE = 0.1;
-/** Keys that were taken away and are still tried, the newest ones. */
+/** Number of the most recently revoked keys that are still tried. */
 const TRIED_KEYS = 4;
 const ANSWER_MILLISECONDS = 3_000;
 const OK = 200;
 
-/** A key that the store's configuration no longer has. */
+/** A key that the configuration in the store no longer contains. */
 interface RemovedKey {
   readonly key: string;
-  /** Local time of the acknowledgement, in milliseconds. */
+  /** Local time at which the store acknowledged the removal, in milliseconds. */
   readonly removedAt: number;
 }
 
-/** What the check is made with. */
+/** Dependencies of the tenant check. */
 export interface TenantCheckOptions {
   readonly random: RandomSource;
   readonly gatewayHosts: readonly string[];
-  /** All runners there ever were. */
+  /** Every runner started so far, including crashed ones. */
   readonly runners: readonly RelayRunner[];
   readonly violate: (promise: string, detail: string) => void;
 }
 
-/** See the head of this file. */
+/** Sends requests with revoked keys and above a rate limit, and reports those that should not have run. */
 export class TenantCheck {
-  /** Requests sent under keys that were taken away. */
+  /** Requests sent with revoked or unknown keys. */
   oldKeyRequests = 0;
-  /** Requests of the limited tenant that were answered. */
+  /** Requests of the rate-limited tenant that were answered with 200. */
   limitedAnswers = 0;
   private requestCount = 0;
   private readonly removed: RemovedKey[] = [];
-  /** Times of sending and of the answer. */
+  /** Local times of each answered request of the rate-limited tenant, in milliseconds. */
   private readonly limited: { readonly sentAt: number; readonly answeredAt: number }[] = [];
 
   constructor(private readonly options: TenantCheckOptions) {}
 
-  /** Notes that a configuration without a key was acknowledged at a local time, in milliseconds. */
+  /** Records that the store acknowledged a configuration without a key at a local time, in milliseconds. */
   removeKey(key: string, removedAt = performance.now()): void {
     this.removed.push({ key, removedAt });
   }
 
-  /** Sends until told to stop, then looks at all windows. */
+  /** Sends requests until `isOver` returns true, then checks the rate limit in all windows. */
   async run(isOver: () => boolean): Promise<void> {
     await Promise.all([this.tryOldKeys(isOver), this.sendLimited(isOver)]);
     this.checkWindows();
@@ -89,7 +88,10 @@
         runner.runs.some((run) => run.requestId === id),
       );
       if (ran && age > SOAK_BOUNDS.revokeMilliseconds) {
-        this.options.violate('key taken away', `${id} ran ${Math.round(age)} ms after its removal`);
+        this.options.violate(
+          'key taken away',
+          `request ${id} ran; it was sent ${Math.round(age)} ms after its key was revoked`,
+        );
       }
     });
   }
@@ -110,7 +112,7 @@
     }
   }
 
-  /** Counts what was both sent and answered within each window that begins with a request. */
+  /** Counts the requests both sent and answered within each window that starts with a request. */
   private checkWindows(): void {
     const sum = (LIMITED_RATE * QUOTA_WINDOW_MILLISECONDS) / MILLISECONDS_IN_SECOND + LIMITED_BURST;
     const most = sum * (1 + SOAK_BOUNDS.quotaOvershoot) + SOAK_BOUNDS.quotaSlack;
@@ -118,13 +120,16 @@
       const end = sentAt + QUOTA_WINDOW_MILLISECONDS;
       const inside = this.limited.filter((each) => each.sentAt >= sentAt && each.answeredAt <= end);
       if (inside.length > most) {
-        this.options.violate('limit', `${inside.length} requests ran in 5 s, ${most} may`);
+        this.options.violate(
+          'limit',
+          `${inside.length} requests of the limited tenant ran in 5 s, at most ${most} are allowed`,
+        );
         return;
       }
     }
   }
 
-  /** Sends one request; returns its id. */
+  /** Sends one request and returns its id; `done` gets the response status, or 0 without a complete response. */
   private send(key: string, done: (status: number) => void): string {
     this.requestCount += 1;
     const id = `tenant-check-${this.requestCount}`;
@@ -142,7 +147,7 @@
     });
     const timer = setTimeout(() => client.destroy(), ANSWER_MILLISECONDS);
     client.on('close', () => clearTimeout(timer));
-    // The gateway is down or cut off: whether the request ran is looked up all the same.
+    // The request may have reached a runner even if the gateway is down or unreachable, so `done` is called.
     client.on('error', () => done(0));
     client.end();
     return id;
