--- a/features/support/prepared-hashing.ts
+++ b/features/support/prepared-hashing.ts
@@ -1,2 +1,2 @@
-/** Scenarios take hashes from their first step on. */
+/** Initializes hashing before the first step of a scenario uses it. */
 import '../../src/runtime/prepared-hashing.js';
--- a/features/support/timeouts.ts
+++ b/features/support/timeouts.ts
@@ -1,4 +1,4 @@
-/** A step may take long on a busy machine; no scenario asserts speed. */
+/** Sets the default step timeout; generous, since steps may be slow on a busy machine. */
 import { setDefaultTimeout } from '@cucumber/cucumber';
 
 const STEP_MILLISECONDS = 60_000;
