--- a/soak/configuration-check.ts
+++ b/soak/configuration-check.ts
@@ -32,10 +32,10 @@
 
 /** Polls the routes of all gateways and reports overdue configuration changes. */
 export class ConfigurationCheck {
-  /** Completed checks of gateways that had a change due and were not excused. */
+  /** Completed checks of gateways that had a change due and were not exempt. */
   looks = 0;
   private readonly changes: Acknowledged[] = [];
-  /** Local time until which a gateway is excused, by host. */
+  /** Local time until which a gateway is exempt, by host. */
   private readonly excusedUntil = new Map<string, number>();
   private requestCount = 0;
 
@@ -51,7 +51,7 @@
     this.changes.push({ at, version, added, dropped });
   }
 
-  /** Excuses gateways for the duration of a fault; returns a function that ends the fault. */
+  /** Exempts gateways for the duration of a fault; returns a function that ends the fault. */
   excuse(hosts: readonly string[]): () => void {
     hosts.forEach((host) => this.excusedUntil.set(host, Infinity));
     return () => {
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -192,7 +192,7 @@
     }
   }
 
-  /** Injects a fault, and excuses the affected gateways from the configuration check meanwhile. */
+  /** Injects a fault, and exempts the affected gateways from the configuration check meanwhile. */
   private async strikeOnce(fault: Fault, struck: readonly string[]): Promise<void> {
     this.lasting.set(fault, struck);
     const gateways = this.world.of('gateway');
--- a/soak/soak-faults.ts
+++ b/soak/soak-faults.ts
@@ -48,7 +48,7 @@
   'unframed',
 ];
 
-/** Faults of the store; the configuration check excuses all gateways while one lasts. */
+/** Faults of the store; the configuration check exempts all gateways while one lasts. */
 export const STORE_FAULTS: ReadonlySet<Fault> = new Set([
   'storeRefuses',
   'storeSilent',
--- a/soak/soak-report.ts
+++ b/soak/soak-report.ts
@@ -31,7 +31,7 @@
   readonly faults: Readonly<Record<string, number>>;
   /** Counts of faults that were active at the same time, by pair. */
   readonly pairs: Readonly<Record<string, number>>;
-  /** Completed configuration checks of gateways that were not excused by a fault. */
+  /** Completed configuration checks of gateways that were not exempt because of a fault. */
   readonly configurationLooks: number;
   /** Requests sent with revoked keys. */
   readonly oldKeyRequests: number;
