--- a/soak/soak-upgrade.ts
+++ b/soak/soak-upgrade.ts
@@ -123,7 +123,7 @@
     }
     await reserve(rolled, async () => {
       const ended = rolled.ended();
-      // An exit that the soak did not cause stays recorded in ownExits; the process is restarted all the same.
+      // An exit that the soak did not cause stays in ownExits; the process is restarted regardless.
       rolled.signal('SIGTERM');
       await ended;
       rolled.program = build === 'new' ? PROGRAM : plan.program;
