--- a/soak/soak-faults.ts
+++ b/soak/soak-faults.ts
@@ -56,7 +56,7 @@
   'storeForgets',
 ]);
 /**
- * Common target of all replica faults, so that they strike one at a time: the platform does not guarantee to
+ * Common target of all replica faults, so that only one is active at a time: the platform does not guarantee to
  * tolerate the loss of two of three disks.
  */
 export const REPLICAS_TOGETHER = 'replicas';
