--- a/features/steps/soak.steps.ts
+++ b/features/steps/soak.steps.ts
@@ -4,7 +4,7 @@
 import { PLATFORM_HEADER_NAMES } from '../../platform/header-names.js';
 import { ConfigurationCheck } from '../../soak/configuration-check.js';
 import { SOAK_PORTS } from '../../soak/platform-process.js';
-import { noCounts, SoakClient } from '../../soak/soak-client.js';
+import { createCounts, SoakClient } from '../../soak/soak-client.js';
 import type { SoakClientContext } from '../../soak/soak-client.js';
 import { slowReaderViolations } from '../../soak/slow-reading.js';
 import { TenantCheck } from '../../soak/tenant-check.js';
@@ -17,32 +17,32 @@
 const CLIENTS = 4;
 
 interface World {
-  lyingGateway?: FaultyGateway;
+  faultyGateway?: FaultyGateway;
   soakRunner?: RelayRunner;
-  told?: Set<string>;
+  violatedGuarantees?: Set<string>;
   check?: ConfigurationCheck;
 }
 
 After(function (this: World) {
-  this.lyingGateway?.close();
+  this.faultyGateway?.close();
 });
 
-Given('a fake gateway with the fault {string}', async function (this: World, lie: GatewayFault) {
+Given('a fake gateway with the fault {string}', async function (this: World, fault: GatewayFault) {
   this.soakRunner = new RelayRunner({ id: 'runner', names: PLATFORM_HEADER_NAMES });
-  this.lyingGateway = new FaultyGateway(lie, this.soakRunner);
-  await this.lyingGateway.listen(HOST, SOAK_PORTS.front);
+  this.faultyGateway = new FaultyGateway(fault, this.soakRunner);
+  await this.faultyGateway.listen(HOST, SOAK_PORTS.front);
 });
 
 When(
   'clients of the soak send requests to it for {int} milliseconds',
   async function (this: World, milliseconds: number) {
-    this.told = new Set();
+    this.violatedGuarantees = new Set();
     const context: SoakClientContext = {
       random: createRandom(1),
       gatewayHosts: [HOST],
       runners: [this.soakRunner!],
-      counts: noCounts(),
-      violate: (promise) => this.told!.add(promise),
+      counts: createCounts(),
+      violate: (promise) => this.violatedGuarantees!.add(promise),
     };
     const until = performance.now() + milliseconds;
     const clients = Array.from({ length: CLIENTS }, (_, index) =>
@@ -56,10 +56,10 @@
 Given(
   'a configuration change that added a route and dropped {int} others, acknowledged {int} milliseconds ago',
   function (this: World, droppedCount: number, age: number) {
-    this.told = new Set();
+    this.violatedGuarantees = new Set();
     this.check = new ConfigurationCheck({
       gatewayHosts: [HOST],
-      violate: (promise) => this.told!.add(promise),
+      violate: (promise) => this.violatedGuarantees!.add(promise),
     });
     const dropped = Array.from({ length: droppedCount }, (_, index) => `dropped-${index}`);
     this.check.acknowledge(2, 'added-2', dropped, performance.now() - age);
@@ -78,7 +78,7 @@
   /^its configuration is looked at for (\d+) milliseconds while it is (in|out of) touch$/,
   async function (this: World, milliseconds: string, touch: string) {
     if (touch === 'out of') {
-      this.check!.excuse([HOST]);
+      this.check!.exempt([HOST]);
     }
     const until = performance.now() + Number(milliseconds);
     await this.check!.run(() => performance.now() > until);
@@ -88,12 +88,12 @@
 When(
   'the tenant check runs for {int} milliseconds with a key that was revoked {int} milliseconds ago',
   async function (this: World, milliseconds: number, age: number) {
-    this.told = new Set();
+    this.violatedGuarantees = new Set();
     const check = new TenantCheck({
       random: createRandom(3),
       gatewayHosts: [HOST],
       runners: [this.soakRunner!],
-      violate: (promise) => this.told!.add(promise),
+      violate: (promise) => this.violatedGuarantees!.add(promise),
     });
     check.removeKey('key-of-guest', performance.now() - age);
     const until = performance.now() + milliseconds;
@@ -104,8 +104,8 @@
 
 Then(
   'exactly this guarantee is reported as violated: {string}',
-  function (this: World, promise: string) {
-    assert.deepEqual([...this.told!], promise === '' ? [] : [promise]);
+  function (this: World, guarantee: string) {
+    assert.deepEqual([...this.violatedGuarantees!], guarantee === '' ? [] : [guarantee]);
   },
 );
 
--- a/features/support/recorded-disk.ts
+++ b/features/support/recorded-disk.ts
@@ -74,10 +74,10 @@
     }
   }
 
-  /** Ends the process run with a power loss; `nameLoss` is the probability that an unsynced name change is undone. */
-  async losePower(random: RandomSource, nameLoss: number): Promise<void> {
+  /** Ends the process run with a power loss that undoes each unsynced name change with the given probability. */
+  async losePower(random: RandomSource, nameLossProbability: number): Promise<void> {
     await this.stop();
-    losePower(this.folder, { random, nameLoss });
+    losePower(this.folder, { random, nameLossProbability });
   }
 
   /** Ends the process run and deletes everything on the disk. */
--- a/soak/built-program.ts
+++ b/soak/built-program.ts
@@ -21,7 +21,7 @@
 }
 
 /** Resolves a commit name to its full hash. Throws `BuildError` when the clone doesn't contain the commit. */
-function commitNamed(name: string): string {
+function resolveCommit(name: string): string {
   const words = ['rev-parse', '--verify', '--quiet', `${name}^{commit}`];
   try {
     return execFileSync('git', words, {
@@ -41,7 +41,7 @@
 
 /** Builds a commit with the installed packages and returns the path of its program. Throws `BuildError`. */
 export function buildProgram(name: string): string {
-  const commit = commitNamed(name);
+  const commit = resolveCommit(name);
   const folder = mkdtempSync(join(tmpdir(), `ivyloom-build-${commit.slice(0, 8)}-`));
   const archive = execFileSync('git', ['archive', '--format=tar', commit], {
     maxBuffer: MAXIMUM_ARCHIVE_BYTES,
--- a/soak/configuration-check.ts
+++ b/soak/configuration-check.ts
@@ -9,13 +9,13 @@
 
 /** Time after a fault in which a gateway may still be behind, in milliseconds. */
 const CONTACT_MILLISECONDS = 3_000;
-const LOOK_MILLISECONDS = 200;
-const ANSWER_MILLISECONDS = 900;
+const CHECK_PAUSE_MILLISECONDS = 200;
+const RESPONSE_TIMEOUT_MILLISECONDS = 900;
 const NOT_FOUND = 404;
 const OK = 200;
 
 /** A configuration change that the store acknowledged. */
-interface Acknowledged {
+interface AcknowledgedChange {
   /** Time of the acknowledgement by `performance.now()`, in milliseconds. */
   readonly at: number;
   readonly version: number;
@@ -33,10 +33,10 @@
 /** Polls the routes of all gateways and reports overdue configuration changes. */
 export class ConfigurationCheck {
   /** Completed checks of gateways that had a change due and were not exempt. */
-  looks = 0;
-  private readonly changes: Acknowledged[] = [];
+  completedChecks = 0;
+  private readonly changes: AcknowledgedChange[] = [];
   /** Local time until which a gateway is exempt, by host. */
-  private readonly excusedUntil = new Map<string, number>();
+  private readonly exemptUntil = new Map<string, number>();
   private requestCount = 0;
 
   constructor(private readonly options: ConfigurationCheckOptions) {}
@@ -52,55 +52,56 @@
   }
 
   /** Exempts gateways for the duration of a fault; returns a function that ends the fault. */
-  excuse(hosts: readonly string[]): () => void {
-    hosts.forEach((host) => this.excusedUntil.set(host, Infinity));
+  exempt(hosts: readonly string[]): () => void {
+    hosts.forEach((host) => this.exemptUntil.set(host, Infinity));
     return () => {
       const until = performance.now() + CONTACT_MILLISECONDS;
-      hosts.forEach((host) => this.excusedUntil.set(host, until));
+      hosts.forEach((host) => this.exemptUntil.set(host, until));
     };
   }
 
   /** Checks all gateways at an interval until `isOver` returns true. */
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
-      await Promise.all(this.options.gatewayHosts.map((host) => this.look(host)));
-      await new Promise((resolve) => setTimeout(resolve, LOOK_MILLISECONDS));
+      await Promise.all(this.options.gatewayHosts.map((host) => this.checkGateway(host)));
+      await new Promise((resolve) => setTimeout(resolve, CHECK_PAUSE_MILLISECONDS));
     }
   }
 
-  private async look(host: string): Promise<void> {
-    const owed = this.newestOwed;
-    if (owed === undefined || !this.isInTouch(host)) {
+  private async checkGateway(host: string): Promise<void> {
+    const due = this.newestDue;
+    if (due === undefined || !this.isInContact(host)) {
       return;
     }
-    const added = await this.statusOf(host, owed.added);
-    const dropped = owed.dropped.length === 0 ? 0 : await this.statusOf(host, owed.dropped.at(-1)!);
-    if (!this.isInTouch(host) || owed.version < (this.newestOwed?.version ?? 0)) {
+    const added = await this.requestStatus(host, due.added);
+    const dropped =
+      due.dropped.length === 0 ? 0 : await this.requestStatus(host, due.dropped.at(-1)!);
+    if (!this.isInContact(host) || due.version < (this.newestDue?.version ?? 0)) {
       return;
     }
-    this.looks += 1;
-    const age = Math.round(performance.now() - owed.at);
-    if (added === NOT_FOUND && !this.isDroppedAfter(owed)) {
+    this.completedChecks += 1;
+    const age = Math.round(performance.now() - due.at);
+    if (added === NOT_FOUND && !this.isDroppedAfter(due)) {
       this.violate(
-        `gateway ${host} does not serve route ${owed.added}, added by version ${owed.version} ${age} ms ago`,
+        `gateway ${host} does not serve route ${due.added}, added by version ${due.version} ${age} ms ago`,
       );
     }
     if (dropped === OK) {
-      const route = owed.dropped.at(-1)!;
+      const route = due.dropped.at(-1)!;
       this.violate(
-        `gateway ${host} still serves route ${route}, dropped by version ${owed.version} ${age} ms ago`,
+        `gateway ${host} still serves route ${route}, dropped by version ${due.version} ${age} ms ago`,
       );
     }
   }
 
   /** Whether a newer acknowledged change drops the route; a gateway may apply that change before its bound. */
-  private isDroppedAfter({ version, added }: Acknowledged): boolean {
+  private isDroppedAfter({ version, added }: AcknowledgedChange): boolean {
     return this.changes.some(
       (change) => change.version > version && change.dropped.includes(added),
     );
   }
 
-  private get newestOwed(): Acknowledged | undefined {
+  private get newestDue(): AcknowledgedChange | undefined {
     const since = performance.now() - SOAK_APPLY_MILLISECONDS;
     return this.changes.findLast(({ at }) => at <= since);
   }
@@ -109,17 +110,17 @@
     this.options.violate('configuration', detail);
   }
 
-  private isInTouch(host: string): boolean {
-    return performance.now() >= (this.excusedUntil.get(host) ?? 0);
+  private isInContact(host: string): boolean {
+    return performance.now() >= (this.exemptUntil.get(host) ?? 0);
   }
 
   /** Requests a route; resolves to the response status, or 0 without a response. */
-  private statusOf(host: string, route: string): Promise<number> {
+  private requestStatus(host: string, route: string): Promise<number> {
     this.requestCount += 1;
     const headers = {
       host: SOAK_HOST,
       [NAMES.requestId]: `look-${host}-${this.requestCount}`,
-      [NAMES.timeout]: String(ANSWER_MILLISECONDS),
+      [NAMES.timeout]: String(RESPONSE_TIMEOUT_MILLISECONDS),
       [NAMES.key]: `Token ${SOAK_KEY}`,
     };
     return new Promise((resolve) => {
@@ -129,7 +130,7 @@
         response.on('error', () => resolve(0));
         resolve(response.statusCode ?? 0);
       });
-      client.setTimeout(ANSWER_MILLISECONDS, () => client.destroy());
+      client.setTimeout(RESPONSE_TIMEOUT_MILLISECONDS, () => client.destroy());
       client.on('error', () => resolve(0));
       client.on('close', () => resolve(0));
       client.end();
--- a/soak/cost/cost-load.ts
+++ b/soak/cost/cost-load.ts
@@ -26,7 +26,7 @@
 const MILLISECONDS_IN_SECOND = 1_000;
 const TIMEOUT_MILLISECONDS = 3_000;
 /** Turns per program. */
-const TURNS = 5;
+const TURNS_PER_PROGRAM = 5;
 const TURN_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
 const PROMPT_BYTES = 2_000;
 const OK = 200;
@@ -35,7 +35,7 @@
 class CostLoad {
   private readonly agent = new Agent({ keepAlive: true });
   /** Programs whose last turn was answered, with the number of turns so far. */
-  private readonly waiting: { readonly program: string; readonly turns: number }[] = [];
+  private readonly readyPrograms: { readonly program: string; readonly turns: number }[] = [];
   private programs = 0;
   sent = 0;
   answered = 0;
@@ -43,12 +43,12 @@
   constructor(private readonly options: CostLoadOptions) {}
 
   sendNext(): Promise<void> {
-    const next = this.waiting.shift() ?? { program: this.newProgram(), turns: 0 };
+    const next = this.readyPrograms.shift() ?? { program: this.newProgram(), turns: 0 };
     this.sent += 1;
     return this.send(next.program, next.turns).then((isAnswered) => {
       this.answered += isAnswered ? 1 : 0;
-      if (isAnswered && next.turns + 1 < TURNS) {
-        this.waiting.push({ program: next.program, turns: next.turns + 1 });
+      if (isAnswered && next.turns + 1 < TURNS_PER_PROGRAM) {
+        this.readyPrograms.push({ program: next.program, turns: next.turns + 1 });
       }
     });
   }
@@ -73,7 +73,7 @@
       [NAMES.key]: `Token ${SOAK_KEY}`,
       [NAMES.program]: program,
       [NAMES.session]: program,
-      [NAMES.tokenBudget]: String(TURN_TOKENS * (TURNS + 1)),
+      [NAMES.tokenBudget]: String(TURN_TOKENS * (TURNS_PER_PROGRAM + 1)),
       [NAMES.tokenUsage]: `100,${TURN_TOKENS}`,
       ...(turn === 0 ? {} : { [NAMES.previousTurn]: `${program}-${turn - 1}` }),
     };
@@ -94,14 +94,14 @@
 export async function sendCostLoad(options: CostLoadOptions): Promise<CostLoadCounts> {
   const load = new CostLoad(options);
   const { runtime, rate, seconds } = options;
-  const beganAt = runtime.now();
-  const ends: Promise<void>[] = [];
+  const startedAt = runtime.now();
+  const requests: Promise<void>[] = [];
   for (let number = 0; number < rate * seconds; number += 1) {
-    const dueAt = beganAt + (number * MILLISECONDS_IN_SECOND) / rate;
+    const dueAt = startedAt + (number * MILLISECONDS_IN_SECOND) / rate;
     await new Promise<void>((resolve) => runtime.setTimer(dueAt - runtime.now(), resolve));
-    ends.push(load.sendNext());
+    requests.push(load.sendNext());
   }
-  await Promise.all(ends);
+  await Promise.all(requests);
   load.close();
   const { sent, answered } = load;
   return { sent, answered };
--- a/soak/cost/cost-world.ts
+++ b/soak/cost/cost-world.ts
@@ -15,7 +15,7 @@
 import { SOAK_SERVICE, SoakConfiguration } from '../soak-configuration.js';
 import { SoakHosts } from '../soak-hosts.js';
 import { startHollowGateways } from './hollow-gateways.js';
-import type { HollowPlace } from './hollow-gateways.js';
+import type { HollowAddress } from './hollow-gateways.js';
 
 /** Options of the deployment. */
 export interface CostWorldOptions {
@@ -33,13 +33,13 @@
 const ZONES = 3;
 const REPLICAS = 3;
 const RUNNERS = 6;
-const RUNNER_PLACES = 64;
+const RUNNER_SLOTS = 64;
 /** Pause before each event of a stream, in milliseconds. */
 const EVENT_MILLISECONDS = 8;
 const CONFIGURATION_SEED = 7;
 /** The configuration is the first entry written to the store. */
 const CONFIGURATION_REVISION = 1;
-const READY_LOOK_MILLISECONDS = 20;
+const READY_POLL_MILLISECONDS = 20;
 const OK = 200;
 
 function zoneOf(number: number): string {
@@ -53,7 +53,7 @@
   private readonly folder = mkdtempSync(join(tmpdir(), 'ivyloom-cost-'));
   private readonly store = new StandInStore();
   private readonly runners: RelayRunner[] = [];
-  private endHollow: () => void = () => undefined;
+  private stopHollowGateways: () => void = () => undefined;
   /** The gateway that is measured. */
   readonly gateway: PlatformProcess;
 
@@ -68,8 +68,8 @@
   }
 
   /** Starts everything except the measured gateway. */
-  async startSurroundings(): Promise<void> {
-    await this.store.listen(this.hosts.of('store', 1), STORE_PORT);
+  async startDependencies(): Promise<void> {
+    await this.store.listen(this.hosts.addressOf('store', 1), STORE_PORT);
     const configuration = new SoakConfiguration(createRandom(CONFIGURATION_SEED));
     this.store.put(CONFIGURATION_KEY, configuration.next().value);
     for (let number = 1; number <= RUNNERS; number += 1) {
@@ -80,24 +80,24 @@
       this.replicas.push(replica);
       replica.start();
     }
-    this.endHollow = this.startOthers();
+    this.stopHollowGateways = this.startPeers();
   }
 
   /** Starts the measured gateway; resolves when its readiness endpoint returns 200. */
   async startGateway(): Promise<void> {
     this.gateway.start();
     while (!(await this.isReady())) {
-      await new Promise((resolve) => setTimeout(resolve, READY_LOOK_MILLISECONDS));
+      await new Promise((resolve) => setTimeout(resolve, READY_POLL_MILLISECONDS));
     }
   }
 
   /** Stops everything and deletes the data. */
   async stop(): Promise<void> {
     const processes = [this.gateway, ...this.replicas];
-    const ended = processes.map((process) => process.ended());
+    const ended = processes.map((process) => process.whenExited());
     this.killAll();
     await Promise.all(ended);
-    this.endHollow();
+    this.stopHollowGateways();
     await Promise.all(this.runners.map((runner) => runner.crash()));
     this.store.close();
     rmSync(this.folder, { recursive: true, force: true });
@@ -109,20 +109,20 @@
   }
 
   private get seeds(): string[] {
-    return [1, 2].map((number) => this.hosts.of('gateway', number));
+    return [1, 2].map((number) => this.hosts.addressOf('gateway', number));
   }
 
-  private startOthers(): () => void {
+  private startPeers(): () => void {
     const { runtime, gatewayCount } = this.options;
-    const places = Array.from({ length: gatewayCount - 1 }, (_, index): HollowPlace => {
+    const addresses = Array.from({ length: gatewayCount - 1 }, (_, index): HollowAddress => {
       const number = index + 1;
-      return { host: this.hosts.of('gateway', number), zone: zoneOf(number) };
+      return { host: this.hosts.addressOf('gateway', number), zone: zoneOf(number) };
     });
     const revision = (): number => this.store.currentRevision;
     return startHollowGateways({
       runtime,
       ports: { peer: SOAK_PORTS.peer, proof: SOAK_PORTS.metrics },
-      places,
+      addresses,
       seeds: this.seeds,
       revision,
       configurationRevision: CONFIGURATION_REVISION,
@@ -137,9 +137,9 @@
       {
         name,
         role,
-        host: this.hosts.of(role, number),
+        host: this.hosts.addressOf(role, number),
         zone: zoneOf(number),
-        storeAddress: `${this.hosts.of('store', 1)}:${STORE_PORT}`,
+        storeAddress: `${this.hosts.addressOf('store', 1)}:${STORE_PORT}`,
         seeds: this.seeds.map((host) => `${host}:${SOAK_PORTS.control}`),
       },
       folder,
@@ -155,14 +155,14 @@
       eventCount: SOAK_EVENTS,
       pauseMilliseconds: EVENT_MILLISECONDS,
     });
-    const host = this.hosts.of('runner', number);
+    const host = this.hosts.addressOf('runner', number);
     await runner.listen(RUNNER_PORT, host);
     this.runners.push(runner);
     this.store.put(RUNNER_PREFIX + id, {
       Service: SOAK_SERVICE,
       Address: `${host}:${RUNNER_PORT}`,
       Zone: zoneOf(number),
-      Slots: RUNNER_PLACES,
+      Slots: RUNNER_SLOTS,
       State: 'ready',
     });
   }
--- a/soak/cost/hollow-gateways.ts
+++ b/soak/cost/hollow-gateways.ts
@@ -14,7 +14,7 @@
   /** UDP ports of load gossip and of configuration proofs. */
   readonly ports: { readonly peer: number; readonly proof: number };
   /** Host and zone of each hollow gateway. */
-  readonly places: readonly HollowPlace[];
+  readonly addresses: readonly HollowAddress[];
   readonly seeds: readonly string[];
   /** Current revision of the store; the first hollow gateway announces it as proved. */
   readonly revision: () => number;
@@ -26,20 +26,20 @@
 const PROOF_MILLISECONDS = 200;
 
 /** Host and zone of a hollow gateway. */
-export interface HollowPlace {
+export interface HollowAddress {
   readonly host: string;
   readonly zone: string;
 }
 
 /** Answers requests for a proof of the configuration's revision; returns a function that stops it. */
 function answerProofs(options: HollowGatewayOptions): () => void {
-  const { runtime, ports, places, configurationRevision } = options;
+  const { runtime, ports, addresses, configurationRevision } = options;
   const proof = new ConfigurationProof(runtime, () => configurationRevision);
   proof.noteRead(runtime.now());
   const endProofs = setRepeatingTimer(runtime, PROOF_MILLISECONDS, () =>
     proof.noteRead(runtime.now()),
   );
-  const exchanges = places.map(
+  const exchanges = addresses.map(
     ({ host }) =>
       new ProofExchange({
         runtime,
@@ -57,14 +57,14 @@
 
 /** Starts hollow gateways; returns a function that stops them. */
 export function startHollowGateways(options: HollowGatewayOptions): () => void {
-  const { runtime, ports, places, seeds, revision } = options;
+  const { runtime, ports, addresses, seeds, revision } = options;
   let proofs = 0;
   const proofOf = (host: string): StoreProof => {
     proofs += 1;
     const life = hashToNumber(host);
     return { life, number: proofs, revision: revision(), ageMilliseconds: 0 };
   };
-  const gossips = places.map(
+  const gossips = addresses.map(
     ({ host, zone }, index) =>
       new LoadGossip({
         runtime,
--- a/soak/cost/main.ts
+++ b/soak/cost/main.ts
@@ -2,13 +2,13 @@
 import '../../src/runtime/prepared-hashing.js';
 import meow from 'meow';
 import { createRealRuntime } from '../../src/runtime/real-runtime.js';
-import { MOST_BLOCKS } from '../soak-hosts.js';
+import { MAXIMUM_BLOCK } from '../soak-hosts.js';
 import type { CostWorld } from './cost-world.js';
 import { measureCosts } from './measure-costs.js';
 import type { CostFigures } from './measure-costs.js';
 import { programIn } from '../built-program.js';
 
-const EXIT_WRONG_USE = 2;
+const EXIT_USAGE_ERROR = 2;
 
 const cli = meow(
   `
@@ -26,7 +26,7 @@
     --idle S          seconds of the idle measurement (default 5)
     --rates A,B       requests per second (default 2,15,100)
     --seconds S       seconds per rate (default 5)
-    --block B         block of loopback addresses, 0 to ${MOST_BLOCKS} (default 40)
+    --block B         block of loopback addresses, 0 to ${MAXIMUM_BLOCK} (default 40)
 `,
   {
     importMeta: import.meta,
@@ -49,13 +49,13 @@
   process.stderr.write(
     'cost: --runs, --gateways, --idle, --seconds and --rates must be positive numbers\n',
   );
-  process.exit(EXIT_WRONG_USE);
+  process.exit(EXIT_USAGE_ERROR);
 }
 
 let current: CostWorld | undefined;
 process.once('exit', () => current?.killAll());
 for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) {
-  process.once(signal, () => process.exit(EXIT_WRONG_USE));
+  process.once(signal, () => process.exit(EXIT_USAGE_ERROR));
 }
 
 function median(values: readonly number[]): number {
--- a/soak/cost/measure-costs.ts
+++ b/soak/cost/measure-costs.ts
@@ -92,7 +92,7 @@
   const { runtime } = options;
   const world = new CostWorld(options);
   onWorld(world);
-  await world.startSurroundings();
+  await world.startDependencies();
   await pause(runtime, SETTLE_MILLISECONDS);
   await world.startGateway();
   const figures: [string, number][] = [
--- a/soak/ended-connections.ts
+++ b/soak/ended-connections.ts
@@ -14,7 +14,7 @@
   };
 }
 
-function linesOf(folder: string, event: string): LogLine[] {
+function readEvents(folder: string, event: string): LogLine[] {
   return readdirSync(folder)
     .flatMap((name) => readFileSync(join(folder, name, 'log'), 'utf8').split('\n'))
     .filter((line) => line.startsWith('{') && line.includes(`"event":"${event}"`))
@@ -32,12 +32,14 @@
  * connections than were probes.
  */
 export function endedConnections(folder: string): string[] {
-  const ended = linesOf(folder, 'replica.unreadable').map(({ context }) => context?.node ?? '');
-  const forms = linesOf(folder, 'replica.forms');
-  const tried = countBy(forms.map(({ context }) => context?.member?.split('@')[0] ?? ''));
-  return [...countBy(ended)]
-    .filter(([node, count]) => count > (tried.get(node) ?? 0))
+  const closedBy = readEvents(folder, 'replica.unreadable').map(
+    ({ context }) => context?.node ?? '',
+  );
+  const probes = readEvents(folder, 'replica.forms');
+  const probeCounts = countBy(probes.map(({ context }) => context?.member?.split('@')[0] ?? ''));
+  return [...countBy(closedBy)]
+    .filter(([node, count]) => count > (probeCounts.get(node) ?? 0))
     .map(([node, count]) => {
-      return `upgrade: ${node} closed ${count} connections over unreadable messages, ${tried.get(node) ?? 0} of them probes`;
+      return `upgrade: ${node} closed ${count} connections over unreadable messages, ${probeCounts.get(node) ?? 0} of them probes`;
     });
 }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -3,12 +3,12 @@
 import meow from 'meow';
 import { BuildError, buildProgram } from './built-program.js';
 import { FAULTS } from './soak-faults.js';
-import { MOST_BLOCKS } from './soak-hosts.js';
+import { MAXIMUM_BLOCK } from './soak-hosts.js';
 import { runSoak } from './run-soak.js';
 import { UPGRADE_ENDS, UPGRADE_ORDERS } from './soak-upgrade.js';
 import type { UpgradePlan } from './soak-upgrade.js';
 
-const EXIT_WRONG_USE = 2;
+const EXIT_USAGE_ERROR = 2;
 
 const cli = meow(
   `
@@ -33,7 +33,7 @@
                   back rolls back from halfway
     --no-judge-refusals  allow refused requests during an upgrade without faults, for a machine that is busy
                   with other work; connections closed over unreadable messages still fail the run
-    --block B     block of loopback addresses, 0 to ${MOST_BLOCKS}: soaks in different blocks can run
+    --block B     block of loopback addresses, 0 to ${MAXIMUM_BLOCK}: soaks in different blocks can run
                   concurrently (default 0)
 
   Exit codes
@@ -62,26 +62,26 @@
 
 const { seed, minutes, clients: clientCount, gateways: gatewayCount, block } = cli.flags;
 const { replicas: replicaCount } = cli.flags;
-const LEAST_REPLICAS = 3;
-const isWhole = Number.isInteger(block) && block >= 0 && block <= MOST_BLOCKS;
+const MINIMUM_REPLICAS = 3;
+const isValidBlock = Number.isInteger(block) && block >= 0 && block <= MAXIMUM_BLOCK;
 const hasGateways = Number.isInteger(gatewayCount) && gatewayCount >= 1;
-const hasReplicas = Number.isInteger(replicaCount) && replicaCount >= LEAST_REPLICAS;
-if (!isWhole || !hasGateways || !hasReplicas) {
+const hasReplicas = Number.isInteger(replicaCount) && replicaCount >= MINIMUM_REPLICAS;
+if (!isValidBlock || !hasGateways || !hasReplicas) {
   process.stderr.write(
     'soak: --block, --gateways and --replicas must be whole numbers within their bounds\n',
   );
-  process.exit(EXIT_WRONG_USE);
+  process.exit(EXIT_USAGE_ERROR);
 }
-const named = cli.flags.faults === 'none' ? [] : cli.flags.faults.split(',');
-const unknown = named.filter((name) => !FAULTS.some((fault) => fault === name));
-if (unknown.length > 0) {
-  process.stderr.write(`soak: unknown fault kinds in --faults: ${unknown.join(', ')}\n`);
-  process.exit(EXIT_WRONG_USE);
+const requestedFaults = cli.flags.faults === 'none' ? [] : cli.flags.faults.split(',');
+const unknownFaults = requestedFaults.filter((name) => !FAULTS.some((fault) => fault === name));
+if (unknownFaults.length > 0) {
+  process.stderr.write(`soak: unknown fault kinds in --faults: ${unknownFaults.join(', ')}\n`);
+  process.exit(EXIT_USAGE_ERROR);
 }
-const faults = FAULTS.filter((fault) => named.includes(fault));
+const faults = FAULTS.filter((fault) => requestedFaults.includes(fault));
 
 /** Builds the old commit and returns the upgrade plan; exits when the commit can't be built. */
-function upgradeOf(from: string): UpgradePlan {
+function createUpgradePlan(from: string): UpgradePlan {
   const { order, upgradeEnd, judgeRefusals } = cli.flags;
   try {
     return {
@@ -89,24 +89,24 @@
       program: buildProgram(from),
       order: order as UpgradePlan['order'],
       end: upgradeEnd as UpgradePlan['end'],
-      judged: faults.length > 0 ? 'nothing' : judgeRefusals ? 'refusals' : 'connections',
+      checks: faults.length > 0 ? 'nothing' : judgeRefusals ? 'refusals' : 'connections',
     };
   } catch (cause) {
     if (cause instanceof BuildError) {
       process.stderr.write(`soak: ${cause.message}\n`);
-      process.exit(EXIT_WRONG_USE);
+      process.exit(EXIT_USAGE_ERROR);
     }
     throw cause;
   }
 }
 
 const { upgradeFrom } = cli.flags;
-const upgrade = upgradeFrom === undefined ? undefined : upgradeOf(upgradeFrom);
-const { strangers: hasStrangeEntries } = cli.flags;
+const upgrade = upgradeFrom === undefined ? undefined : createUpgradePlan(upgradeFrom);
+const { strangers: hasInvalidEntries } = cli.flags;
 const sizes = { clientCount, gatewayCount, replicaCount };
-const soak = runSoak({ seed, minutes, ...sizes, block, faults, upgrade, hasStrangeEntries });
+const soak = runSoak({ seed, minutes, ...sizes, block, faults, upgrade, hasInvalidEntries });
 for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) {
-  process.once(signal, () => process.exit(EXIT_WRONG_USE));
+  process.once(signal, () => process.exit(EXIT_USAGE_ERROR));
 }
 // Runs even when the soak itself throws, so that no child process is left behind.
 process.once('exit', () => soak.killAll());
--- a/soak/platform-process.ts
+++ b/soak/platform-process.ts
@@ -56,7 +56,7 @@
 /** Module that is preloaded into replicas to record their disk operations. */
 const RECORDER = pathToFileURL(resolve('dist/soak/record-disk.js')).href;
 /** Values from which a power loss picks the probability that an unsynced name is undone. */
-const NAME_LOSSES = [0.5, 1];
+const NAME_LOSS_PROBABILITIES = [0.5, 1];
 
 function dataFolder(folder: string): string {
   return join(folder, 'data');
@@ -112,9 +112,9 @@
 export class PlatformProcess {
   private child: ChildProcess | undefined;
   /** True from a terminating signal of the soak until the next start. */
-  private endExpected = false;
+  private isExitExpected = false;
   /** Exits that the soak did not cause. */
-  readonly ownExits: string[] = [];
+  readonly unexpectedExits: string[] = [];
   private readonly disk: RecordedFolder;
   private readonly recordsDisk: boolean;
   /** Path of the program for the next start. */
@@ -145,19 +145,19 @@
     const file = join(this.folder, 'node.json');
     writeFileSync(file, JSON.stringify(settingsOf(this.machine, this.folder)));
     const log = createWriteStream(join(this.folder, 'log'), { flags: 'a' });
-    const child = spawn(process.execPath, this.words(), { env: this.environment(file) });
+    const child = spawn(process.execPath, this.commandArguments(), { env: this.environment(file) });
     // Neither stream may close the log while the other still writes.
     child.stdout.pipe(log, { end: false });
     child.stderr.pipe(log, { end: false });
     child.on('close', () => log.end());
     this.child = child;
-    this.endExpected = false;
+    this.isExitExpected = false;
     child.on('exit', (code, signal) => {
       if (this.child === child) {
         this.child = undefined;
       }
-      if (!this.endExpected) {
-        this.ownExits.push(`${this.machine.name} ended with ${code ?? signal ?? 'nothing'}`);
+      if (!this.isExitExpected) {
+        this.unexpectedExits.push(`${this.machine.name} ended with ${code ?? signal ?? 'nothing'}`);
       }
     });
   }
@@ -165,13 +165,13 @@
   /** Sends a signal; an exit after SIGKILL or SIGTERM counts as expected. */
   signal(name: NodeJS.Signals): void {
     if (name === 'SIGKILL' || name === 'SIGTERM') {
-      this.endExpected = true;
+      this.isExitExpected = true;
     }
     this.child?.kill(name);
   }
 
   /** Resolves when the process has exited, or at once if it does not run. */
-  ended(): Promise<void> {
+  whenExited(): Promise<void> {
     const { child } = this;
     return new Promise((done) => {
       if (child === undefined) {
@@ -190,10 +190,13 @@
 
   /** Discards unsynced changes from the data of a stopped process. */
   losePower(random: RandomSource): PowerLoss {
-    return losePower(this.disk, { random, nameLoss: random.pick(NAME_LOSSES) });
+    return losePower(this.disk, {
+      random,
+      nameLossProbability: random.pick(NAME_LOSS_PROBABILITIES),
+    });
   }
 
-  private words(): string[] {
+  private commandArguments(): string[] {
     const { role } = this.machine;
     const recorder = role === 'replica' && this.recordsDisk ? ['--import', RECORDER] : [];
     return [...HEAP_FLAGS[role], ...recorder, this.program, role];
--- a/soak/power-loss-ledger.ts
+++ b/soak/power-loss-ledger.ts
@@ -36,7 +36,7 @@
   | { readonly op: 'fileSynced'; readonly inode: number; readonly bytes: number };
 
 /** Appends a line synchronously, so that it survives a kill of the process right afterwards. */
-export function noteInLedger({ ledger }: RecordedFolder, line: LedgerLine): void {
+export function appendToLedger({ ledger }: RecordedFolder, line: LedgerLine): void {
   appendFileSync(ledger, `${JSON.stringify(line)}\n`);
 }
 
@@ -54,7 +54,7 @@
 export interface PowerLossOptions {
   readonly random: RandomSource;
   /** Probability that an unsynced creation or removal is undone, 0 to 1. */
-  readonly nameLoss: number;
+  readonly nameLossProbability: number;
 }
 
 /** What a path refers to durably and at present, and the link kept of a removed file. */
@@ -113,7 +113,8 @@
   // Parents before children: a lost folder takes its content with it.
   const byDepth = [...state.names].sort(([left], [right]) => left.length - right.length);
   for (const [path, name] of byDepth) {
-    const isLost = name.synced !== name.now && options.random.uniform() < options.nameLoss;
+    const isLost =
+      name.synced !== name.now && options.random.uniform() < options.nameLossProbability;
     if (isLost && name.now !== undefined && existsSync(path)) {
       rmSync(path, { recursive: true });
       lostNames.push(path);
@@ -141,9 +142,9 @@
     }
     const { size } = statSync(path);
     const synced = Math.min(size, syncedBytes.get(now) ?? 0);
-    const left = synced + Math.floor((size - synced) * random.uniform());
-    truncateSync(path, left);
-    lost += size - left;
+    const remainingBytes = synced + Math.floor((size - synced) * random.uniform());
+    truncateSync(path, remainingBytes);
+    lost += size - remainingBytes;
   }
   return lost;
 }
--- a/soak/power-loss-recorder.ts
+++ b/soak/power-loss-recorder.ts
@@ -8,7 +8,7 @@
 import type { FileHandle } from 'node:fs/promises';
 import { syncBuiltinESMExports } from 'node:module';
 import { sep } from 'node:path';
-import { keptPathFor, noteInLedger } from './power-loss-ledger.js';
+import { keptPathFor, appendToLedger } from './power-loss-ledger.js';
 import type { LedgerLine, RecordedFolder } from './power-loss-ledger.js';
 
 type Open = typeof files.open;
@@ -33,7 +33,7 @@
     file[name] = async () => {
       const line = lineOf();
       await original();
-      noteInLedger(folder, line);
+      appendToLedger(folder, line);
     };
   }
 }
@@ -60,7 +60,7 @@
   const file = await ORIGINAL.open(path, flags, mode);
   if (folder !== undefined) {
     if (isNew) {
-      noteInLedger(folder, { op: 'made', path: String(path), target: fstatSync(file.fd).ino });
+      appendToLedger(folder, { op: 'made', path: String(path), target: fstatSync(file.fd).ino });
     }
     recordSyncs(folder, String(path), file);
   }
@@ -72,7 +72,7 @@
   const isNew = folder !== undefined && !exists(String(path));
   const made = await ORIGINAL.mkdir(path, options);
   if (isNew) {
-    noteInLedger(folder, { op: 'made', path: String(path), target: 'folder' });
+    appendToLedger(folder, { op: 'made', path: String(path), target: 'folder' });
   }
   return made;
 };
@@ -83,7 +83,7 @@
     const inode = statSync(path).ino;
     const kept = keptPathFor(folder, inode);
     linkSync(path, kept);
-    noteInLedger(folder, { op: 'removed', path: String(path), inode, kept });
+    appendToLedger(folder, { op: 'removed', path: String(path), inode, kept });
   }
   await ORIGINAL.unlink(path);
 };
--- a/soak/recovery-check.ts
+++ b/soak/recovery-check.ts
@@ -1,5 +1,5 @@
 /** Checks that every kind of request is served again within the allowed time after a fault. */
-import { noCounts } from './soak-client.js';
+import { createCounts } from './soak-client.js';
 import type { AnsweredTurn, SoakClient, SoakCounts } from './soak-client.js';
 
 /** Dependencies of the recovery check. */
@@ -12,12 +12,12 @@
 /** Time within which every kind must be served again, in milliseconds; equals `RecoveryS` of the settings. */
 const RECOVERY_MILLISECONDS = 12_000;
 /** Consecutive answered plain requests after which plain requests count as served. */
-const ANSWERS_IN_A_ROW = 10;
-const PAUSE_MILLISECONDS = 50;
+const REQUIRED_CONSECUTIVE_ANSWERS = 10;
+const REQUEST_PAUSE_MILLISECONDS = 50;
 /** Attempts to continue from one turn. */
-const TURN_TRIES = 5;
+const MAXIMUM_TURN_ATTEMPTS = 5;
 /** Lost turns after which the check stops: the soak has failed by then, and each lost turn takes seconds. */
-const MOST_LOST = 8;
+const MAXIMUM_LOST_TURNS = 8;
 
 /** Measures the time to recovery, and checks that answered turns can be continued. */
 export class RecoveryCheck {
@@ -28,44 +28,44 @@
 
   /** Call once the processes are started; resolves when all kinds are served or the time is over. */
   async check(fault: string): Promise<void> {
-    const begunAt = performance.now();
-    const until = begunAt + RECOVERY_MILLISECONDS;
-    const counts = noCounts();
+    const startedAt = performance.now();
+    const deadline = startedAt + RECOVERY_MILLISECONDS;
+    const counts = createCounts();
     const client = this.options.newClient(`after-${this.recoveries.length}`, counts);
-    let inARow = 0;
-    while (inARow < ANSWERS_IN_A_ROW && performance.now() < until) {
-      inARow = (await client.sendPlain('single')) ? inARow + 1 : 0;
-      await new Promise((resolve) => setTimeout(resolve, PAUSE_MILLISECONDS));
+    let consecutiveAnswers = 0;
+    while (consecutiveAnswers < REQUIRED_CONSECUTIVE_ANSWERS && performance.now() < deadline) {
+      consecutiveAnswers = (await client.sendPlain('single')) ? consecutiveAnswers + 1 : 0;
+      await new Promise((resolve) => setTimeout(resolve, REQUEST_PAUSE_MILLISECONDS));
     }
-    if (inARow === ANSWERS_IN_A_ROW) {
-      await client.run(() => performance.now() > until || counts.kept > 0);
+    if (consecutiveAnswers === REQUIRED_CONSECUTIVE_ANSWERS) {
+      await client.run(() => performance.now() > deadline || counts.kept > 0);
     }
-    if (inARow < ANSWERS_IN_A_ROW || counts.kept === 0) {
+    if (consecutiveAnswers < REQUIRED_CONSECUTIVE_ANSWERS || counts.kept === 0) {
       this.options.violate(
         'recovery',
         `not all kinds of requests were served in time after ${fault}`,
       );
     }
-    this.recoveries.push(Math.round(performance.now() - begunAt));
+    this.recoveries.push(Math.round(performance.now() - startedAt));
   }
 
   /** Checks that completely answered turns can be continued, with several attempts as clients make them. */
   async checkTurns(turns: readonly AnsweredTurn[]): Promise<void> {
-    const client = this.options.newClient('turns', noCounts());
-    let lost = 0;
+    const client = this.options.newClient('turns', createCounts());
+    let lostTurns = 0;
     for (const turn of turns) {
-      if (lost >= MOST_LOST) {
+      if (lostTurns >= MAXIMUM_LOST_TURNS) {
         return;
       }
       let isFound = false;
-      for (let tries = 0; !isFound && tries < TURN_TRIES; tries += 1) {
-        isFound = await client.goOnFrom(turn);
+      for (let attempts = 0; !isFound && attempts < MAXIMUM_TURN_ATTEMPTS; attempts += 1) {
+        isFound = await client.continueFrom(turn);
       }
       if (!isFound) {
-        lost += 1;
+        lostTurns += 1;
         this.options.violate(
           'history',
-          `turn ${turn.id} could not be continued in ${TURN_TRIES} attempts`,
+          `turn ${turn.id} could not be continued in ${MAXIMUM_TURN_ATTEMPTS} attempts`,
         );
       }
     }
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -14,41 +14,35 @@
 import { PROGRAM, SOAK_CATCH_UP_MILLISECONDS } from './platform-process.js';
 import type { PlatformProcess, PlatformRole } from './platform-process.js';
 import { RecoveryCheck } from './recovery-check.js';
-import { noCounts, SoakClient } from './soak-client.js';
+import { createCounts, SoakClient } from './soak-client.js';
 import { slowReaderViolations } from './slow-reading.js';
 import type { RunningSoak, SoakOptions, SoakReport } from './soak-report.js';
 import { SoakConfiguration } from './soak-configuration.js';
-import {
-  FAULTS,
-  MISBEHAVIOURS,
-  REPLICAS_TOGETHER,
-  STORE_FAULTS,
-  targetsOf,
-} from './soak-faults.js';
+import { FAULTS, MISBEHAVIOURS, ALL_REPLICAS, STORE_FAULTS, targetsOf } from './soak-faults.js';
 import type { Fault, FaultTargets } from './soak-faults.js';
 import { SoakUpgrade } from './soak-upgrade.js';
 import { SoakWorld } from './soak-world.js';
 import { TenantCheck } from './tenant-check.js';
 
-const GATEWAYS = 3;
-const REPLICAS = 4;
-const RUNNERS = 4;
+const GATEWAY_COUNT = 3;
+const REPLICA_COUNT = 4;
+const RUNNER_COUNT = 4;
 /** Pause after a fault in which the processes recover, in milliseconds. */
 const SETTLE_MILLISECONDS = 4_500;
 /** Probability that the next fault begins while the last one is still active. */
-const OVERLAP = 0.5;
-const LONGEST_OVERLAP_MILLISECONDS = 1_200;
+const OVERLAP_PROBABILITY = 0.5;
+const MAXIMUM_OVERLAP_MILLISECONDS = 1_200;
 /** Shortest and longest read pause of a slow runner, in milliseconds. */
 const READ_PAUSES_MILLISECONDS: readonly [number, number] = [100, 1_500];
 
 /** Time within which the retirement of a replica must be reported as succeeded, in milliseconds. */
-const EMPTYING_MILLISECONDS = 8_000;
+const RETIREMENT_TIMEOUT_MILLISECONDS = 8_000;
 /** Entry among the active faults for a machine that is restarted with another build. */
-const ROLL = 'roll';
+const RESTART = 'roll';
 /** Time after a restart with another build in which no fault strikes that machine, in milliseconds. */
-const ROLL_MILLISECONDS = 2_000;
+const RESTART_SETTLE_MILLISECONDS = 2_000;
 /** Interval at which the soak polls for a state or for a fault whose targets are free, in milliseconds. */
-const SOAK_STEP_MILLISECONDS = 50;
+const POLL_MILLISECONDS = 50;
 
 function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
@@ -58,173 +52,175 @@
 class Soak {
   private readonly random: RandomSource;
   private readonly world: SoakWorld;
-  private readonly configurations: SoakConfiguration;
+  private readonly configurationSource: SoakConfiguration;
   private readonly violations: string[] = [];
   private readonly faults: Record<string, number> = {};
-  private readonly counts = noCounts();
+  private readonly counts = createCounts();
   private readonly pairs: Record<string, number> = {};
   private readonly lost: PowerLossCounts = { disks: 0, names: 0, bytes: 0 };
   /** Active faults, with the targets of each. */
-  private readonly lasting = new Map<Fault | typeof ROLL, readonly string[]>();
-  private readonly configuration: ConfigurationCheck;
-  private readonly tenants: TenantCheck;
-  private readonly recovery: RecoveryCheck;
+  private readonly activeFaults = new Map<Fault | typeof RESTART, readonly string[]>();
+  private readonly configurationCheck: ConfigurationCheck;
+  private readonly tenantCheck: TenantCheck;
+  private readonly recoveryCheck: RecoveryCheck;
   private readonly upgrade: SoakUpgrade | undefined;
 
   constructor(private readonly options: SoakOptions) {
     this.random = createRandom(options.seed, 'soak');
-    this.configurations = new SoakConfiguration(this.random);
-    const { gatewayCount = GATEWAYS, replicaCount = REPLICAS, block = 0 } = options;
-    const sizes = { gatewayCount, replicaCount, runnerCount: RUNNERS };
+    this.configurationSource = new SoakConfiguration(this.random);
+    const { gatewayCount = GATEWAY_COUNT, replicaCount = REPLICA_COUNT, block = 0 } = options;
+    const sizes = { gatewayCount, replicaCount, runnerCount: RUNNER_COUNT };
     const program = options.upgrade?.program ?? PROGRAM;
-    const { hasStrangeEntries = true } = options;
-    this.world = new SoakWorld({ ...sizes, block, program, hasStrangeEntries });
+    const { hasInvalidEntries = true } = options;
+    this.world = new SoakWorld({ ...sizes, block, program, hasInvalidEntries });
     const { gatewayHosts, runners } = this.world;
     const violate = (promise: string, detail: string): void => {
       this.violations.push(`${promise}: ${detail}`);
     };
-    this.configuration = new ConfigurationCheck({ gatewayHosts, violate });
+    this.configurationCheck = new ConfigurationCheck({ gatewayHosts, violate });
     const random = createRandom(options.seed, 'tenants');
-    this.tenants = new TenantCheck({ random, gatewayHosts, runners, violate });
-    this.recovery = new RecoveryCheck({
-      newClient: (name, counts) => this.client(name, counts),
+    this.tenantCheck = new TenantCheck({ random, gatewayHosts, runners, violate });
+    this.recoveryCheck = new RecoveryCheck({
+      newClient: (name, counts) => this.createClient(name, counts),
       violate,
     });
     if (options.upgrade !== undefined) {
       const { counts, world } = this;
       const reserve = (machine: PlatformProcess, action: () => Promise<void>): Promise<void> =>
         this.reserve(machine, action);
-      const of = (role: PlatformRole): PlatformProcess[] => world.of(role);
-      this.upgrade = new SoakUpgrade({ plan: options.upgrade, of, counts, reserve });
+      const processesOf = (role: PlatformRole): PlatformProcess[] => world.processesOf(role);
+      this.upgrade = new SoakUpgrade({ plan: options.upgrade, processesOf, counts, reserve });
     }
   }
 
   async run(): Promise<SoakReport> {
-    await this.world.startSurroundings();
+    await this.world.startDependencies();
     this.changeConfiguration();
     await this.world.startProcesses();
     let over = false;
     const clients = Array.from({ length: this.options.clientCount ?? 8 }, (_, index) =>
-      this.client(`c${index}`),
+      this.createClient(`c${index}`),
     );
     const work = clients.map((client) => client.run(() => over));
-    work.push(this.configuration.run(() => over));
-    work.push(this.tenants.run(() => over));
+    work.push(this.configurationCheck.run(() => over));
+    work.push(this.tenantCheck.run(() => over));
     const until = performance.now() + this.options.minutes * 60_000;
-    let isRolled = false;
-    const rolled = this.upgrade?.run().then(() => (isRolled = true));
-    await this.strikeUntil(() => performance.now() >= until && (rolled === undefined || isRolled));
-    await rolled;
-    this.note('loseAllPower');
-    await this.strikeOnce('loseAllPower', targetsOf('loseAllPower', this.drawTargets()));
+    let isUpgraded = false;
+    const upgraded = this.upgrade?.run().then(() => (isUpgraded = true));
+    await this.injectFaultsUntil(
+      () => performance.now() >= until && (upgraded === undefined || isUpgraded),
+    );
+    await upgraded;
+    this.countFault('loseAllPower');
+    await this.injectFault('loseAllPower', targetsOf('loseAllPower', this.pickMachines()));
     over = true;
     await Promise.all(work);
-    await this.recovery.check('the last fault');
-    await this.recovery.checkTurns(clients.flatMap((client) => client.answeredTurns));
-    this.noteOwnExits();
+    await this.recoveryCheck.check('the last fault');
+    await this.recoveryCheck.checkTurns(clients.flatMap((client) => client.answeredTurns));
+    this.recordUnexpectedExits();
     this.violations.push(...slowReaderViolations(this.counts));
     await this.world.stop();
     this.violations.push(...(this.upgrade?.violationsIn(this.world.folder) ?? []));
     const { seed } = this.options;
     const { counts, faults, pairs, lost, violations } = this;
     const { folder } = this.world;
-    const { looks: configurationLooks } = this.configuration;
-    const { oldKeyRequests, limitedAnswers } = this.tenants;
+    const { completedChecks: configurationLooks } = this.configurationCheck;
+    const { oldKeyRequests, limitedAnswers } = this.tenantCheck;
     const looks = { configurationLooks, oldKeyRequests, limitedAnswers };
-    const { recoveries } = this.recovery;
+    const { recoveries } = this.recoveryCheck;
     const upgrade = this.upgrade?.steps ?? [];
     return { seed, counts, faults, pairs, ...looks, recoveries, lost, upgrade, violations, folder };
   }
 
   /** Injects faults one after another, with a random overlap, until `isOver` returns true. */
-  private async strikeUntil(isOver: () => boolean): Promise<void> {
+  private async injectFaultsUntil(isOver: () => boolean): Promise<void> {
     const { faults = FAULTS } = this.options;
-    let lasting: Promise<void>[] = [];
+    let pending: Promise<void>[] = [];
     while (!isOver()) {
       if (faults.length === 0) {
-        await sleep(SOAK_STEP_MILLISECONDS);
+        await sleep(POLL_MILLISECONDS);
         continue;
       }
       const fault = this.random.pick(faults);
-      const struck = targetsOf(fault, this.drawTargets());
-      if (this.lasting.has(fault) || this.isTaken(struck)) {
-        await sleep(SOAK_STEP_MILLISECONDS);
+      const targets = targetsOf(fault, this.pickMachines());
+      if (this.activeFaults.has(fault) || this.isTargeted(targets)) {
+        await sleep(POLL_MILLISECONDS);
         continue;
       }
-      this.note(fault);
-      lasting.push(this.strikeOnce(fault, struck));
-      if (this.random.uniform() < OVERLAP) {
-        await sleep(LONGEST_OVERLAP_MILLISECONDS * this.random.uniform());
+      this.countFault(fault);
+      pending.push(this.injectFault(fault, targets));
+      if (this.random.uniform() < OVERLAP_PROBABILITY) {
+        await sleep(MAXIMUM_OVERLAP_MILLISECONDS * this.random.uniform());
       } else {
-        await Promise.all(lasting);
-        lasting = [];
+        await Promise.all(pending);
+        pending = [];
         await sleep(SETTLE_MILLISECONDS);
       }
     }
-    await Promise.all(lasting);
+    await Promise.all(pending);
   }
 
-  private isTaken(targets: readonly string[]): boolean {
-    const taken = new Set([...this.lasting.values()].flat());
-    return targets.some((target) => taken.has(target));
+  private isTargeted(targets: readonly string[]): boolean {
+    const activeTargets = new Set([...this.activeFaults.values()].flat());
+    return targets.some((target) => activeTargets.has(target));
   }
 
   /** Runs an action on a machine once no fault has it as a target, and keeps faults off it meanwhile. */
   private async reserve(machine: PlatformProcess, action: () => Promise<void>): Promise<void> {
     const { name, role, host } = machine.machine;
-    const targets = role === 'replica' ? [name, REPLICAS_TOGETHER] : [name];
-    while (this.isTaken(targets)) {
-      await sleep(SOAK_STEP_MILLISECONDS);
+    const targets = role === 'replica' ? [name, ALL_REPLICAS] : [name];
+    while (this.isTargeted(targets)) {
+      await sleep(POLL_MILLISECONDS);
     }
-    this.lasting.set(ROLL, targets);
-    const end = this.configuration.excuse([host]);
+    this.activeFaults.set(RESTART, targets);
+    const end = this.configurationCheck.exempt([host]);
     await action();
-    await sleep(ROLL_MILLISECONDS);
+    await sleep(RESTART_SETTLE_MILLISECONDS);
     end();
-    this.lasting.delete(ROLL);
+    this.activeFaults.delete(RESTART);
   }
 
-  private note(fault: Fault): void {
+  private countFault(fault: Fault): void {
     this.faults[fault] = (this.faults[fault] ?? 0) + 1;
-    for (const other of this.lasting.keys()) {
+    for (const other of this.activeFaults.keys()) {
       const pair = [fault, other].sort().join(' + ');
       this.pairs[pair] = (this.pairs[pair] ?? 0) + 1;
     }
   }
 
   /** Injects a fault, and exempts the affected gateways from the configuration check meanwhile. */
-  private async strikeOnce(fault: Fault, struck: readonly string[]): Promise<void> {
-    this.lasting.set(fault, struck);
-    const gateways = this.world.of('gateway');
-    const excused = STORE_FAULTS.has(fault)
+  private async injectFault(fault: Fault, targets: readonly string[]): Promise<void> {
+    this.activeFaults.set(fault, targets);
+    const gateways = this.world.processesOf('gateway');
+    const exemptGateways = STORE_FAULTS.has(fault)
       ? gateways
-      : gateways.filter(({ machine }) => struck.includes(machine.name));
-    const end = this.configuration.excuse(excused.map(({ machine }) => machine.host));
-    await this.strike(fault, struck);
+      : gateways.filter(({ machine }) => targets.includes(machine.name));
+    const end = this.configurationCheck.exempt(exemptGateways.map(({ machine }) => machine.host));
+    await this.applyFault(fault, targets);
     end();
-    if (struck.includes(REPLICAS_TOGETHER)) {
+    if (targets.includes(ALL_REPLICAS)) {
       await sleep(SETTLE_MILLISECONDS);
     }
-    this.lasting.delete(fault);
+    this.activeFaults.delete(fault);
   }
 
-  private drawTargets(): FaultTargets {
+  private pickMachines(): FaultTargets {
     const nameOf = ({ machine }: PlatformProcess): string => machine.name;
     return {
-      gateway: nameOf(this.random.pick(this.world.of('gateway'))),
-      replica: nameOf(this.random.pick(this.world.of('replica'))),
+      gateway: nameOf(this.random.pick(this.world.processesOf('gateway'))),
+      replica: nameOf(this.random.pick(this.world.processesOf('replica'))),
       all: this.world.processes.map(nameOf),
     };
   }
 
   /** Returns the process of the first machine among the targets; the first process if there is none. */
-  private named(struck: readonly string[]): PlatformProcess {
+  private findMachine(targets: readonly string[]): PlatformProcess {
     const { processes } = this.world;
-    const named = struck.map((name) => processes.find(({ machine }) => machine.name === name));
+    const named = targets.map((name) => processes.find(({ machine }) => machine.name === name));
     return named.find((process) => process !== undefined) ?? processes[0]!;
   }
 
-  private client(name: string, counts = this.counts): SoakClient {
+  private createClient(name: string, counts = this.counts): SoakClient {
     const { gatewayHosts, runners } = this.world;
     const violate = (promise: string, detail: string): void => {
       this.violations.push(`${promise}: ${detail}`);
@@ -234,15 +230,16 @@
   }
 
   private changeConfiguration(): void {
-    const { value, version, addedRoute, droppedRoutes, removedKey } = this.configurations.next();
+    const { value, version, addedRoute, droppedRoutes, removedKey } =
+      this.configurationSource.next();
     this.world.store.put(CONFIGURATION_KEY, value);
-    this.configuration.acknowledge(version, addedRoute, droppedRoutes);
-    this.tenants.removeKey(removedKey);
+    this.configurationCheck.acknowledge(version, addedRoute, droppedRoutes);
+    this.tenantCheck.removeKey(removedKey);
   }
 
-  private async strike(fault: Fault, struck: readonly string[]): Promise<void> {
+  private async applyFault(fault: Fault, targets: readonly string[]): Promise<void> {
     const pause = this.random.integer(300, 3_000);
-    const machine = this.named(struck);
+    const machine = this.findMachine(targets);
     switch (fault) {
       case 'killGateway':
       case 'killReplica':
@@ -256,7 +253,7 @@
       case 'loseAllPower':
         return this.loseAllPower(pause);
       case 'emptyReplica':
-        return this.emptyReplica(machine, pause);
+        return this.retireReplica(machine, pause);
       case 'replaceReplica':
         return this.replaceReplica(machine, pause);
       case 'pauseGateway':
@@ -267,27 +264,27 @@
         return;
       case 'stopGateway':
         machine.signal('SIGTERM');
-        await machine.ended();
+        await machine.whenExited();
         machine.start();
         return;
       case 'storeRefuses':
-        return this.troubleStore('refusing', pause);
+        return this.disturbStore('refusing', pause);
       case 'storeSilent':
-        return this.troubleStore('silent', pause);
+        return this.disturbStore('silent', pause);
       case 'storeLosesAnswers':
-        return this.troubleStore('losingAnswers', pause);
+        return this.disturbStore('losingAnswers', pause);
       case 'storeForgets':
         this.changeConfiguration();
         this.world.store.compact();
         return;
       case 'storePath':
-        return this.troublePath(this.world.storeProxies.get(machine.machine.name)!, pause);
+        return this.disturbPath(this.world.storeProxies.get(machine.machine.name)!, pause);
       case 'runnerPath':
-        return this.troublePath(this.random.pick(this.world.runnerProxies), pause);
+        return this.disturbPath(this.random.pick(this.world.runnerProxies), pause);
       case 'runnerCrash':
-        return this.world.replaceRunner(this.random.integer(0, RUNNERS - 1), pause);
+        return this.world.replaceRunner(this.random.integer(0, RUNNER_COUNT - 1), pause);
       case 'runnerRestart':
-        return this.world.restartRunner(this.random.integer(0, RUNNERS - 1), pause);
+        return this.world.restartRunner(this.random.integer(0, RUNNER_COUNT - 1), pause);
       case 'runnerReadsSlowly':
         return this.slowDownReading(this.random.pick(this.world.liveRunners), pause);
       case 'runnerMisbehaves':
@@ -305,7 +302,7 @@
     pause: number,
     whileDead: () => void = () => undefined,
   ): Promise<void> {
-    const ended = victims.map((victim) => victim.ended());
+    const ended = victims.map((victim) => victim.whenExited());
     victims.forEach((victim) => victim.signal('SIGKILL'));
     await Promise.all(ended);
     whileDead();
@@ -315,7 +312,7 @@
 
   private async loseAllPower(pause: number): Promise<void> {
     await this.kill(this.world.processes, pause, () => this.loseDisks());
-    await this.recovery.check('a loss of all power');
+    await this.recoveryCheck.check('a loss of all power');
   }
 
   private async slowDownReading(runner: RelayRunner, pause: number): Promise<void> {
@@ -325,30 +322,30 @@
   }
 
   /** Replaces a replica's machine for good; once the replacement must have caught up, all power is lost. */
-  private async replaceReplica(gone: PlatformProcess, pause: number): Promise<void> {
-    const ended = gone.ended();
-    gone.signal('SIGKILL');
+  private async replaceReplica(replaced: PlatformProcess, pause: number): Promise<void> {
+    const ended = replaced.whenExited();
+    replaced.signal('SIGKILL');
     await ended;
     await sleep(pause);
-    await this.world.replaceReplica(gone);
+    await this.world.replaceReplica(replaced);
     await sleep(SOAK_CATCH_UP_MILLISECONDS);
     await this.loseAllPower(pause);
   }
 
   /** Retires a replica; as soon as the success is reported, its disk and that of another replica are lost. */
-  private async emptyReplica(machine: PlatformProcess, pause: number): Promise<void> {
+  private async retireReplica(machine: PlatformProcess, pause: number): Promise<void> {
     const { store } = this.world;
     const { name } = machine.machine;
     store.remove(RETIRE_STATUS_PREFIX + name);
     store.put(RETIRE_PREFIX + name, {});
-    const until = performance.now() + EMPTYING_MILLISECONDS;
+    const until = performance.now() + RETIREMENT_TIMEOUT_MILLISECONDS;
     const isEmpty = (): boolean =>
       store.read(RETIRE_STATUS_PREFIX + name)?.includes('succeeded') ?? false;
     while (!isEmpty() && performance.now() < until) {
-      await sleep(SOAK_STEP_MILLISECONDS);
+      await sleep(POLL_MILLISECONDS);
     }
     if (isEmpty()) {
-      const others = this.world.of('replica').filter((replica) => replica !== machine);
+      const others = this.world.processesOf('replica').filter((replica) => replica !== machine);
       const lost = [machine, this.random.pick(others)];
       await this.kill(lost, pause, () => lost.forEach((replica) => replica.wipe()));
     } else {
@@ -359,7 +356,7 @@
 
   /** Wipes the disk of one replica; all others lose what was not synced. */
   private loseDisks(): void {
-    const replicas = this.world.of('replica');
+    const replicas = this.world.processesOf('replica');
     const lost = this.random.pick(replicas);
     lost.wipe();
     replicas.filter((replica) => replica !== lost).forEach((replica) => this.losePowerOf(replica));
@@ -369,14 +366,14 @@
     addLoss(this.lost, replica.losePower(this.random));
   }
 
-  private async troubleStore(mode: StoreMode, pause: number): Promise<void> {
+  private async disturbStore(mode: StoreMode, pause: number): Promise<void> {
     this.world.store.mode = mode;
     this.changeConfiguration();
     await sleep(pause);
     this.world.store.mode = 'well';
   }
 
-  private async troublePath(proxy: FaultProxy, pause: number): Promise<void> {
+  private async disturbPath(proxy: FaultProxy, pause: number): Promise<void> {
     const mode: ProxyMode = this.random.pick(['delay', 'silence', 'oneWay', 'reset']);
     proxy.setMode(mode);
     await sleep(pause);
@@ -390,9 +387,9 @@
     this.world.processes.forEach((process) => process.signal('SIGKILL'));
   }
 
-  private noteOwnExits(): void {
-    for (const { ownExits } of [...this.world.processes, ...this.world.gone]) {
-      this.violations.push(...ownExits.map((exit) => `own exit: ${exit}`));
+  private recordUnexpectedExits(): void {
+    for (const { unexpectedExits } of [...this.world.processes, ...this.world.removedProcesses]) {
+      this.violations.push(...unexpectedExits.map((exit) => `own exit: ${exit}`));
     }
   }
 }
--- a/soak/slow-reading.ts
+++ b/soak/slow-reading.ts
@@ -8,7 +8,7 @@
 export const LONG_PATH = `/long/work?stream&events=${LONG_EVENTS}&fill=61440`;
 
 /** Up to this many long streams may all be interrupted by faults; of more, at least one must complete. */
-const SLOW_ENOUGH = 10;
+const TOLERATED_INTERRUPTED_STREAMS = 10;
 
 /** Returns a violation when enough long streams were requested and none was received completely. */
 export function slowReaderViolations(counts: {
@@ -16,14 +16,14 @@
   readonly slowWhole: number;
 }): string[] {
   const { slowAsked, slowWhole } = counts;
-  const isServed = slowAsked <= SLOW_ENOUGH || slowWhole > 0;
+  const isServed = slowAsked <= TOLERATED_INTERRUPTED_STREAMS || slowWhole > 0;
   return isServed
     ? []
     : [`slow readers: none of ${slowAsked} long streams was received completely`];
 }
 
 /** Number of pauses in one stream. */
-const PAUSES = 3;
+const PAUSE_COUNT = 3;
 /** Shortest and longest pause, in milliseconds. */
 const PAUSE_MILLISECONDS: readonly [number, number] = [20, 700];
 /** Time for which the client reads between two pauses, in milliseconds. */
@@ -35,18 +35,18 @@
 
   /** Pauses a response several times, then lets the rest be read. */
   slowDown(response: IncomingMessage): void {
-    this.pause(response, PAUSES);
+    this.pause(response, PAUSE_COUNT);
   }
 
-  private pause(response: IncomingMessage, left: number): void {
-    if (left === 0 || response.destroyed) {
+  private pause(response: IncomingMessage, remainingPauses: number): void {
+    if (remainingPauses === 0 || response.destroyed) {
       return;
     }
     response.pause();
     setTimeout(
       () => {
         response.resume();
-        setTimeout(() => this.pause(response, left - 1), READ_MILLISECONDS);
+        setTimeout(() => this.pause(response, remainingPauses - 1), READ_MILLISECONDS);
       },
       this.random.integer(...PAUSE_MILLISECONDS),
     );
--- a/soak/soak-client.ts
+++ b/soak/soak-client.ts
@@ -16,25 +16,25 @@
 export const SOAK_EVENTS = 6;
 export const SOAK_TOKENS_PER_EVENT = 10;
 
-const MOST_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
+const MAXIMUM_TOKENS = SOAK_EVENTS * SOAK_TOKENS_PER_EVENT;
 const TIMEOUT_MILLISECONDS = 3_000;
 /** Fraction of a client's actions that read a long stream with pauses. */
-const SLOW_SHARE = 0.03;
+const SLOW_READ_FRACTION = 0.03;
 /** Fraction of plain requests that carry the long body, which exceeds what a non-reading runner's socket buffers. */
-const LONG_BODY_SHARE = 0.01;
+const LONG_BODY_FRACTION = 0.01;
 const LONG_BODY = 'x'.repeat(3 * 1024 * 1024);
 /** Programs per client whose last turn is remembered for the final history check. */
 const REMEMBERED_PROGRAMS = 12;
 /** Statuses by which a gateway guarantees that the request did not run. */
-const PROMISES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** Request headers of one turn; `previous` is the request id of the turn it continues, or empty. */
 function turnHeaders(program: string, previous: string): Record<string, string> {
   return {
     [NAMES.program]: program,
     [NAMES.session]: program,
-    [NAMES.tokenBudget]: String(MOST_TOKENS),
-    [NAMES.tokenUsage]: `100,${MOST_TOKENS}`,
+    [NAMES.tokenBudget]: String(MAXIMUM_TOKENS),
+    [NAMES.tokenUsage]: `100,${MAXIMUM_TOKENS}`,
     ...(previous === '' ? {} : { [NAMES.previousTurn]: previous }),
   };
 }
@@ -60,7 +60,7 @@
 }
 
 /** Creates counts that are all zero. */
-export function noCounts(): SoakCounts {
+export function createCounts(): SoakCounts {
   const plain = { sent: 0, answered: 0, refused: 0, failed: 0 };
   return { ...plain, kept: 0, budgetRefused: 0, slowAsked: 0, slowWhole: 0 };
 }
@@ -96,7 +96,7 @@
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
       const draw = this.context.random.uniform();
-      if (draw < SLOW_SHARE) {
+      if (draw < SLOW_READ_FRACTION) {
         await this.readSlowly();
       } else if (draw < 0.35) {
         await this.sendPlain('single');
@@ -112,9 +112,9 @@
   /** Sends one request to the route of that kind; resolves to true when the response was 200 and complete. */
   async sendPlain(kind: 'single' | 'repeatable'): Promise<boolean> {
     const id = this.newId();
-    const body = this.context.random.uniform() < LONG_BODY_SHARE ? LONG_BODY : '';
+    const body = this.context.random.uniform() < LONG_BODY_FRACTION ? LONG_BODY : '';
     const result = await this.send(`/${kind}/work`, id, {}, body);
-    this.judge(kind, id, result);
+    this.recordResult(kind, id, result);
     if (result.status === 200 && result.complete) {
       const signer = /^signed by (.*)$/.exec(String(result.headers[NAMES.signature]))?.[1];
       if (result.body !== `answer of ${signer} to ${id}`) {
@@ -134,7 +134,7 @@
     const reading = new SlowReading(this.context.random);
     const result = await this.send(LONG_PATH, id, {}, '', reading);
     const events = [...result.body.matchAll(/^id: (\d+)$/gm)].map((match) => Number(match[1]));
-    this.judge('single', id, result);
+    this.recordResult('single', id, result);
     this.checkEvents(id, events, result, LONG_EVENTS);
     const { counts } = this.context;
     counts.slowAsked += 1;
@@ -147,7 +147,7 @@
   }
 
   /** Continues from a turn; resolves to true when the response was 200 and complete. */
-  async goOnFrom(turn: AnsweredTurn): Promise<boolean> {
+  async continueFrom(turn: AnsweredTurn): Promise<boolean> {
     const id = this.newId();
     const input = `in ${id};`;
     const result = await this.send('/kept/work?stream', id, turnHeaders(id, turn.id), input);
@@ -166,22 +166,22 @@
     const { random, counts, violate } = this.context;
     this.programCount += 1;
     const program = `${this.name}-p${this.programCount}`;
-    const budget = MOST_TOKENS * random.integer(3, 6);
-    let last: AnsweredTurn = { id: '', chain: '' };
-    let handed = 0;
+    const budget = MAXIMUM_TOKENS * random.integer(3, 6);
+    let lastTurn: AnsweredTurn = { id: '', chain: '' };
+    let deliveredTokens = 0;
     for (let failures = 0; failures < 4 && !isOver();) {
       const id = this.newId();
       const input = `in ${id};`;
-      const headers = { ...turnHeaders(program, last.id), [NAMES.tokenBudget]: String(budget) };
+      const headers = { ...turnHeaders(program, lastTurn.id), [NAMES.tokenBudget]: String(budget) };
       const result = await this.send('/kept/work?stream', id, headers, input);
       const events = [...result.body.matchAll(/^id: (\d+)$/gm)].map((match) => Number(match[1]));
-      handed += events.length * SOAK_TOKENS_PER_EVENT;
+      deliveredTokens += events.length * SOAK_TOKENS_PER_EVENT;
       this.checkEvents(id, events, result);
-      this.checkChain(id, last.chain + input);
-      if (handed > budget + MOST_TOKENS) {
+      this.checkChain(id, lastTurn.chain + input);
+      if (deliveredTokens > budget + MAXIMUM_TOKENS) {
         violate(
           'budget',
-          `program ${program} received ${handed} tokens with a budget of ${budget}`,
+          `program ${program} received ${deliveredTokens} tokens with a budget of ${budget}`,
         );
       }
       if (result.status === 402) {
@@ -189,16 +189,19 @@
         this.checkNotRun(id, 402);
         return;
       }
-      if (result.status === 404 && last.id !== '') {
-        violate('history', `turn ${last.id} was answered completely, but a continuation got 404`);
+      if (result.status === 404 && lastTurn.id !== '') {
+        violate(
+          'history',
+          `turn ${lastTurn.id} was answered completely, but a continuation got 404`,
+        );
       }
-      this.judge('single', id, result);
+      this.recordResult('single', id, result);
       if (result.status === 200 && result.complete) {
         counts.kept += 1;
         const output = events.map((event) => `event ${event}\n`).join('');
-        const answered = { id, chain: last.chain + input + output };
-        this.remember(answered, last);
-        last = answered;
+        const answered = { id, chain: lastTurn.chain + input + output };
+        this.rememberTurn(answered, lastTurn);
+        lastTurn = answered;
       } else {
         failures += 1;
         await new Promise((resolve) => setTimeout(resolve, 100 + random.uniform() * 300));
@@ -207,10 +210,10 @@
   }
 
   /** Replaces the program's previous turn, and drops the oldest program beyond the limit. */
-  private remember(turn: AnsweredTurn, before: AnsweredTurn): void {
-    const place = this.lastTurns.indexOf(before);
-    if (place >= 0) {
-      this.lastTurns.splice(place, 1);
+  private rememberTurn(turn: AnsweredTurn, before: AnsweredTurn): void {
+    const index = this.lastTurns.indexOf(before);
+    if (index >= 0) {
+      this.lastTurns.splice(index, 1);
     }
     this.lastTurns.push(turn);
     if (this.lastTurns.length > REMEMBERED_PROGRAMS) {
@@ -260,12 +263,12 @@
     }
   }
 
-  private judge(kind: 'single' | 'repeatable', id: string, result: Result): void {
+  private recordResult(kind: 'single' | 'repeatable', id: string, result: Result): void {
     const { counts } = this.context;
     this.checkTenant(id);
     if (result.status === 200 && result.complete) {
       counts.answered += 1;
-    } else if (PROMISES.has(result.status)) {
+    } else if (NOT_RUN_STATUSES.has(result.status)) {
       counts.refused += 1;
       this.checkNotRun(id, result.status);
     } else {
@@ -309,7 +312,7 @@
       [NAMES.key]: `Token ${SOAK_KEY}`,
       ...extra,
     };
-    const nothing: Result = { status: 0, headers: {}, body: '', complete: false };
+    const noResponse: Result = { status: 0, headers: {}, body: '', complete: false };
     return new Promise((resolve) => {
       const options = { host, port: SOAK_PORTS.front, path, method: 'POST', headers };
       const client = httpRequest({ ...options, agent: false }, (response) => {
@@ -330,7 +333,7 @@
       const timer = setTimeout(() => client.destroy(), TIMEOUT_MILLISECONDS + 500);
       client.on('error', () => {
         clearTimeout(timer);
-        resolve(nothing);
+        resolve(noResponse);
       });
       client.end(body);
     });
--- a/soak/soak-configuration.ts
+++ b/soak/soak-configuration.ts
@@ -6,9 +6,9 @@
 /** Service that is the target of all routes. */
 export const SOAK_SERVICE = 'workers';
 /** Number of the newest added routes that a version contains. */
-const KEPT_ROUTES = 2;
+const ADDED_ROUTE_COUNT = 2;
 /** Largest increment of the version number. */
-const LARGEST_STEP = 4;
+const MAXIMUM_VERSION_STEP = 4;
 
 /** One new configuration version and its difference to earlier ones. */
 export interface ConfigurationChange {
@@ -46,12 +46,12 @@
 
   /** Creates the next version, with a random increment of its number. */
   next(): ConfigurationChange {
-    this.version += this.random.integer(1, LARGEST_STEP);
+    this.version += this.random.integer(1, MAXIMUM_VERSION_STEP);
     const { version, guestKey: removedKey } = this;
     const addedRoute = `added-${version}`;
     this.guestKey = `key-of-guest-${version}`;
     this.addedRoutes.push(addedRoute);
-    const droppedRoutes = this.addedRoutes.slice(0, -KEPT_ROUTES);
+    const droppedRoutes = this.addedRoutes.slice(0, -ADDED_ROUTE_COUNT);
     return { version, value: this.value(), addedRoute, droppedRoutes, removedKey };
   }
 
@@ -63,7 +63,7 @@
         route('repeatable', 'idempotent', { TimeoutMs: 2_000 + this.version }),
         route('kept', 'streaming', { Retain: true, RetentionS: 600 }),
         route('long', 'streaming', {}),
-        ...this.addedRoutes.slice(-KEPT_ROUTES).map((name) => route(name, 'idempotent', {})),
+        ...this.addedRoutes.slice(-ADDED_ROUTE_COUNT).map((name) => route(name, 'idempotent', {})),
       ],
       Services: [
         { Name: SOAK_SERVICE, MaxConnections: 60, Engine: { Stride: SOAK_TOKENS_PER_EVENT } },
--- a/soak/soak-faults.ts
+++ b/soak/soak-faults.ts
@@ -59,7 +59,7 @@
  * Common target of all replica faults, so that only one is active at a time: the platform does not guarantee to
  * tolerate the loss of two of three disks.
  */
-export const REPLICAS_TOGETHER = 'replicas';
+export const ALL_REPLICAS = 'replicas';
 /** Randomly chosen machines for a fault, by name. */
 export interface FaultTargets {
   readonly gateway: string;
@@ -82,14 +82,14 @@
     case 'wipeReplica':
     case 'pauseReplica':
     case 'losePower':
-      return [replica, REPLICAS_TOGETHER];
+      return [replica, ALL_REPLICAS];
     case 'killAll':
     case 'loseAllPower':
-      return [...all, REPLICAS_TOGETHER];
+      return [...all, ALL_REPLICAS];
     case 'replaceReplica':
-      return [replica, ...all, REPLICAS_TOGETHER, 'store'];
+      return [replica, ...all, ALL_REPLICAS, 'store'];
     case 'emptyReplica':
-      return [replica, REPLICAS_TOGETHER, 'store'];
+      return [replica, ALL_REPLICAS, 'store'];
     case 'storeRefuses':
     case 'storeSilent':
     case 'storeLosesAnswers':
--- a/soak/soak-hosts.ts
+++ b/soak/soak-hosts.ts
@@ -11,17 +11,17 @@
 } as const;
 
 /** Largest block number. */
-export const MOST_BLOCKS = 100;
+export const MAXIMUM_BLOCK = 100;
 
 /** Assigns addresses of the form 127.block.part.number. */
 export class SoakHosts {
   constructor(
-    /** Block number, 0 to `MOST_BLOCKS`. */
+    /** Block number, 0 to `MAXIMUM_BLOCK`. */
     private readonly block: number,
   ) {}
 
   /** Returns the address of a machine; `number` starts at 1. */
-  of(part: keyof typeof PARTS, number: number): string {
+  addressOf(part: keyof typeof PARTS, number: number): string {
     return `127.${this.block}.${PARTS[part]}.${number}`;
   }
 }
--- a/soak/soak-report.ts
+++ b/soak/soak-report.ts
@@ -19,7 +19,7 @@
   /** Block of loopback addresses; soaks in different blocks can run concurrently. @default 0 */
   readonly block?: number;
   /** Whether the store also holds invalid runner entries of other writers; older builds exit on them. @default true */
-  readonly hasStrangeEntries?: boolean;
+  readonly hasInvalidEntries?: boolean;
   /** Rolling upgrade to perform during the run. @default none */
   readonly upgrade?: UpgradePlan | undefined;
 }
--- a/soak/soak-upgrade.ts
+++ b/soak/soak-upgrade.ts
@@ -22,7 +22,7 @@
  * was closed over an unreadable message (`connections`), and also that no request was refused (`refusals`).
  * Refusals are left out on a machine that is busy with other work, where replicas may be too slow anyway.
  */
-export type UpgradeJudgement = 'nothing' | 'connections' | 'refusals';
+export type UpgradeChecks = 'nothing' | 'connections' | 'refusals';
 
 /** Plan of a rolling upgrade. */
 export interface UpgradePlan {
@@ -33,7 +33,7 @@
   readonly order: UpgradeOrder;
   readonly end: UpgradeEnd;
   /** What is checked besides the guarantees. */
-  readonly judged: UpgradeJudgement;
+  readonly checks: UpgradeChecks;
 }
 
 /** A machine restarted with another build, and the request counts until the next restart. */
@@ -48,14 +48,14 @@
 /** Dependencies of the rolling upgrade. */
 export interface SoakUpgradeOptions {
   readonly plan: UpgradePlan;
-  readonly of: (role: PlatformRole) => readonly PlatformProcess[];
+  readonly processesOf: (role: PlatformRole) => readonly PlatformProcess[];
   readonly counts: SoakCounts;
   /** Runs an action on a machine once no fault has it as a target, and keeps faults off it meanwhile. */
   readonly reserve: (machine: PlatformProcess, action: () => Promise<void>) => Promise<void>;
 }
 
 /** Pause between two machines, in which a replica catches up and clients use the mixed builds, in milliseconds. */
-const BETWEEN_MILLISECONDS = 3_000;
+const RESTART_PAUSE_MILLISECONDS = 3_000;
 
 interface PlannedStep {
   readonly name: string;
@@ -73,8 +73,8 @@
   async run(): Promise<void> {
     for (const step of this.plannedSteps()) {
       const before = { ...this.options.counts };
-      await this.roll(step);
-      await new Promise((resolve) => setTimeout(resolve, BETWEEN_MILLISECONDS));
+      await this.restart(step);
+      await new Promise((resolve) => setTimeout(resolve, RESTART_PAUSE_MILLISECONDS));
       const { counts } = this.options;
       this.steps.push({
         machine: step.name,
@@ -88,9 +88,9 @@
 
   /** Returns the upgrade's violations. Call once all processes have ended; `folder` holds a subfolder for each log. */
   violationsIn(folder: string): string[] {
-    const { judged } = this.options.plan;
-    const ended = judged === 'nothing' ? [] : endedConnections(folder);
-    return judged === 'refusals' ? [...ended, ...this.refusals] : ended;
+    const { checks } = this.options.plan;
+    const ended = checks === 'nothing' ? [] : endedConnections(folder);
+    return checks === 'refusals' ? [...ended, ...this.refusals] : ended;
   }
 
   private get refusals(): string[] {
@@ -102,32 +102,32 @@
   }
 
   private plannedSteps(): PlannedStep[] {
-    const { plan, of } = this.options;
+    const { plan, processesOf } = this.options;
     const roles: readonly PlatformRole[] =
       plan.order === 'gateways' ? ['gateway', 'replica'] : ['replica', 'gateway'];
-    const machines = roles.flatMap((role) => of(role).map(({ machine }) => machine));
-    const onwards = machines.map(({ name, role }) => ({ name, role, build: 'new' as const }));
+    const machines = roles.flatMap((role) => processesOf(role).map(({ machine }) => machine));
+    const upgrades = machines.map(({ name, role }) => ({ name, role, build: 'new' as const }));
     // More than half of the machines.
-    const half = onwards.slice(0, Math.ceil((machines.length + 1) / 2));
+    const half = upgrades.slice(0, Math.ceil((machines.length + 1) / 2));
     const back = [...half].reverse().map((step) => ({ ...step, build: 'old' as const }));
-    const ends = { whole: onwards, halfway: half, back: [...half, ...back] };
+    const ends = { whole: upgrades, halfway: half, back: [...half, ...back] };
     return ends[plan.end];
   }
 
-  private async roll({ name, role, build }: PlannedStep): Promise<void> {
-    const { plan, of, reserve } = this.options;
-    const rolled = of(role).find(({ machine }) => machine.name === name);
+  private async restart({ name, role, build }: PlannedStep): Promise<void> {
+    const { plan, processesOf, reserve } = this.options;
+    const process = processesOf(role).find(({ machine }) => machine.name === name);
     // A fault may have replaced the machine for good; the replacement started with the same build.
-    if (rolled === undefined) {
+    if (process === undefined) {
       return;
     }
-    await reserve(rolled, async () => {
-      const ended = rolled.ended();
-      // An exit that the soak did not cause stays in ownExits; the process is restarted regardless.
-      rolled.signal('SIGTERM');
+    await reserve(process, async () => {
+      const ended = process.whenExited();
+      // An exit that the soak did not cause stays in unexpectedExits; the process is restarted regardless.
+      process.signal('SIGTERM');
       await ended;
-      rolled.program = build === 'new' ? PROGRAM : plan.program;
-      rolled.start();
+      process.program = build === 'new' ? PROGRAM : plan.program;
+      process.start();
     });
   }
 }
--- a/soak/soak-world.ts
+++ b/soak/soak-world.ts
@@ -23,19 +23,19 @@
   /** Path of the program with which all machines start. */
   readonly program: string;
   /** Whether the store also holds invalid runner entries of other writers. */
-  readonly hasStrangeEntries: boolean;
+  readonly hasInvalidEntries: boolean;
 }
 
 const STORE_PORT = 18142;
 const RUNNER_PORT = 18080;
-const ZONES = 3;
+const ZONE_COUNT = 3;
 /** Time within which all processes have started and discovered one another, in milliseconds. */
 const START_MILLISECONDS = 5_000;
 /** Time between two events of a stream, in milliseconds. */
 const EVENT_MILLISECONDS = 8;
 
 /** Invalid entries under the runners' prefix; processes must ignore them. */
-const STRANGE_ENTRIES: readonly Record<string, unknown>[] = [
+const INVALID_ENTRIES: readonly Record<string, unknown>[] = [
   { Service: SOAK_SERVICE, Address: 'x', State: 'ready' },
   { Service: SOAK_SERVICE, Address: '127.0.0.1:99999', State: 'ready' },
   { Service: SOAK_SERVICE, Address: '127.0.0.1:9', State: 'asleep' },
@@ -44,7 +44,7 @@
 ];
 
 function zoneOf(number: number): string {
-  return `z${((number - 1) % ZONES) + 1}`;
+  return `z${((number - 1) % ZONE_COUNT) + 1}`;
 }
 
 /** Starts, replaces and stops the processes and servers of a soak. */
@@ -60,7 +60,7 @@
   readonly liveRunners: RelayRunner[] = [];
   readonly processes: PlatformProcess[] = [];
   /** Processes whose machines were removed for good. */
-  readonly gone: PlatformProcess[] = [];
+  readonly removedProcesses: PlatformProcess[] = [];
   private startedReplicas = 0;
   private readonly hosts: SoakHosts;
 
@@ -71,22 +71,24 @@
   /** Addresses of all gateways, running or not. */
   get gatewayHosts(): string[] {
     const { gatewayCount } = this.options;
-    return Array.from({ length: gatewayCount }, (_, index) => this.hosts.of('gateway', index + 1));
+    return Array.from({ length: gatewayCount }, (_, index) =>
+      this.hosts.addressOf('gateway', index + 1),
+    );
   }
 
   /** Processes of a role. */
-  of(role: PlatformRole): PlatformProcess[] {
+  processesOf(role: PlatformRole): PlatformProcess[] {
     return this.processes.filter((process) => process.machine.role === role);
   }
 
   /** Starts the store and the runners; the caller writes the configuration next. */
-  async startSurroundings(): Promise<void> {
-    await this.store.listen(this.hosts.of('store', 1), STORE_PORT);
+  async startDependencies(): Promise<void> {
+    await this.store.listen(this.hosts.addressOf('store', 1), STORE_PORT);
     for (let index = 0; index < this.options.runnerCount; index += 1) {
       await this.startRunner(index, `runner-${index}-${index}`);
     }
-    const strangeEntries = this.options.hasStrangeEntries ? STRANGE_ENTRIES : [];
-    strangeEntries.forEach((entry, place) =>
+    const invalidEntries = this.options.hasInvalidEntries ? INVALID_ENTRIES : [];
+    invalidEntries.forEach((entry, place) =>
       this.store.put(`${RUNNER_PREFIX}stranger-${place}`, entry),
     );
   }
@@ -104,10 +106,10 @@
   }
 
   /** Removes a killed replica for good and starts an empty replacement at a new address in the same zone. */
-  async replaceReplica(gone: PlatformProcess): Promise<void> {
-    this.processes.splice(this.processes.indexOf(gone), 1);
-    this.gone.push(gone);
-    await this.startReplica(gone.machine.zone, gone.program);
+  async replaceReplica(removed: PlatformProcess): Promise<void> {
+    this.processes.splice(this.processes.indexOf(removed), 1);
+    this.removedProcesses.push(removed);
+    await this.startReplica(removed.machine.zone, removed.program);
   }
 
   /** Crashes a runner; after a pause a runner with a new id starts at its address. */
@@ -125,7 +127,7 @@
 
   /** Kills all processes and closes the proxies, runners and store. */
   async stop(): Promise<void> {
-    const ended = this.processes.map((process) => process.ended());
+    const ended = this.processes.map((process) => process.whenExited());
     this.processes.forEach((process) => process.signal('SIGKILL'));
     await Promise.all(ended);
     this.storeProxies.forEach((proxy) => proxy.close());
@@ -147,13 +149,13 @@
   ): Promise<void> {
     const place = this.storeProxies.size + 1;
     const name = `${role}-${number}`;
-    const proxy = new FaultProxy(this.hosts.of('store', 1), STORE_PORT);
-    const proxyHost = this.hosts.of('storeProxy', place);
+    const proxy = new FaultProxy(this.hosts.addressOf('store', 1), STORE_PORT);
+    const proxyHost = this.hosts.addressOf('storeProxy', place);
     await proxy.listen(proxyHost, STORE_PORT);
     this.storeProxies.set(name, proxy);
     const seeds = this.gatewayHosts.slice(0, 2).map((host) => `${host}:${SOAK_PORTS.control}`);
     const storeAddress = `${proxyHost}:${STORE_PORT}`;
-    const host = this.hosts.of(role, number);
+    const host = this.hosts.addressOf(role, number);
     const machine = { name, role, host, zone, storeAddress, seeds };
     const folder = join(this.folder, name);
     mkdirSync(folder);
@@ -176,11 +178,11 @@
       eventCount: SOAK_EVENTS,
       pauseMilliseconds: EVENT_MILLISECONDS,
     });
-    const host = this.hosts.of('runner', index + 1);
+    const host = this.hosts.addressOf('runner', index + 1);
     await runner.listen(RUNNER_PORT, host);
     this.runners.push(runner);
     this.liveRunners[index] = runner;
-    const proxyHost = this.hosts.of('runnerProxy', index + 1);
+    const proxyHost = this.hosts.addressOf('runnerProxy', index + 1);
     if (this.runnerProxies[index] === undefined) {
       const proxy = new FaultProxy(host, RUNNER_PORT);
       await proxy.listen(proxyHost, RUNNER_PORT);
--- a/soak/tenant-check.ts
+++ b/soak/tenant-check.ts
@@ -20,10 +20,10 @@
 
 const OLD_KEY_PAUSE_MILLISECONDS = 60;
 const UNKNOWN_KEY = 'key-of-nobody';
-const UNKNOWN_SHARE = 0.1;
+const UNKNOWN_KEY_FRACTION = 0.1;
 /** Number of the most recently revoked keys that are still tried. */
-const TRIED_KEYS = 4;
-const ANSWER_MILLISECONDS = 3_000;
+const TRIED_KEY_COUNT = 4;
+const RESPONSE_TIMEOUT_MILLISECONDS = 3_000;
 const OK = 200;
 
 /** A key that the configuration in the store no longer contains. */
@@ -70,9 +70,9 @@
     const { random } = this.options;
     while (!isOver()) {
       await new Promise((resolve) => setTimeout(resolve, OLD_KEY_PAUSE_MILLISECONDS));
-      const old = this.removed.slice(-TRIED_KEYS);
+      const old = this.removed.slice(-TRIED_KEY_COUNT);
       if (old.length > 0) {
-        const isUnknown = random.uniform() < UNKNOWN_SHARE;
+        const isUnknown = random.uniform() < UNKNOWN_KEY_FRACTION;
         const tried = isUnknown ? { key: UNKNOWN_KEY, removedAt: -Infinity } : random.pick(old);
         this.oldKeyRequests += 1;
         this.tryKey(tried);
@@ -136,7 +136,7 @@
     const headers = {
       host: SOAK_HOST,
       [NAMES.requestId]: id,
-      [NAMES.timeout]: String(ANSWER_MILLISECONDS),
+      [NAMES.timeout]: String(RESPONSE_TIMEOUT_MILLISECONDS),
       [NAMES.key]: `Token ${key}`,
     };
     const host = this.options.random.pick(this.options.gatewayHosts);
@@ -145,7 +145,7 @@
       response.resume();
       response.on('close', () => done(response.complete ? (response.statusCode ?? 0) : 0));
     });
-    const timer = setTimeout(() => client.destroy(), ANSWER_MILLISECONDS);
+    const timer = setTimeout(() => client.destroy(), RESPONSE_TIMEOUT_MILLISECONDS);
     client.on('close', () => clearTimeout(timer));
     // The request may have reached a runner even if the gateway is down or unreachable, so `done` is called.
     client.on('error', () => done(0));
