--- a/features/steps/quotas.steps.ts
+++ b/features/steps/quotas.steps.ts
@@ -168,7 +168,7 @@
 }
 
 Then(
-  'in any exchange with late, lost and repeated words between frozen gateways no proof is too young',
+  'in any exchange with late, lost and repeated messages between freezing gateways no proof looks too new',
   function () {
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       assert.deepEqual(new ProofHistory(seed, false).run().violations, [], `seed ${seed}`);
@@ -176,7 +176,7 @@
   },
 );
 
-Then('a believer in the time of receipt would be caught', function () {
+Then('a proof that is dated to the receipt of its answer is detected', function () {
   const caught = Array.from({ length: SEEDS }, (_, seed) => new ProofHistory(seed, true).run());
   assert.ok(caught.some(({ violations }) => violations.length > 0));
 });
@@ -207,7 +207,7 @@
 }
 
 Then(
-  'a gateway that was started again takes no answer to what it asked before, and takes those to what it asks now',
+  'a restarted gateway ignores answers to its earlier questions and accepts those to its new ones',
   function () {
     const before = startGateway(1);
     before.clock.runUntil(450);
@@ -226,7 +226,7 @@
 );
 
 Then(
-  'a gateway that lacks the newest configuration has no proof of it until it takes it',
+  'a gateway that lacks the newest configuration has no proof of it until it applies it',
   function () {
     let revision = 3;
     const runtime = { ...new SimulatedProcess('g', new VirtualClock(), createRandom(1)).start() };
@@ -511,7 +511,7 @@
 });
 
 Then(
-  'at least {int} in 100 of what it may have are granted',
+  'at least {int} in 100 of the requests within its limit are granted',
   function (this: World, least: number) {
     const entitled = Math.min(this.asked!, LIMIT * 20);
     const share = (100 * this.grants!.length) / entitled;
--- a/features/steps/soak.steps.ts
+++ b/features/steps/soak.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about the checks of the fault soak, against a gateway that lies. */
+/** Steps about the checks of the fault soak, against a gateway with injected faults. */
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import { PLATFORM_HEADER_NAMES } from '../../platform/header-names.js';
@@ -27,14 +27,14 @@
   this.lyingGateway?.close();
 });
 
-Given('a gateway that lies: {string}', async function (this: World, lie: GatewayFault) {
+Given('a gateway with the fault {string}', async function (this: World, lie: GatewayFault) {
   this.soakRunner = new RelayRunner({ id: 'runner', names: PLATFORM_HEADER_NAMES });
   this.lyingGateway = new FaultyGateway(lie, this.soakRunner);
   await this.lyingGateway.listen(HOST, SOAK_PORTS.front);
 });
 
 When(
-  'clients of the soak work with it for {int} milliseconds',
+  'clients of the soak send it requests for {int} milliseconds',
   async function (this: World, milliseconds: number) {
     this.told = new Set();
     const context: SoakClientContext = {
@@ -86,7 +86,7 @@
 );
 
 When(
-  'its tenants are looked at for {int} milliseconds with a key that was taken away {int} milliseconds ago',
+  'its tenants are checked for {int} milliseconds with a key that was revoked {int} milliseconds ago',
   async function (this: World, milliseconds: number, age: number) {
     this.told = new Set();
     const check = new TenantCheck({
@@ -102,19 +102,19 @@
   },
 );
 
-Then('they tell of {string} and of nothing else', function (this: World, promise: string) {
+Then('the promises reported as violated are {string}', function (this: World, promise: string) {
   assert.deepEqual([...this.told!], promise === '' ? [] : [promise]);
 });
 
 Then(
-  'a soak of {int} long streams fails where {int} came whole',
+  'a soak of {int} long streams fails if {int} were complete',
   function (asked: number, whole: number) {
     assert.equal(slowReaderViolations({ slowAsked: asked, slowWhole: whole }).length, 1);
   },
 );
 
 Then(
-  'a soak of {int} long streams passes where {int} came whole',
+  'a soak of {int} long streams passes if {int} were complete',
   function (asked: number, whole: number) {
     assert.deepEqual(slowReaderViolations({ slowAsked: asked, slowWhole: whole }), []);
   },
--- a/features/tenants.feature
+++ b/features/tenants.feature
@@ -62,7 +62,7 @@
     Then "north" can continue that turn
     And "south" is told that there is no such turn
 
-  Scenario: Requests above a limit are refused with the time at which the tenant has room
+  Scenario: Requests above a limit are refused with the time until the quota allows another one
     Given a gateway with tenants "north" and "south" of which "north" may send 5 requests a second and 5 at once
     When 20 requests with the key of "north" and 8 with the key of "south" are sent
     Then between 8 and 9 of "north" and all of "south" are answered
@@ -79,21 +79,21 @@
       | an endless burst     | the burst must be a finite number of at least 0 |
       | an empty name        | has no name                                     |
 
-  Scenario: Nobody believes the configuration newer than it is, whatever is frozen or late
-    Then in any exchange with late, lost and repeated words between frozen gateways no proof is too young
-    And a believer in the time of receipt would be caught
+  Scenario: No gateway takes its configuration for newer than it is, whatever is frozen or late
+    Then in any exchange with late, lost and repeated messages between freezing gateways no proof looks too new
+    And a proof that is dated to the receipt of its answer is detected
 
-  Scenario: An answer to a question of an earlier life proves nothing
-    Then a gateway that was started again takes no answer to what it asked before, and takes those to what it asks now
+  Scenario: An answer to a question of an earlier process run proves nothing
+    Then a restarted gateway ignores answers to its earlier questions and accepts those to its new ones
 
   Scenario: A proof of a newer configuration counts once that has come
-    Then a gateway that lacks the newest configuration has no proof of it until it takes it
+    Then a gateway that lacks the newest configuration has no proof of it until it applies it
 
   Scenario: Members together give out a tenant's rate and no more
     Then in any run of requests no window holds more than its limit at five members
     And a tenant that stays beneath its limit is refused nothing at five members
 
-  Scenario Outline: Programs of a tenant that stays beneath its limit are let in, also where few begin together
+  Scenario Outline: Programs of a tenant that stays beneath its limit are admitted, even where few programs start together
     Then of a tenant whose programs use 0.62 of a limit of <limit> a second fewer than <most> in 100 requests are refused
 
     Examples:
@@ -106,14 +106,14 @@
   Scenario: Requests of programs under way go before new programs
     Then of a tenant that sends four times its limit more than nine tenths of the requests under way are granted
 
-  Scenario: A request under way is held rather than refused when its tenant has room soon
+  Scenario: A request of a program in progress is held rather than refused if the quota soon allows it
     Then of a tenant at nine tenths of its limit fewer requests under way are refused when they may be held
 
   Scenario Outline: Quotas while replicas are cut off and die
     Given 5 replicas that are members
     When a tenant with a limit of 100 a second sends <rate> a second through 6 gateways for 20 seconds while <trouble>
     Then no window holds more than its limit
-    And at least <least> in 100 of what it may have are granted
+    And at least <least> in 100 of the requests within its limit are granted
 
     Examples:
       | rate | trouble                                        | least |
