--- a/src/bench/chaos.ts
+++ b/src/bench/chaos.ts
@@ -70,6 +70,7 @@
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
+/** State of one run. */
 interface Rig {
   readonly seed: number;
   readonly daemons: readonly DaemonProcess[];
--- a/src/configuration/configuration-writer.ts
+++ b/src/configuration/configuration-writer.ts
@@ -1,7 +1,7 @@
 /**
  * Writes the configuration by compare-and-swap under a change id. If an answer is lost, a read of
- * the change id tells whether the change took effect; of two concurrent changes, the later one is
- * reported as a conflict.
+ * the change id tells whether the change took effect; of two concurrent edits of a document, the
+ * later one is reported as a conflict.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type { KeyValue, KeyValueError, KeyValuePort } from '../platform/key-value-port.js';
@@ -82,7 +82,7 @@
     });
   }
 
-  /** Writes documents whatever is stored; used for first set-ups. */
+  /** Writes documents regardless of what is stored; used for the first setup. */
   replace(change: DocumentChange, listener: ChangeListener): void {
     const metadata = this.metadataOf(change);
     const puts = change.puts.map((entry) => ({
@@ -152,7 +152,10 @@
     }
   }
 
-  /** Reads whether the change took effect; its id was written in the same transaction. */
+  /**
+   * Reads whether the change took effect: its id is stored in the same transaction.
+   * @param wasRejected whether a guard of the change failed, so that it cannot take effect later
+   */
   private resolve(
     change: PreparedChange,
     tries: number,
--- a/src/dispatch/pool-scheduler.ts
+++ b/src/dispatch/pool-scheduler.ts
@@ -364,7 +364,10 @@
     this.holdManager.finishTurn(this.pool, engine, turn, now);
   }
 
-  /** Refuses waiting calls whose deadline is closer than their expected service time. */
+  /**
+   * Refuses waiting calls whose deadline is closer than their expected service time with a fully
+   * cached prompt.
+   */
   private refuseUnmeetableDeadlines(now: number): void {
     for (const known of [...this.calls.values()]) {
       const { ticket } = known;
@@ -427,6 +430,7 @@
     });
   }
 
+  /** Clears a call's pending prefill after the expected time of its engine's whole backlog. */
   private schedulePrefillEnd(state: EngineState, known: TrackedCall): void {
     const prefillBacklog = state.view.pendingPrefillTokens;
     const delay = prefillBacklog * this.pool.costs.prefillMillisecondsPerToken;
--- a/src/emulator/prefix-cache.ts
+++ b/src/emulator/prefix-cache.ts
@@ -149,7 +149,7 @@
     });
   }
 
-  /** Returns the programs with entries evicted since the last call. */
+  /** Returns, for each entry evicted since the last call, the program that first cached it. */
   drainEvicted(): ProgramId[] {
     const evicted = this.evicted;
     this.evicted = [];
@@ -250,7 +250,7 @@
     return true;
   }
 
-  /** Finds the least recently used leaf without a lease; held leaves come last. */
+  /** Returns the least recently used leaf without a lease; held leaves come last. */
   private findVictim(): CacheEntry | undefined {
     let best: CacheEntry | undefined;
     for (const entry of this.entries.values()) {
--- a/src/emulator/relay-runner.ts
+++ b/src/emulator/relay-runner.ts
@@ -1,5 +1,5 @@
 /**
- * An emulated runner of routed requests: sends signed answers, streams events, and can be told to
+ * An emulated runner of routed requests: sends signed answers, streams events, and can be set to
  * misbehave in the ways that the relay must tolerate. It records the requests that it ran.
  */
 import { createServer } from 'node:http';
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -210,7 +210,10 @@
     }
   }
 
-  /** Probes the owners of pending calls and sends calls of lost owners again; run once a second. */
+  /**
+   * Probes the owners of pending calls and sends calls of lost owners again; run every
+   * `PROBE_INTERVAL_MILLISECONDS`.
+   */
   probe(): void {
     const now = this.options.runtime.now();
     const byOwner = new Map<NodeId, CallId[]>();
--- a/src/mirror/key-space-mirror.ts
+++ b/src/mirror/key-space-mirror.ts
@@ -3,7 +3,7 @@
  * up to date. A watch proves nothing, since it may be stalled, cut or outdated: if the history is
  * lost, the mirror lists all items again; it periodically reads a stale list, which is cheap; and
  * if the store is known to have a newer revision, the watch counts as stalled. Only short calls are
- * sent to a store that is out of reach. While the mirror does not follow the store, peers provide
+ * sent to an unreachable store. While the mirror does not follow the store, peers provide
  * the changes, and stale lists, read less often, reveal what the peers missed.
  */
 import { isRight } from 'fp-ts/lib/Either.js';
--- a/src/mirror/list-attempts.ts
+++ b/src/mirror/list-attempts.ts
@@ -2,7 +2,7 @@
  * Requests a complete list from the store until one call succeeds. A call without an answer is
  * hedged: after a delay another one is sent beside it, and the first answer counts. If proofs
  * report that the store answers other gateways, retries wait for such a proof, so that hundreds of
- * gateways do not overload a store that is out of reach.
+ * gateways do not overload an unreachable store.
  */
 import { isRight } from 'fp-ts/lib/Either.js';
 import type { CancelTimer, Runtime } from '../runtime/runtime.js';
--- a/src/mirror/store-freshness.ts
+++ b/src/mirror/store-freshness.ts
@@ -62,8 +62,9 @@
  * not all read at once.
  */
 const RANKED_GATEWAYS = 4;
-/** Range of that random time for each known gateway, in milliseconds. */
+/** Maximum of the random wait for each known gateway, in milliseconds. */
 const SPREAD_PER_GATEWAY_MILLISECONDS = 25;
+/** Maximum of the random wait for any number of gateways, in milliseconds. */
 const MAXIMUM_SPREAD_MILLISECONDS = 1_000;
 /** Number of reads that all gateways together send in an interval while none is answered. */
 const SHARED_READS_PER_INTERVAL = 4;
@@ -74,8 +75,8 @@
  */
 const OUTAGE_MILLISECONDS = 2_000;
 /**
- * Time after the end of an outage within which owners write their entries again, in milliseconds:
- * the platform's 2 s and a margin for propagation.
+ * Time after the end of an outage within which owners write their entries again, in milliseconds.
+ * The platform allows them 2 s; the rest is a margin for propagation.
  */
 const EXPIRY_GRACE_MILLISECONDS = 2_400;
 /** Maximum number of lives whose newest proof number is remembered. */
--- a/src/peers/load-gossip.ts
+++ b/src/peers/load-gossip.ts
@@ -73,11 +73,14 @@
  * of gateways that lost sight of each other.
  */
 const DISCOVERY_PERIODS = 3;
-/** Minimum time after which the direct report of a silent peer expires, in milliseconds. */
+/**
+ * Time after which a global sum expires, and minimum time after which the direct report of a silent
+ * peer does, in milliseconds.
+ */
 const STALE_MILLISECONDS = 500;
 /**
- * Time after which a report to an aggregator or a zone's sum expires, in milliseconds. Covers two
- * lost messages of a busy sender and none of an idle one.
+ * Time after which an aggregator no longer adds up a report or a zone's sum, in milliseconds. Covers
+ * two lost messages of a busy sender and none of an idle one.
  */
 const STALE_REPORT_MILLISECONDS = 350;
 /**
@@ -87,7 +90,10 @@
 const STALE_MESSAGE_INTERVALS = 2.5;
 /** Silence of the first aggregator after which the second one takes over, in milliseconds. */
 const TAKEOVER_MILLISECONDS = 300;
-/** Number of times that each place is sent to the same gateway, to make up for lost datagrams. */
+/**
+ * Number of times that each place (a prompt part cached at a runner) is sent to the same gateway, to
+ * make up for lost datagrams.
+ */
 const PLACE_REPEATS = 3;
 /** Periods until a request is counted in the global sum. */
 const SUM_DELAY_PERIODS = 3;
@@ -120,7 +126,9 @@
   private readonly zoneHash: number;
   private readonly pace: GossipPace;
   private readonly writer: MessageWriter;
+  /** Places reported in this zone, to be relayed to the other zones. */
   private readonly zonePlaces: PlaceRelay;
+  /** Places reported by other zones, to be relayed within this zone. */
   private readonly otherPlaces: PlaceRelay;
   private period = 0;
   private isAggregating = false;
--- a/src/peers/store-followers.ts
+++ b/src/peers/store-followers.ts
@@ -59,8 +59,8 @@
 /** Time after the start in which peers are discovered and no follower stops, in milliseconds. */
 const DISCOVERY_MILLISECONDS = 2_000;
 /**
- * Silence of the store beyond which a surplus follower goes on following, in milliseconds. A proof
- * is usually at most 0.6 s old.
+ * Silence of the store beyond which a surplus follower goes on following, in milliseconds; exceeds
+ * the usual age of a proof.
  */
 const FOLLOWER_SILENCE_LIMIT_MILLISECONDS = 900;
 /**
--- a/src/program/shard-owner.ts
+++ b/src/program/shard-owner.ts
@@ -488,7 +488,7 @@
     });
   }
 
-  /** Frees the slot of an assignment that arrived too late. */
+  /** Frees the slot of an assignment whose call no longer waits for it. */
   private refuseAssignment({ service, call, engine }: PoolAssignment): void {
     this.options.pools.reportFinished({
       type: 'poolFinished',
--- a/src/relay/admission/predicted-wait.ts
+++ b/src/relay/admission/predicted-wait.ts
@@ -1,8 +1,8 @@
 /**
- * Predicts how long a turn would wait at the runners of a service, and how long it may wait. A
- * program's deadline is never shorter than its time on idle runners, so waits that add up to a
- * share of the time to the deadline make the program late by at most that share, while its caller
- * still waits.
+ * Predicts how long a turn would wait at the runners of a service, and how long it may wait.
+ * Deadlines are assumed to allow at least a program's time on idle runners. Waits that add up to a
+ * share of the time to the deadline then make the program late by at most that share, while its
+ * caller still waits.
  */
 
 /** Load and time limits that the admission of a program depends on. */
@@ -15,7 +15,7 @@
   readonly moreUrgent: number;
   /** Requests that can run at the same time. */
   readonly slots: number;
-  /** Duration of a running turn, in milliseconds. */
+  /** Expected duration of a turn while all slots are taken, in milliseconds. */
   readonly turnMilliseconds: number;
   /** Expected number of turns of a program of this kind. */
   readonly turns: number;
--- a/src/relay/admission/quota-gate.ts
+++ b/src/relay/admission/quota-gate.ts
@@ -1,6 +1,6 @@
 /**
  * Enforces the request quotas of tenants. A request above the quota is refused at once, with the
- * time at which the tenant's rate has room again. New programs are refused before requests of
+ * time until the quota allows another one. New programs are refused before requests of
  * programs in progress, since a program that is interrupted halfway has wasted all its earlier
  * requests.
  */
@@ -26,7 +26,7 @@
 /** Timeout of a quota request to the replicas, in milliseconds. */
 const QUOTA_TIMEOUT_MILLISECONDS = 300;
 /**
- * Maximum time that a request of a program in progress is held until its tenant has room, in
+ * Maximum time that a request of a program in progress is held until the quota allows it, in
  * milliseconds. A request is held only if it is known to be granted then.
  */
 const MAXIMUM_HOLD_MILLISECONDS = 600;
--- a/src/relay/admission/retry-delay.ts
+++ b/src/relay/admission/retry-delay.ts
@@ -1,7 +1,6 @@
 /**
- * Computes when a refused client should retry. Clients retry only a few times, so a client is told
- * to come back when a slot is expected to be free and not before; clients that are refused together
- * are spread by jitter.
+ * Computes when a refused client should retry. Clients retry only a few times, so the delay ends no
+ * earlier than a slot is expected to be free; clients that are refused together are spread by jitter.
  */
 
 /**
--- a/src/relay/memory/memory-budget.ts
+++ b/src/relay/memory/memory-budget.ts
@@ -47,7 +47,7 @@
 
 /**
  * Sorts by bytes held times idle time, the largest first, so that few readers are disconnected, and
- * none that has just read something.
+ * those that have just read something come last.
  */
 export const byBytesAndTime: CutOrder = (left, right) =>
   right.heldBytes * right.idleMilliseconds - left.heldBytes * left.idleMilliseconds;
@@ -194,7 +194,7 @@
     }
   }
 
-  /** Disconnects slow readers, in order, until the `cut` level is left. */
+  /** Disconnects idle readers in the cut order until the `cut` level is left. */
   private cutReaders(): void {
     if (this.isCutting) {
       return;
--- a/src/relay/runners/runner-registry.ts
+++ b/src/relay/runners/runner-registry.ts
@@ -32,7 +32,7 @@
   unhealthyUntil: number;
   /** Consecutive failures. */
   failures: number;
-  /** Whether the runner's address refused or ignored a connection and the runner has not answered since. */
+  /** Whether a connection to the runner's address failed; reset by the next answer with a usable timing. */
   unreachable: boolean;
   /** When the last byte was received from the runner, or a probe last reached it. */
   lastActivityAt: number;
@@ -160,9 +160,10 @@
   }
 
   /**
-   * Returns the runners of a service that may get a request: the healthy ones if there are any, else all listed
-   * ones, else those that were removed within the grace period.
+   * Returns the runners of a service that may get a request, all of them ready: the healthy listed ones if there are
+   * any, else all listed ones, else those that were removed within the grace period.
    * @param parts prompt of the request, for counting cached tokens
+   * @param excluded runners to leave out
    */
   candidates(
     service: string,
--- a/src/relay/stages/admission-stage.ts
+++ b/src/relay/stages/admission-stage.ts
@@ -74,7 +74,7 @@
 
 /**
  * Marks a program that is unknown here but has run before as started, so that the tenant's quota is
- * not charged for the whole program again. The prompt caches of runners are consulted only for
+ * not charged for the whole program again. The estimated prompt caches are searched here only for
  * tenants that have a quota.
  */
 function markIfStartedElsewhere(
--- a/src/replication/raft-replica.ts
+++ b/src/replication/raft-replica.ts
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Transfers leadership to the most up-to-date responsive follower; false if none can take over. */
+  /** Transfers leadership to the most up-to-date responsive follower; false if none can take over, true if it was started already. */
   transferLeadership(): boolean {
     if (this.role !== 'leader' || this.transferring) {
       // A second attempt would postpone the timeout of the first one.
--- a/src/simulation/simulated-replicas.ts
+++ b/src/simulation/simulated-replicas.ts
@@ -193,15 +193,15 @@
   close: () => void;
 }
 
-/** Options of the simulated replicas; injected faults verify that the checks detect them. */
+/** Options of the simulated replicas. Faults are injected to verify that the checks detect them. */
 export interface SimulatedReplicasOptions {
   readonly injectedFault?: 'noRepair' | 'hastyAcknowledge' | 'lostAccounts';
   readonly log?: LogFunction;
-  /** Duration of a synced write. @default 1 */
+  /** Duration of a synced write. @default `WRITE_DELAY_MILLISECONDS` */
   readonly writeMilliseconds?: number;
   /** Wanted number of members in the record. @default as many as there are machines */
   readonly wantedMembers?: number;
-  /** Upper bound on the time from a successor's start to its activation. @default 16,000 */
+  /** Upper bound on the time from a successor's start to its activation. @default `DEFAULT_CATCH_UP_MILLISECONDS` */
   readonly catchUpMilliseconds?: number;
   /** The amount by which tenants' limits may be exceeded. @default nothing */
   readonly quotaAllowance?: QuotaAllowance;
--- a/src/turns/quota-buckets.ts
+++ b/src/turns/quota-buckets.ts
@@ -44,7 +44,10 @@
 const MINIMUM_PROGRAMS = 4;
 /** Window in which programs are counted, in seconds. */
 const WINDOW_SECONDS = 5;
-/** Time over which a program spreads its requests, in seconds; reservations may exceed the bucket by this much rate. */
+/**
+ * Time over which a program spreads its requests, in seconds; reservations may exceed the bucket by the tokens that are
+ * refilled in this time.
+ */
 const RESERVATION_SECONDS = 2;
 /** Idle time after which a tenant's bucket may be evicted, in milliseconds; buckets are full by then. */
 const IDLE_TENANT_MILLISECONDS = 60_000;
@@ -73,7 +76,7 @@
   ) {}
 
   /**
-   * Decides on one request.
+   * Decides on one request, and takes its token if it is granted.
    * @param share fraction of the rate that this replica grants, 0 to 1
    * @param beginsRequests number of requests that the program is expected to need, if this is its first one; 0 for a
    *   request of a running program
--- a/src/turns/replica-sync.ts
+++ b/src/turns/replica-sync.ts
@@ -20,7 +20,7 @@
 const COPYING_PULL_MILLISECONDS = 120;
 /** Timeout of a call to another replica, in milliseconds. */
 export const CALL_TIMEOUT_MILLISECONDS = 1_000;
-/** Delay of a poll from which on this process counts as stalled and observed silences are void, in milliseconds. */
+/** Delay of a poll from which on this process counts as stalled and observed silences are discarded, in ms. */
 const STALL_THRESHOLD_MILLISECONDS = 500;
 /** Time for which the log of a former member is still pulled, so that it can hand over its state, in milliseconds. */
 const FORMER_MEMBER_MILLISECONDS = 10_000;
@@ -300,7 +300,7 @@
       this.peers.set(member.id, { log, active, freshEpoch, ...unread });
       return;
     }
-    // Entries that the peer took in while it became complete have yet to be read.
+    // The end of the log must be reached again, since the peer stored entries while it became complete.
     const caughtUpEpoch = active && !peer.active ? 0 : peer.caughtUpEpoch;
     Object.assign(peer, { active, freshEpoch, caughtUpEpoch });
   }
