--- a/features/support/contention-simulation.ts
+++ b/features/support/contention-simulation.ts
@@ -24,18 +24,29 @@
 const ENGINES = 34;
 const SLOTS_PER_ENGINE = 6;
 const GATEWAYS = 52;
+/** Relative speeds, assigned to the engines in turn. */
 const SPEEDS = [1, 1, 1.3];
 const RANKS = 10;
+/** Time in which programs arrive. */
 const SIMULATION_MILLISECONDS = 24_000;
+/** Time after the last arrival in which programs can end. */
 const SETTLE_MILLISECONDS = 16_000;
+/** Time between two load reports of the gateways. */
 const PUBLISH_INTERVAL_MILLISECONDS = 50;
+/** Time that a client allows for one send of a turn, its attempts included. */
 const REQUEST_MILLISECONDS = 3_000;
+/** Number of times that a client sends a turn before its program fails. */
 const SENDS = 3;
+/** Maximum number of attempts within one send; a refused attempt is repeated at a random gateway. */
 const ATTEMPTS = 2;
+/** Share of turns for which a program switches to a random gateway. */
 const OTHER_GATEWAY_SHARE = 0.2;
 
+/** Requests in flight as all gateways published them at one time. */
 interface LoadReport {
+  /** Number by engine and gateway. */
   readonly loads: readonly (readonly number[])[];
+  /** Number by gateway and rank. */
   readonly ranks: readonly (readonly number[])[];
 }
 
@@ -65,11 +76,15 @@
   /** Source of the arrivals and sizes of programs, which don't depend on the policy. */
   private readonly demand: RandomSource;
   private readonly engines: SimulatedEngine[];
+  /** Current number of requests in flight, by engine and gateway. */
   private readonly loads: number[][];
+  /** Current number of requests in flight, by gateway and rank. */
   private readonly ranks: number[][];
+  /** Latest reports, the oldest first; the oldest is the one that gateways know. */
   private loadReports: LoadReport[] = [];
   private readonly admissions: SimulatedAdmission[];
   private programCount = 0;
+  /** Callbacks of the runs in progress, called when their engine fails. */
   private readonly lostRuns = new Map<EngineRun, () => void>();
 
   constructor(
@@ -178,7 +193,7 @@
       gateway: this.randomGateway(),
       plan,
       turnsDone: 0,
-      onEnd: onEnd,
+      onEnd,
     });
   }
 
@@ -339,7 +354,7 @@
     const { program } = line;
     for (const plan of agents) {
       const gateway = this.randomGateway();
-      this.nextTurn({ program, isSubAgent: true, plan, gateway, turnsDone: 0, onEnd: onEnd });
+      this.nextTurn({ program, isSubAgent: true, plan, gateway, turnsDone: 0, onEnd });
     }
   }
 
