--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,4 +1,4 @@
-# Seen: found by reading the code: an entry of another writer with a valid service and an invalid address was accepted
+# Symptom: found by code review: an entry of another writer with a valid service and an invalid address was accepted
 #   as a runner; the first request to it threw an uncaught exception, which ended every gateway that knew the entry.
 # Cause: the address was split at its last colon, and the host and the port were not validated.
 Feature: Entries of runners that come from other writers
--- a/features/freshness.feature
+++ b/features/freshness.feature
@@ -10,8 +10,8 @@
       | 4000  |
       | 12000 |
 
-  # Regression: under bursts of load, a request once reached an engine 191 ms after the bound on its leaving. The worst
-  #   case had no reserve, and a process that waits for CPU time is late in each step of it.
+  # Symptom: under bursts of load, a request once reached a runner 191 ms after the bound on its removal.
+  # Cause: the worst case had no reserve, and a process that waits for CPU time is late in each step of it.
   Scenario Outline: The worst path of a change leaves a tenth of the bound to processes that are late
     Given a bound of <bound> milliseconds for changes of the configuration
     Then the worst path of a change leaves a tenth of that
@@ -67,14 +67,14 @@
     And 2500 milliseconds pass
     Then the runners "a c" may get requests
 
-  # Regression: under high load, retries of requests that another engine had shed reached an engine up to 191 ms after
-  #   the bound on its leaving, although every gateway had known for two seconds that it had left.
-  # Mechanism: an engine that left may be used for 1.2 s while no other is left; after that, a timer removes it. The
-  #   timer fired a fraction of a millisecond early, found that the 1.2 s were not over, and was not set again, so the
-  #   engine stayed usable for ever.
-  # Cause: the timer's callback measured again the time that the timer had been set for.
-  # Evidence: gateway logs with the engine left at 16.04 s and tried up to 18.1 s; a clock whose timers fire early.
-  Scenario: A runner that left is forgotten although the timer for that comes a little early
+  # Symptom: under high load, retries of requests that another runner had refused reached a runner up to 191 ms after
+  #   the bound on its removal, although every gateway had known for two seconds that it was gone.
+  # Scenario: a removed runner may be used for 1.2 s if no other runner is left; then a timer deletes it. The timer fired
+  #   a fraction of a millisecond early, found that the 1.2 s were not over, and was not set again, so the runner stayed
+  #   usable forever.
+  # Cause: the timer's callback measured the time again for which the timer had been set.
+  # Reproduction: a clock whose timers fire early; gateway logs showed a runner removed at 16.04 s and used until 18.1 s.
+  Scenario: A removed runner is deleted although the timer for that fires a little early
     Given the runners "a b" are listed at a process whose timers come half a millisecond early
     When the runner "a" leaves
     And 1300 milliseconds pass
--- a/src/emulator/prefix-cache.ts
+++ b/src/emulator/prefix-cache.ts
@@ -321,6 +321,7 @@
   return left.lastUsedAt < right.lastUsedAt;
 }
 
+/** Calls `visit` for an entry and each of its ancestors, from the leaf up. */
 function forEachAncestor(leaf: CacheEntry, visit: (entry: CacheEntry) => void): void {
   for (let entry: CacheEntry | undefined = leaf; entry !== undefined; entry = entry.parent) {
     visit(entry);
--- a/src/program/live-call.ts
+++ b/src/program/live-call.ts
@@ -41,7 +41,7 @@
   startedAt: number;
   cancelRequest: CancelRequest | undefined;
   cancelDeadline: CancelTimer;
-  /** Ends the wait for a gateway to attach and resumes the call, if such a wait is in progress. */
+  /** Ends the wait for a gateway to attach and reruns the call, if such a wait is in progress. */
   endAttachWait: CancelTimer;
 }
 
--- a/src/program/shard-owner.ts
+++ b/src/program/shard-owner.ts
@@ -469,7 +469,7 @@
 
   private cancelTimers(call: LiveCall): void {
     call.cancelDeadline();
-    // Keeps `endAttachWait` from resuming the call.
+    // Keeps `endAttachWait` from rerunning the call.
     call.phase = 'ending';
     call.endAttachWait();
   }
