--- a/features/memory.feature
+++ b/features/memory.feature
@@ -5,7 +5,7 @@
     And 400 milliseconds pass after the start
     Then 800 tokens of the prompt "a:500,b:900" are known to be cached at "e1"
     And only "e1" was queried
-    And its peers are told what "e1" has cached
+    And the cached parts of "e1" are announced to its peers
 
   Scenario: Gateways that start together without knowing of each other learn of each other in time
     Given a gateway that has just started next to 0 others
--- a/features/steps/memory.steps.ts
+++ b/features/steps/memory.steps.ts
@@ -94,9 +94,15 @@
   },
 );
 
-Then('its peers are told what {string} has cached', function (this: World, runner: string) {
-  assert.deepEqual(this.announced!.get(hashToNumber(runner)), this.cachedPartsByRunner.get(runner));
-});
+Then(
+  'the cached parts of {string} are announced to its peers',
+  function (this: World, runner: string) {
+    assert.deepEqual(
+      this.announced!.get(hashToNumber(runner)),
+      this.cachedPartsByRunner.get(runner),
+    );
+  },
+);
 
 Then('at most {int} engines were queried', function (this: World, most: number) {
   assert.ok(this.queried.length <= most, `${this.queried.length} were queried`);
--- a/features/steps/turn-histories.steps.ts
+++ b/features/steps/turn-histories.steps.ts
@@ -17,7 +17,7 @@
 const MAXIMUM_SEEDS = 60;
 
 When(
-  'histories of turns with seeds {int} to {int} are played',
+  'turn histories run from seed {int} to {int}',
   function (this: World, first: number, last: number) {
     this.histories = [];
     for (let seed = first; seed <= last; seed += 1) {
@@ -27,7 +27,7 @@
 );
 
 When(
-  'histories of turns with seeds {int} to {int} are played with {int} replicas of which {int} are to be members',
+  'turn histories run from seed {int} to {int} with {int} replicas, {int} of them members',
   function (this: World, first: number, last: number, replicaCount: number, wantedMembers: number) {
     this.histories = [];
     for (let seed = first; seed <= last; seed += 1) {
@@ -37,7 +37,7 @@
 );
 
 When(
-  'histories of turns with seeds {int} to {int} are played with {int} replicas of which {int} are to be members and {int} are lost at once',
+  'turn histories run from seed {int} to {int} with {int} replicas, {int} of them members, and {int} lost at once',
   function (
     this: World,
     first: number,
@@ -53,39 +53,36 @@
   },
 );
 
-Then('no promise about turns is broken', function (this: World) {
+Then('no turn history violates a guarantee', function (this: World) {
   const failed = this.histories!.filter((history) => history.violations.length > 0);
   assert.deepEqual(failed, []);
 });
 
-Then('turns were kept, tokens granted and budgets refused', function (this: World) {
+Then('turns were stored, and reservations were granted and refused', function (this: World) {
   for (const figure of ['kept', 'granted', 'refused'] as const) {
     const sum = this.histories!.reduce((total, history) => total + history[figure], 0);
     assert.ok(sum > 0, `the sum of "${figure}" over all histories is 0`);
   }
 });
 
-Then('every kind of fault struck', function (this: World) {
+Then('every kind of fault occurred', function (this: World) {
   const struck = new Set(this.histories!.flatMap((history) => history.faults));
   assert.deepEqual(struck, new Set(TURN_FAULTS));
 });
 
-When(
-  'histories of turns are played with the planted fault {string}',
-  function (this: World, fault: string) {
-    this.histories = [];
-    for (let seed = 1; seed <= MAXIMUM_SEEDS; seed += 1) {
-      const history = runTurnHistory(seed, { injectedFault: INJECTED_FAULTS[fault]! });
-      this.histories.push(history);
-      // Some injected faults also cost service, often earlier; only the violations that they are meant to cause count.
-      if (history.violations.some((violation) => !violation.startsWith('service'))) {
-        return;
-      }
+When('turn histories run with the injected fault {string}', function (this: World, fault: string) {
+  this.histories = [];
+  for (let seed = 1; seed <= MAXIMUM_SEEDS; seed += 1) {
+    const history = runTurnHistory(seed, { injectedFault: INJECTED_FAULTS[fault]! });
+    this.histories.push(history);
+    // Some injected faults also cost service, often earlier; only the violations that they are meant to cause count.
+    if (history.violations.some((violation) => !violation.startsWith('service'))) {
+      return;
     }
-  },
-);
+  }
+});
 
-Then('a promise about {string} is broken', function (this: World, promise: string) {
+Then('the guarantee about {string} is violated', function (this: World, promise: string) {
   const violations = this.histories!.flatMap((history) => history.violations);
   assert.ok(violations.some((violation) => violation.startsWith(promise)));
 });
--- a/features/turns.feature
+++ b/features/turns.feature
@@ -3,30 +3,30 @@
   through any gateway, even when one disk is lost and all other machines lose power.
 
   Scenario Outline: Seeded fault histories violate no guarantee
-    When histories of turns with seeds <first> to <last> are played
-    Then no promise about turns is broken
-    And turns were kept, tokens granted and budgets refused
-    And every kind of fault struck
+    When turn histories run from seed <first> to <last>
+    Then no turn history violates a guarantee
+    And turns were stored, and reservations were granted and refused
+    And every kind of fault occurred
 
     Examples:
       | first | last |
       | 1     | 30   |
 
   Scenario Outline: Histories with standby replicas violate no guarantee
-    When histories of turns with seeds <first> to <last> are played with 8 replicas of which 3 are to be members
-    Then no promise about turns is broken
-    And turns were kept, tokens granted and budgets refused
-    And every kind of fault struck
+    When turn histories run from seed <first> to <last> with 8 replicas, 3 of them members
+    Then no turn history violates a guarantee
+    And turns were stored, and reservations were granted and refused
+    And every kind of fault occurred
 
     Examples:
       | first | last |
       | 1     | 30   |
 
   Scenario Outline: Histories in which two replicas are lost at once violate no guarantee
-    When histories of turns with seeds <first> to <last> are played with <replicas> replicas of which 5 are to be members and 2 are lost at once
-    Then no promise about turns is broken
-    And turns were kept, tokens granted and budgets refused
-    And every kind of fault struck
+    When turn histories run from seed <first> to <last> with <replicas> replicas, 5 of them members, and 2 lost at once
+    Then no turn history violates a guarantee
+    And turns were stored, and reservations were granted and refused
+    And every kind of fault occurred
 
     Examples:
       | first | last | replicas |
@@ -37,14 +37,14 @@
     And with one member fewer no majority would survive, or the minimum would not be met
 
   Scenario Outline: The checker detects an injected fault
-    When histories of turns are played with the planted fault "<fault>"
-    Then a promise about "<promise>" is broken
+    When turn histories run with the injected fault "<fault>"
+    Then the guarantee about "<guarantee>" is violated
 
     Examples:
-      | fault                                  | promise |
-      | an emptied replica copies nothing      | history |
-      | replicas acknowledge before the disk   | history |
-      | accounts never reach the disks         | budget  |
+      | fault                                  | guarantee |
+      | an emptied replica copies nothing      | history   |
+      | replicas acknowledge before the disk   | history   |
+      | accounts never reach the disks         | budget    |
 
   Scenario: Reservations merge to the same account in any order
     Then reservations merge to the same account in any order and any number of times
