--- a/src/program/shard-owner.ts
+++ b/src/program/shard-owner.ts
@@ -469,7 +469,7 @@
 
   private cancelTimers(call: LiveCall): void {
     call.cancelDeadline();
-    // Keeps `endAttachWait` from resuming the call.
+    // Keeps `endAttachWait` from rerunning the call.
     call.phase = 'ending';
     call.endAttachWait();
   }
@@ -488,7 +488,7 @@
     });
   }
 
-  /** Frees the slot of an assignment that arrived too late. */
+  /** Frees the slot of an assignment whose call no longer waits for it. */
   private refuseAssignment({ service, call, engine }: PoolAssignment): void {
     this.options.pools.reportFinished({
       type: 'poolFinished',
