--- a/features/steps/two-builds.steps.ts
+++ b/features/steps/two-builds.steps.ts
@@ -218,7 +218,7 @@
           const content = encodeRecord(change).subarray(RECORD_HEADER_BYTES);
           return recordOf(Buffer.concat([content, sections]));
         });
-        const mixed = records.flatMap((each, place) => [each, others[place] ?? Buffer.alloc(0)]);
+        const mixed = records.flatMap((each, index) => [each, others[index] ?? Buffer.alloc(0)]);
         const rest = others.slice(records.length);
         const found: WrittenChange[] = [];
         const segment = Buffer.concat([...mixed, ...rest]);
--- a/features/support/contention-simulation.ts
+++ b/features/support/contention-simulation.ts
@@ -85,7 +85,7 @@
   private readonly admissions: SimulatedAdmission[];
   private programCount = 0;
   /** Callbacks of the runs in progress, called when their engine fails. */
-  private readonly lostRuns = new Map<EngineRun, () => void>();
+  private readonly lossListeners = new Map<EngineRun, () => void>();
 
   constructor(
     private readonly scenario: SimulationScenario,
@@ -142,7 +142,7 @@
 
   private failEngines(count: number): void {
     for (const engine of this.engines.slice(0, count)) {
-      engine.fail().forEach((run) => this.lostRuns.get(run)?.());
+      engine.fail().forEach((run) => this.lossListeners.get(run)?.());
     }
   }
 
@@ -300,7 +300,7 @@
       const engine = this.engines[index]!;
       const finish = (): void => {
         cancel();
-        this.lostRuns.delete(run);
+        this.lossListeners.delete(run);
         this.loads[index]![gateway]! -= 1;
         this.ranks[gateway]![rank]! -= 1;
       };
@@ -320,7 +320,7 @@
       if (engine.submit(run)) {
         this.loads[index]![gateway]! += 1;
         this.ranks[gateway]![rank]! += 1;
-        this.lostRuns.set(run, () => {
+        this.lossListeners.set(run, () => {
           finish();
           this.clock.schedule(1, failed);
         });
@@ -343,15 +343,15 @@
     });
   }
 
-  private fanOut(line: TurnSequence, agents: readonly PlannedSequence[]): void {
+  private fanOut(sequence: TurnSequence, agents: readonly PlannedSequence[]): void {
     let open = agents.length;
     const onEnd = (): void => {
       open -= 1;
       if (open === 0) {
-        this.nextTurn(line);
+        this.nextTurn(sequence);
       }
     };
-    const { program } = line;
+    const { program } = sequence;
     for (const plan of agents) {
       const gateway = this.randomGateway();
       this.nextTurn({ program, isSubAgent: true, plan, gateway, turnsDone: 0, onEnd });
--- a/src/emulator/http-helpers.ts
+++ b/src/emulator/http-helpers.ts
@@ -14,7 +14,7 @@
   for await (const chunk of request as AsyncIterable<Buffer>) {
     length += chunk.length;
     if (length > MAXIMUM_BODY_BYTES) {
-      throw new RangeError('request body exceeds 32 MiB');
+      throw new RangeError('request body exceeds the maximum size');
     }
     chunks.push(chunk);
   }
--- a/src/emulator/prefix-cache.ts
+++ b/src/emulator/prefix-cache.ts
@@ -122,7 +122,7 @@
       this.removeUnshared(leaf);
       return;
     }
-    forEachAncestor(leaf, (entry) => {
+    forEachInChain(leaf, (entry) => {
       entry.holdCount += 1;
     });
     this.programHolds.set(program, { leaf, expiresAt: this.now() + milliseconds });
@@ -142,7 +142,7 @@
   listHeld(): HeldProgram[] {
     return [...this.programHolds].map(([program, hold]) => {
       let tokens = 0;
-      forEachAncestor(hold.leaf, (entry) => {
+      forEachInChain(hold.leaf, (entry) => {
         tokens += entry.tokens;
       });
       return { program, tokens };
@@ -279,7 +279,7 @@
     const hold = this.programHolds.get(program);
     if (hold !== undefined) {
       this.programHolds.delete(program);
-      forEachAncestor(hold.leaf, (entry) => {
+      forEachInChain(hold.leaf, (entry) => {
         entry.holdCount -= 1;
       });
     }
@@ -322,7 +322,7 @@
 }
 
 /** Calls `visit` for an entry and each of its ancestors, from the leaf up. */
-function forEachAncestor(leaf: CacheEntry, visit: (entry: CacheEntry) => void): void {
+function forEachInChain(leaf: CacheEntry, visit: (entry: CacheEntry) => void): void {
   for (let entry: CacheEntry | undefined = leaf; entry !== undefined; entry = entry.parent) {
     visit(entry);
   }
--- a/src/mirror/store-freshness.ts
+++ b/src/mirror/store-freshness.ts
@@ -99,7 +99,7 @@
   private readonly newestNumbers = new Map<number, number>();
   /** Local time up to which the copy is known to have all changes, in milliseconds. */
   private freshAt = -Infinity;
-  private readonly startedAt: number;
+  private readonly startsAt: number;
   /** Local time of the first proof after an outage, in milliseconds. */
   private recoveredAt = -Infinity;
   private sentAt = -Infinity;
@@ -111,7 +111,7 @@
   constructor(private readonly options: StoreFreshnessOptions) {
     const { runtime, startDelayMilliseconds } = options;
     this.life = runtime.random.integer(1, MAXIMUM_LIFE);
-    this.startedAt = runtime.now() + startDelayMilliseconds;
+    this.startsAt = runtime.now() + startDelayMilliseconds;
     this.jitter = runtime.random.uniform();
     this.scheduleRead();
   }
@@ -208,7 +208,7 @@
     const { timings, rank: rankOf } = this.options;
     const { rank, gateways } = rankOf();
     const { proofIntervalMilliseconds } = timings;
-    const provenAt = Math.max(this.newest?.provenAt ?? -Infinity, this.startedAt);
+    const provenAt = Math.max(this.newest?.provenAt ?? -Infinity, this.startsAt);
     const afterProof =
       provenAt + proofIntervalMilliseconds + this.rankDelayMilliseconds(rank, gateways);
     if (provenAt >= this.sentAt) {
--- a/src/program/shard-owner.ts
+++ b/src/program/shard-owner.ts
@@ -434,19 +434,19 @@
       this.fail(call, mayHaveRun('BackEndFailed', detail), this.worstCaseUsage(call));
       return;
     }
-    const resume = (): void => {
+    const rerun = (): void => {
       if (this.isCurrent(call, 'recovering')) {
         this.retry(call);
       }
     };
     if (call.gateways.size > 0) {
-      resume();
+      rerun();
       return;
     }
-    const cancel = this.options.runtime.setTimer(ATTACH_WAIT_MILLISECONDS, resume);
+    const cancel = this.options.runtime.setTimer(ATTACH_WAIT_MILLISECONDS, rerun);
     call.endAttachWait = () => {
       cancel();
-      resume();
+      rerun();
     };
   }
 
--- a/src/relay/answers/client-answer.ts
+++ b/src/relay/answers/client-answer.ts
@@ -215,7 +215,7 @@
   /** Updates the memory allocation after data was buffered, and pauses the source if the window is exceeded. */
   private noteBuffered(): void {
     const { heldBytes } = this;
-    this.monitor.noteRead();
+    this.monitor.noteRunnerRead();
     if (heldBytes > this.windowBytes && !this.sourcePaused && this.deliveryState === 'held') {
       this.sourcePaused = true;
       this.source?.pause();
--- a/src/relay/answers/slow-reader-monitor.ts
+++ b/src/relay/answers/slow-reader-monitor.ts
@@ -74,7 +74,7 @@
   }
 
   /** Records that data was read from the runner. */
-  noteRead(): void {
+  noteRunnerRead(): void {
     this.lastReadAt = this.runtime.now();
   }
 
--- a/src/turns/quota-buckets.ts
+++ b/src/turns/quota-buckets.ts
@@ -143,8 +143,8 @@
 const NO_ALLOWANCE: QuotaAllowance = { overshoot: 0, slack: 0 };
 
 function emptyBucket(filledAt: number): Bucket {
-  const unlimited = { version: -1, ratePerSecond: 0, capacity: 0 };
-  return { ...unlimited, tokens: 0, unreserved: 0, filledAt };
+  const unconfigured = { version: -1, ratePerSecond: 0, capacity: 0 };
+  return { ...unconfigured, tokens: 0, unreserved: 0, filledAt };
 }
 
 /** Whether a bucket fits several programs per window, each with the given number of requests at this member. */
