--- a/src/telemetry/bounded-writer.ts
+++ b/src/telemetry/bounded-writer.ts
@@ -5,8 +5,12 @@
  */
 import { write } from 'node:fs';
 
-/** Capacity of the queue; beyond it lines are dropped, so that a stalled reader does not block the process. */
+/**
+ * Capacity for queued lines and the batch being written; beyond it lines are dropped, so that a stalled
+ * reader does not block the process.
+ */
 export const MAXIMUM_QUEUED_BYTES = 1024 * 1024;
+/** Size from which queued lines are written at once, and at which no more lines are added to a batch. */
 const MAXIMUM_BATCH_BYTES = 64 * 1024;
 
 /** Writes bytes and calls back with the number written. */
--- a/src/telemetry/program-traces.ts
+++ b/src/telemetry/program-traces.ts
@@ -1,13 +1,16 @@
 /** Reconstructs programs from the log lines that gateways write at the end of each request. */
 import type { LogLine } from './log-lines.js';
 
-/** Outcome of a program, derived from its last request. */
+/** Outcome of a program, derived from the request that ended last. */
 export type ProgramOutcome =
   /** The last request was answered before the program's deadline. */
   | 'in time'
   /** The last request was answered after the program's deadline. */
   | 'late'
-  /** The last request was aborted, lost, abandoned by its client or refused for another reason than below. */
+  /**
+   * The last request was aborted, lost, abandoned by its client, answered with a server error, or refused
+   * for a reason other than those of 'stopped'.
+   */
   | 'failed'
   /** The tenant's budget is spent, or the turn that the request continues does not exist. */
   | 'stopped';
@@ -23,6 +26,7 @@
   readonly endedAt: number;
   readonly outcome: string;
   readonly status: number;
+  /** Number of times that the request was sent to a runner. */
   readonly tries: number;
   /** Events of a streamed answer; 0 for other answers. */
   readonly events: number;
@@ -37,7 +41,7 @@
   readonly endedAt: number;
   readonly deadlineAt: number;
   readonly outcome: ProgramOutcome;
-  /** Requests by arrival. */
+  /** Requests, sorted by arrival. */
   readonly requests: readonly RequestTrace[];
 }
 
@@ -46,6 +50,7 @@
 const STATUS_NO_SUCH_TURN = 404;
 const FIRST_SERVER_ERROR = 500;
 
+/** Numeric field of a log line; -1 if the line has no such field. */
 function fieldNumber(line: LogLine, field: string): number {
   return Number(line.fields[field] ?? -1);
 }
@@ -78,7 +83,7 @@
   return last.endedAt > deadlineAt ? 'late' : 'in time';
 }
 
-/** Traces of the programs that have a deadline, by start. */
+/** Traces of the programs that have a deadline, sorted by start. */
 export function tracePrograms(lines: readonly LogLine[]): ProgramTrace[] {
   const byProgram = new Map<string, LogLine[]>();
   for (const line of lines) {
--- a/src/telemetry/report-losses.ts
+++ b/src/telemetry/report-losses.ts
@@ -1,6 +1,6 @@
 /**
- * Attributes the time of programs to causes. Each interval between a program's first request and its
- * last answer counts for one cause, along the critical path: of several concurrent requests, the one
+ * Attributes the time of programs to causes. Each interval between a program's first request and
+ * the end of its last request counts for one cause, along the critical path: of several concurrent requests, the one
  * that ends last is the one that the program waits for.
  */
 import type { ProgramTrace, RequestTrace } from './program-traces.js';
@@ -24,6 +24,7 @@
 /** Milliseconds by cause. */
 export type TimeSplit = Readonly<Record<TimeCause, number>>;
 
+/** Part of a request's time; times in milliseconds since 1970. */
 interface Phase {
   readonly from: number;
   readonly until: number;
@@ -134,7 +135,7 @@
 
 const MILLISECONDS_IN_SECOND = 1_000;
 
-/** Counts programs by the window in which they started. */
+/** Counts programs, given sorted by start, by windows of `seconds` in which they started. */
 export function lossWindows(programs: readonly ProgramTrace[], seconds: number): LossWindow[] {
   const first = programs[0]?.startedAt ?? 0;
   const windows = new Map<number, ProgramTrace[]>();
