--- a/src/language/change-configuration.ts
+++ b/src/language/change-configuration.ts
@@ -34,13 +34,16 @@
   readonly statement: string;
 }
 
+/** An edit of one document that a statement asks for. */
 interface PlannedEdit {
   readonly kind: ObjectKind;
   readonly name: string;
   readonly edit: DocumentEdit;
+  /** The new API key in plain text; only when a key is created. */
   readonly secret?: string;
 }
 
+/** Initial properties of new objects by kind; `sha256` is the hash of a key, which statements can't set. */
 const DEFAULTS: Readonly<Record<ObjectKind, Readonly<Record<string, unknown>>>> = {
   group: { share: 1, budget: 0 },
   service: { kind: 'model', groups: [] },
--- a/src/language/run-statement.ts
+++ b/src/language/run-statement.ts
@@ -1,4 +1,4 @@
-/** Runs an operator's statement on a node and returns its rows, verdict and revision. */
+/** Runs an operator's statement on a node and reports its rows, verdict and revision to a listener. */
 import * as E from 'fp-ts/lib/Either.js';
 import { notRun } from '../model/verdict.js';
 import type { CallError, Verdict } from '../model/verdict.js';
@@ -26,7 +26,9 @@
 export interface InForceState {
   /** Number of nodes that have the revision in force. */
   readonly acknowledged: number;
+  /** Number of nodes in the cluster. */
   readonly total: number;
+  /** Names of the nodes that have not acknowledged the revision. */
   readonly missing: readonly string[];
 }
 
@@ -48,7 +50,7 @@
 /** Receives the result, once. */
 export type StatementListener = (result: E.Either<CallError, StatementResult>) => void;
 
-/** Parses and runs a statement; `id` identifies the change that it makes. */
+/** Parses and runs a statement; `id` identifies the request and the change that it makes. */
 export function runStatement(
   node: IvyloomNode,
   text: string,
