--- a/src/commands/bench-commands.ts
+++ b/src/commands/bench-commands.ts
@@ -29,13 +29,13 @@
   readonly calls: number;
   readonly nodes: string;
   readonly minutes: number;
-  /** Replicas in turn histories; 0 lets the seed decide. */
+  /** Replicas. 0 lets the seed decide in turn histories, and uses the default in power-loss days. */
   readonly replicas: number;
-  /** Members among the replicas in turn histories; 0 makes all replicas members. */
+  /** Members among the replicas. 0 makes all members in turn histories, and uses the default in power-loss days. */
   readonly members: number;
-  /** Replicas lost at the same time in turn histories. */
+  /** Replicas lost at the same time in turn histories and power-loss days. */
   readonly losses: number;
-  /** Duration of a synced write in turn histories, in milliseconds. */
+  /** Duration of a synced write in turn histories and power-loss days, in milliseconds. */
   readonly write: number;
   /** Time after its start after which a replacement replica counts, in milliseconds. */
   readonly catchUp: number;
