--- a/src/platform/etcd-key-value.ts
+++ b/src/platform/etcd-key-value.ts
@@ -13,6 +13,7 @@
 } from './key-value-port.js';
 
 const REQUEST_TIMEOUT_MILLISECONDS = 2_000;
+/** Interval at which a watch that has ended is opened again. */
 const WATCH_RETRY_DELAY_MILLISECONDS = 1_000;
 const TOO_MANY_REQUESTS = 429;
 
@@ -52,6 +53,7 @@
 /** Key-value client that sends each operation as one HTTP request to the JSON gateway of etcd. */
 export class EtcdKeyValue implements KeyValuePort {
   private readonly agent = new Agent({
+    // A watch without changes may be silent for any time; other requests set their own timeout.
     bodyTimeout: 0,
     connect: { timeout: REQUEST_TIMEOUT_MILLISECONDS },
   });
@@ -138,7 +140,7 @@
       body: JSON.stringify({ create_request: { ...range, ...start } }),
     });
     for await (const _chunk of response.body) {
-      // The event itself is ignored: events may have been missed, so the follower reads the range.
+      // The content is ignored: earlier events may have been missed, so the caller reads the whole range.
       onChange();
     }
   }
--- a/src/platform/http-back-ends.ts
+++ b/src/platform/http-back-ends.ts
@@ -39,6 +39,7 @@
   readonly urlOf: (engine: EngineId) => string | undefined;
 }
 
+/** Data of one server-sent event of an answer. */
 interface StreamChunk {
   readonly choices?: readonly { readonly delta?: { readonly content?: string } }[];
   readonly usage?: {
@@ -122,6 +123,7 @@
 
   resume(engine: EngineId, call: CallId, fence: Fence, listener: BackEndListener): CancelRequest {
     const path = `/ivyloom/streams/${encodeURIComponent(call)}?shard=${fence.shard}&term=${fence.term}`;
+    // The call was started earlier, so a failed resume does not prove that it never ran.
     const reportAsMayHaveRun: BackEndListener = (event) =>
       listener(event.type === 'failed' ? { ...event, verdict: 'MayHaveRun' } : event);
     return this.openStream(engine, 'GET', path, undefined, '', reportAsMayHaveRun, (abort) => {
@@ -151,7 +153,7 @@
       .catch(() => listener(UNREACHABLE_REPORT));
   }
 
-  /** Closes all connections. */
+  /** Closes all connections and aborts the requests in progress. */
   close(): void {
     void this.agent.destroy();
   }
--- a/src/runtime/real-runtime.ts
+++ b/src/runtime/real-runtime.ts
@@ -18,7 +18,9 @@
   readonly logLevel?: LogLevel;
 }
 
+/** File descriptor of standard output. */
 const STANDARD_OUTPUT = 1;
+/** Upper bound of random seeds, exclusive. */
 const SEED_LIMIT = 2 ** 31;
 
 /** Time for which log lines are collected for one write, in milliseconds. A crash loses the lines collected. */
