--- a/src/histories/configuration-history.ts
+++ b/src/histories/configuration-history.ts
@@ -1,6 +1,6 @@
 /**
  * Simulates one seeded history of configuration changes and runner registrations under faults. Every
- * gateway that is in touch with the store must apply each acknowledged change within the bound and must
+ * gateway must apply each acknowledged change within a deadline, except while a fault affects it, and must
  * never return to an older version.
  */
 import { freshnessTimingsFor } from '../mirror/freshness-timings.js';
--- a/src/histories/replica-scenario.ts
+++ b/src/histories/replica-scenario.ts
@@ -43,6 +43,7 @@
   protected readonly names: string[] = [];
   protected readonly storedTurns: string[] = [];
   protected readonly violations: string[] = [];
+  /** Time after the return of power from which on all checks succeeded, in milliseconds. */
   protected servedAfter = 0;
   private machineCount = 0;
   private turnCount = 0;
@@ -70,7 +71,7 @@
     this.clock.runUntil(this.clock.now + milliseconds);
   }
 
-  /** Adds an empty machine, whose process starts after a delay. */
+  /** Waits for the delay, then adds an empty machine; returns its name. */
   protected addMachine(startDelayMilliseconds = 0): string {
     this.machineCount += 1;
     const name = `m${this.machineCount}`;
@@ -101,7 +102,10 @@
     this.losePower(this.names, this.pickLostDisks());
   }
 
-  /** Checks each second from the return of power on that a reservation is granted. */
+  /**
+   * Requests a reservation each second after the return of power. One that is not granted is a violation
+   * from RECOVERY_DEADLINE_MILLISECONDS on.
+   */
   protected checkRecovery(): void {
     const from = this.clock.now;
     for (let check = 1; check <= CHECK_COUNT; check += 1) {
--- a/src/histories/turn-history.ts
+++ b/src/histories/turn-history.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates one seeded history of stored turns and token accounts under faults: gateways store chains of
- * turns and reserve tokens while replicas are killed, wiped, paused, isolated, added and retired, some at a
- * time or all killed at once. The invariants are checked on what the gateways observed.
+ * turns and reserve tokens while replicas are killed, wiped, paused, isolated, added, replaced and retired, one or
+ * several at a time, or all at once. The invariants are checked on what the gateways observed.
  */
 import { createRandom } from '../runtime/random.js';
 import type { RandomSource } from '../runtime/random.js';
@@ -31,7 +31,7 @@
   readonly wantedMembers?: number;
   /** Duration of a synced write, in milliseconds. @default 1 */
   readonly writeMilliseconds?: number;
-  /** Time that a successor has for catching up after its start, in milliseconds. @default 16,000 */
+  /** Time that a replacement replica has for catching up after its start, in milliseconds. @default 16,000 */
   readonly catchUpMilliseconds?: number;
   /** Number of machines that are killed or lose their disks at once. @default 1 */
   readonly lossesAtOnce?: number;
@@ -51,12 +51,15 @@
   readonly faults: readonly TurnFault[];
 }
 
+/** Virtual time for recovery after each fault. */
 const RECOVERY_MILLISECONDS = 4_500;
 const FAULT_COUNT = 5;
 const PROGRAM_COUNT = 3;
 const BUDGET_TOKENS = 600;
+/** Tokens reserved for each turn, and the most that it uses. */
 const MAXIMUM_TURN_TOKENS = 100;
 const OPERATION_TIMEOUT_MILLISECONDS = 700;
+/** Virtual time in which the replicas start before the first turn. */
 const STARTUP_MILLISECONDS = 6_000;
 const RETENTION_MILLISECONDS = 600_000;
 
@@ -258,7 +261,7 @@
     this.checkService(client);
   }
 
-  /** Checks that a majority of replicas is complete: a new reservation needs one, reading stored turns does not. */
+  /** Checks that a reservation is granted. Unlike reading stored turns, it needs a majority of complete replicas. */
   private checkService(client: TurnClient): void {
     const request = { program: 'last', turn: 'last', mostTokens: 1, budgetTokens: 1 };
     let outcome = 'none';
