--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -377,7 +377,7 @@
     const mode: ProxyMode = this.random.pick(['delay', 'silence', 'oneWay', 'reset']);
     proxy.setMode(mode);
     await sleep(pause);
-    // Bytes were dropped, so that the open connections must be reset before traffic passes again.
+    // Bytes may have been dropped, so open connections are reset before traffic passes again.
     proxy.setMode('reset');
     proxy.setMode('pass');
   }
--- a/soak/soak-upgrade.ts
+++ b/soak/soak-upgrade.ts
@@ -7,14 +7,13 @@
 import { PROGRAM } from './platform-process.js';
 import type { SoakCounts } from './soak-client.js';
 
-/** Which role is upgraded first. */
+/** Orders of an upgrade, named after the role that is upgraded first. */
 export const UPGRADE_ORDERS = ['gateways', 'replicas'] as const;
-/** The role that is upgraded first. */
 export type UpgradeOrder = (typeof UPGRADE_ORDERS)[number];
 
 /** Extents of an upgrade. */
 export const UPGRADE_ENDS = ['whole', 'halfway', 'back'] as const;
-/** All machines, half of them for good, or half of them followed by a rollback. */
+/** All machines, just over half of them for good, or just over half of them followed by a rollback. */
 export type UpgradeEnd = (typeof UPGRADE_ENDS)[number];
 
 /**
@@ -117,7 +116,7 @@
   private async restart({ name, role, build }: PlannedStep): Promise<void> {
     const { plan, processesOf, reserve } = this.options;
     const process = processesOf(role).find(({ machine }) => machine.name === name);
-    // A fault may have replaced the machine for good; the replacement started with the same build.
+    // A fault may have replaced the machine for good; the replacement runs the build of the machine that it replaced.
     if (process === undefined) {
       return;
     }
