--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -35,7 +35,7 @@
 const ROLE_TICK_INTERVAL_MILLISECONDS = 250;
 /** Time between complete reports of a shard owner to the pools, in milliseconds. */
 const REPORT_INTERVAL_MILLISECONDS = 1_000;
-/** Maximum time that a graceful shutdown waits for pending calls, in milliseconds. */
+/** Maximum time that a graceful shutdown waits for leadership transfers and pending calls, in milliseconds. */
 export const STOP_TIMEOUT_MILLISECONDS = 60_000;
 /** Time for which a leaving node still accepts connections, in milliseconds. */
 const LEAVING_GRACE_MILLISECONDS = 500;
@@ -327,7 +327,7 @@
     }
   }
 
-  /** Runs an action if this node leads the shard, else replies `notLeader`. */
+  /** Runs an action if this node leads the shard, else replies `notLeader`; `call` is empty if no call waits for it. */
   private runAsLeader(
     from: NodeId,
     shard: ShardId,
--- a/src/node/shard-roles.ts
+++ b/src/node/shard-roles.ts
@@ -97,7 +97,7 @@
     return [...this.schedulers.values()];
   }
 
-  /** Sends a service's pool a complete report of this shard's calls, unless the last ones were empty. */
+  /** Sends a service's pool a complete report of this shard's calls; skipped once several in a row were empty. */
   report(service: ServiceName): void {
     if (!this.host.canServe()) {
       return;
--- a/src/replication/level-storage.ts
+++ b/src/replication/level-storage.ts
@@ -86,7 +86,7 @@
   private readonly loaded = new Map<ShardId, PersistedReplica>();
   private queue: PendingWrite[] = [];
   private writing = false;
-  /** Number of synced writes so far. */
+  /** Number of batches of changes completed, including those without anything to write. */
   writeCount = 0;
 
   private constructor(
@@ -95,7 +95,7 @@
     private readonly runtime: Runtime,
   ) {}
 
-  /** Opens the data folder and reads the replicas of a region's shards. */
+  /** Opens the data folder and reads the replicas of all shards of the map. */
   static async open(folder: string, map: ShardMap, runtime: Runtime): Promise<LoadedStorage> {
     const path = join(folder, 'replicas');
     await createDurableFolder(path);
