--- a/src/budget/slices.ts
+++ b/src/budget/slices.ts
@@ -25,7 +25,7 @@
   returnAmount: number;
 }
 
-/** The numbers of a holder's latest grant and return, for detecting duplicates. */
+/** Latest grant and return of a holder (a program shard with a slice), for detecting duplicates. */
 export interface HolderState {
   grantNumber: number;
   lastGranted: number;
@@ -115,7 +115,7 @@
   return true;
 }
 
-/** Ends a reservation: used tokens are spent, the rest becomes available again. */
+/** Ends a reservation: used tokens, up to the reserved ones, are spent; the rest becomes available again. */
 export function settleReservation(slice: SliceState, reserved: number, used: number): void {
   const spent = Math.min(reserved, used);
   slice.reserved -= reserved;
--- a/src/program/apply-command.ts
+++ b/src/program/apply-command.ts
@@ -39,6 +39,7 @@
   /** The call was accepted before; this is its record. */
   | { readonly type: 'repeated'; readonly record: CallRecord }
   | { readonly type: 'refused'; readonly error: CallError }
+  /** Tokens of the granted slice. */
   | { readonly type: 'granted'; readonly granted: number };
 
 const DONE: CommandOutcome = { type: 'done' };
@@ -228,6 +229,7 @@
   return { type: 'accepted', record: recordCall(state, program, command) };
 }
 
+/** Finds an earlier call by the request's sequence; without one, by call id or idempotency key. */
 function findDuplicate(program: ProgramRecord, request: CallRequest): CallRecord | undefined {
   if (request.sequence > 0) {
     return program.calls.get(request.sequence);
--- a/src/scheduling/waiting-queue.ts
+++ b/src/scheduling/waiting-queue.ts
@@ -37,7 +37,10 @@
 };
 /** Minimum number of calls served in regular order between two starved ones. */
 const CALLS_PER_STARVED_CALL = 8;
-/** Maximum lag behind the system's virtual time that a group keeps while idle, in cost units. */
+/**
+ * Maximum lag behind the system's virtual time that a group keeps while idle, in milliseconds of
+ * service per unit of share.
+ */
 const MAXIMUM_LAG = 20_000;
 
 /** The queue of one pool. */
@@ -184,7 +187,7 @@
       }
       removedCount += 1;
     }
-    // A single splice keeps the amortized cost per call constant.
+    // Removes the served and removed calls at the front with one splice.
     arrivals.splice(0, removedCount);
     return arrivals[0];
   }
