--- a/src/budget/slice-client.ts
+++ b/src/budget/slice-client.ts
@@ -79,7 +79,7 @@
     this.options.host.propose({ type: 'settleReturn', group, number }, () => undefined);
   }
 
-  /** Returns idle slices and resends unanswered messages; called about twice a second. */
+  /** Returns idle slices and resends unanswered messages; called several times a second. */
   tick(): void {
     this.returnIdleSlices();
     this.sendUnanswered();
--- a/src/scheduling/pause-model.ts
+++ b/src/scheduling/pause-model.ts
@@ -3,7 +3,7 @@
  * derives from it how long a prompt is worth holding in an engine's cache.
  */
 
-/** Upper bounds of the bins, in milliseconds. */
+/** Upper bounds of the bins, in milliseconds; the last bin also counts longer pauses. */
 const BIN_ENDS: readonly number[] = Array.from({ length: 24 }, (_, bin) => 100 * 1.5 ** bin);
 /** Weight of earlier observations after each new one. */
 const DECAY_FACTOR = 0.997;
--- a/src/scheduling/placement-cost.ts
+++ b/src/scheduling/placement-cost.ts
@@ -94,7 +94,8 @@
 
 /**
  * Chooses the engine with the lowest sum of waiting time and placement cost among the available
- * engines whose prompt cache fits the call. Returns undefined if there is none.
+ * engines whose prompt cache fits the call. Skips the engine of the call's latest failed attempt unless
+ * the pool has no other. Returns undefined if no engine is left.
  *
  * @param affinityQueueLength number of calls already waiting for a given engine
  */
--- a/src/scheduling/policies/ivyloom.ts
+++ b/src/scheduling/policies/ivyloom.ts
@@ -46,7 +46,7 @@
 /** A call that waits for the engine that has its prompt cached. */
 interface AffinityWait {
   readonly ranked: RankedTicket;
-  /** Estimated cost already charged to the call's group. */
+  /** Estimated milliseconds of service already charged to the call's group. */
   readonly charged: number;
   /** Monotonic time in milliseconds at which the call returns to the waiting queue. */
   readonly expiresAt: number;
@@ -73,7 +73,7 @@
     (left, right) => left.rank - right.rank,
   );
   private readonly memoryBlockedCalls = new Map<CallId, RankedTicket>();
-  /** Estimated cost charged to a call's group until the call is answered. */
+  /** Estimated milliseconds of service charged to a call's group until the call is answered. */
   private readonly charges = new Map<CallId, number>();
   private readonly pauseModels = new Map<string, PauseModel>();
   private readonly lastTurns = new Map<ProgramId, LastTurn>();
--- a/src/scheduling/waiting-queue.ts
+++ b/src/scheduling/waiting-queue.ts
@@ -110,7 +110,7 @@
     return undefined;
   }
 
-  /** Advances a group's virtual time by a cost; a negative cost refunds an overestimate. */
+  /** Charges a group a cost in milliseconds of service; a negative cost refunds an overestimate. */
   charge(group: GroupName, cost: number, share: number): void {
     const start = Math.max(this.virtualTimeOf(group), this.systemVirtualTime - MAXIMUM_LAG);
     this.virtualTimes.set(group, start + cost / Math.max(share, 0.001));
