--- a/src/model/verdict.ts
+++ b/src/model/verdict.ts
@@ -1,6 +1,6 @@
 /** Errors of calls. Each has a tag and a verdict that says whether the request may have run. */
 
-/** Whether a refused or failed request may have reached a back end. */
+/** Whether a request reached a back end; `Ran` also marks a command that was carried out. */
 export type Verdict = 'NotRun' | 'MayHaveRun' | 'Ran';
 
 /** Reasons for which a call or a command ends without an answer. */
