--- a/src/histories/configuration-fault-injector.ts
+++ b/src/histories/configuration-fault-injector.ts
@@ -9,6 +9,7 @@
 import type { HistoryGateway } from './history-gateway.js';
 import type { HistoryStore } from './history-store.js';
 
+/** Dependencies of a `ConfigurationFaultInjector`. */
 export interface ConfigurationFaultInjectorOptions {
   readonly clock: VirtualClock;
   readonly store: HistoryStore;
@@ -37,7 +38,7 @@
   /** Hosts that exchange no messages with other gateways. */
   readonly isolatedHosts = new Set<string>();
   storeAcceptsWrites = true;
-  /** Present probability that a datagram is lost. */
+  /** Current probability that a datagram is lost. */
   lossProbability = BASELINE_LOSS_PROBABILITY;
 
   constructor(readonly options: ConfigurationFaultInjectorOptions) {}
--- a/src/histories/configuration-history.ts
+++ b/src/histories/configuration-history.ts
@@ -1,6 +1,6 @@
 /**
  * Simulates one seeded history of configuration changes and runner registrations under faults. Every
- * gateway must apply each acknowledged change within a deadline, except while a fault affects it, and must
+ * gateway must apply each acknowledged change within a deadline, unless a recent fault exempts it, and must
  * never return to an older version.
  */
 import { freshnessTimingsFor } from '../mirror/freshness-timings.js';
--- a/src/histories/history-caller.ts
+++ b/src/histories/history-caller.ts
@@ -23,6 +23,7 @@
   readonly calls: readonly PlannedCall[];
 }
 
+/** Dependencies of a `HistoryCaller`. */
 export interface HistoryCallerOptions {
   readonly cluster: SimulatedCluster;
   readonly run: RecordedRun;
--- a/src/histories/history-gateway.ts
+++ b/src/histories/history-gateway.ts
@@ -32,6 +32,7 @@
   ): void;
 }
 
+/** Identity and dependencies of a `HistoryGateway`. */
 export interface HistoryGatewayOptions {
   readonly host: string;
   readonly zone: string;
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -93,6 +93,7 @@
   }
 }
 
+/** Updates the gauges from the node's state and renders them with the default metrics of the process. */
 export async function renderMetrics(node: IvyloomNode): Promise<RenderedMetrics> {
   const gauges = gaugesOf(node);
   update(node, gauges);
