--- a/soak/configuration-check.ts
+++ b/soak/configuration-check.ts
@@ -1,6 +1,6 @@
 /**
- * Checks from outside that each gateway in contact with the store applies acknowledged configuration changes
- * within the bound: an added route is served, and a dropped route is not.
+ * Checks from outside that each gateway that no recent fault affects applies acknowledged configuration
+ * changes within SOAK_APPLY_MILLISECONDS: an added route is served, and a dropped route is not.
  */
 import { request as httpRequest } from 'node:http';
 import { PLATFORM_HEADER_NAMES as NAMES } from '../platform/header-names.js';
--- a/soak/recovery-check.ts
+++ b/soak/recovery-check.ts
@@ -26,7 +26,10 @@
 
   constructor(private readonly options: RecoveryCheckOptions) {}
 
-  /** Call once the processes are started; resolves when all kinds are served or the time is over. */
+  /**
+   * Sends requests until all kinds are served or the time is over, and records how long that took. Call once
+   * the processes are started.
+   */
   async check(fault: string): Promise<void> {
     const startedAt = performance.now();
     const deadline = startedAt + RECOVERY_MILLISECONDS;
--- a/soak/soak-report.ts
+++ b/soak/soak-report.ts
@@ -33,11 +33,11 @@
   readonly pairs: Readonly<Record<string, number>>;
   /** Completed configuration checks of gateways that were not exempt because of a fault. */
   readonly configurationLooks: number;
-  /** Requests sent with revoked keys. */
+  /** Requests sent with revoked or unknown keys. */
   readonly oldKeyRequests: number;
   /** Answered requests of the rate-limited tenant. */
   readonly limitedAnswers: number;
-  /** Time from the restart after each loss of all power until every kind was served, in milliseconds. */
+  /** Duration of each recovery check until every kind was served or its time was over, in milliseconds. */
   readonly recoveries: readonly number[];
   /** Unsynced data that power losses discarded; shows that the fault has an effect. */
   readonly lost: PowerLossCounts;
--- a/soak/soak-world.ts
+++ b/soak/soak-world.ts
@@ -1,4 +1,7 @@
-/** The deployment under soak: gateway and replica processes, emulated runners, the store, and proxies before both. */
+/**
+ * The deployment under soak: gateway and replica processes, emulated runners, the store, and fault proxies
+ * in front of the runners and the store.
+ */
 import { mkdirSync, mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
