--- a/src/replication/proposals.ts
+++ b/src/replication/proposals.ts
@@ -32,7 +32,7 @@
       return;
     }
     this.byIndex.delete(index);
-    // If the term differs, another leader's entry has replaced the proposed one.
+    // If the terms differ, an entry of another term has replaced the proposed one.
     const isSameTerm = proposal.term === term;
     proposal.listener(isSameTerm ? { type: 'committed', outcome } : { type: 'unknown' });
   }
