--- a/src/scheduling/waiting-queue.ts
+++ b/src/scheduling/waiting-queue.ts
@@ -37,7 +37,10 @@
 };
 /** Minimum number of calls served in regular order between two starved ones. */
 const CALLS_PER_STARVED_CALL = 8;
-/** Maximum lag behind the system's virtual time that a group keeps while idle, in cost units. */
+/**
+ * Maximum lag behind the system's virtual time that a group keeps while idle, in milliseconds of
+ * service per unit of share.
+ */
 const MAXIMUM_LAG = 20_000;
 
 /** The queue of one pool. */
@@ -107,7 +110,7 @@
     return undefined;
   }
 
-  /** Advances a group's virtual time by a cost; a negative cost refunds an overestimate. */
+  /** Charges a group a cost in milliseconds of service; a negative cost refunds an overestimate. */
   charge(group: GroupName, cost: number, share: number): void {
     const start = Math.max(this.virtualTimeOf(group), this.systemVirtualTime - MAXIMUM_LAG);
     this.virtualTimes.set(group, start + cost / Math.max(share, 0.001));
@@ -184,7 +187,7 @@
       }
       removedCount += 1;
     }
-    // A single splice keeps the amortized cost per call constant.
+    // Removes the served and removed calls at the front with one splice.
     arrivals.splice(0, removedCount);
     return arrivals[0];
   }
