--- a/soak/soak-upgrade.ts
+++ b/soak/soak-upgrade.ts
@@ -107,9 +107,9 @@
     const machines = roles.flatMap((role) => processesOf(role).map(({ machine }) => machine));
     const upgrades = machines.map(({ name, role }) => ({ name, role, build: 'new' as const }));
     // More than half of the machines.
-    const half = upgrades.slice(0, Math.ceil((machines.length + 1) / 2));
-    const back = [...half].reverse().map((step) => ({ ...step, build: 'old' as const }));
-    const ends = { whole: upgrades, halfway: half, back: [...half, ...back] };
+    const majority = upgrades.slice(0, Math.ceil((machines.length + 1) / 2));
+    const back = [...majority].reverse().map((step) => ({ ...step, build: 'old' as const }));
+    const ends = { whole: upgrades, halfway: majority, back: [...majority, ...back] };
     return ends[plan.end];
   }
 
--- a/src/platform/etcd-key-value.ts
+++ b/src/platform/etcd-key-value.ts
@@ -14,7 +14,7 @@
 
 const REQUEST_TIMEOUT_MILLISECONDS = 2_000;
 /** Interval at which a watch that has ended is opened again. */
-const WATCH_RETRY_DELAY_MILLISECONDS = 1_000;
+const WATCH_RETRY_INTERVAL_MILLISECONDS = 1_000;
 const TOO_MANY_REQUESTS = 429;
 
 interface WireRange {
@@ -110,7 +110,7 @@
     ensureOpen();
     const cancel = setRepeatingTimer(
       this.options.runtime,
-      WATCH_RETRY_DELAY_MILLISECONDS,
+      WATCH_RETRY_INTERVAL_MILLISECONDS,
       ensureOpen,
     );
     return () => {
--- a/src/relay/tries/classify-answer.ts
+++ b/src/relay/tries/classify-answer.ts
@@ -18,7 +18,7 @@
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const FIRST_SUCCESS = 200;
 /** First status code of server errors. */
-export const FIRST_SERVER_ERROR = 500;
+export const FIRST_SERVER_ERROR_STATUS = 500;
 
 export function classifyAnswer(head: AnswerHead, names: HeaderNames): AnswerClass {
   if (head.notExecuted) {
--- a/src/relay/tries/relay-call.ts
+++ b/src/relay/tries/relay-call.ts
@@ -35,7 +35,7 @@
 import { startAttempt } from './attempt.js';
 import type { Attempt } from './attempt.js';
 import { logCallEnd, logFailedAttempt } from './call-log.js';
-import { FIRST_SERVER_ERROR, classifyAnswer } from './classify-answer.js';
+import { FIRST_SERVER_ERROR_STATUS, classifyAnswer } from './classify-answer.js';
 import { CallFlowControl } from './call-flow-control.js';
 import { CONNECT_MILLISECONDS } from './runner-connections.js';
 import { InactivityMonitor } from './inactivity-monitor.js';
@@ -280,7 +280,7 @@
       });
       return;
     }
-    const isRetryable = head.status >= FIRST_SERVER_ERROR && mayRepeat(this.request.route);
+    const isRetryable = head.status >= FIRST_SERVER_ERROR_STATUS && mayRepeat(this.request.route);
     const mayUseOthers = this.request.route.maximumAttempts > this.sentTo.size + 1;
     if (
       (isRetryable && mayUseOthers && !this.answer.started) ||
--- a/src/telemetry/bounded-writer.ts
+++ b/src/telemetry/bounded-writer.ts
@@ -11,7 +11,7 @@
  */
 export const MAXIMUM_QUEUED_BYTES = 1024 * 1024;
 /** Size from which queued lines are written at once, and at which no more lines are added to a batch. */
-const MAXIMUM_BATCH_BYTES = 64 * 1024;
+const BATCH_TARGET_BYTES = 64 * 1024;
 
 /** Writes bytes and calls back with the number written. */
 export type WriteFunction = (
@@ -54,7 +54,7 @@
     }
     this.queue.push(bytes);
     this.queuedBytes += bytes.length;
-    if (this.queuedBytes >= MAXIMUM_BATCH_BYTES) {
+    if (this.queuedBytes >= BATCH_TARGET_BYTES) {
       this.writeNextBatch();
     } else if (!this.isFlushScheduled) {
       this.isFlushScheduled = true;
@@ -80,7 +80,7 @@
     this.isWriting = true;
     const parts: Buffer[] = [];
     let bytes = 0;
-    while (this.queue.length > 0 && bytes < MAXIMUM_BATCH_BYTES) {
+    while (this.queue.length > 0 && bytes < BATCH_TARGET_BYTES) {
       const part = this.queue.shift()!;
       parts.push(part);
       bytes += part.length;
--- a/src/telemetry/program-traces.ts
+++ b/src/telemetry/program-traces.ts
@@ -48,7 +48,7 @@
 const END_EVENT = 'relay.end';
 const STATUS_BUDGET_SPENT = 402;
 const STATUS_NO_SUCH_TURN = 404;
-const FIRST_SERVER_ERROR = 500;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /** Numeric field of a log line; -1 if the line has no such field. */
 function fieldNumber(line: LogLine, field: string): number {
@@ -77,7 +77,7 @@
   if (last.status === STATUS_BUDGET_SPENT || last.status === STATUS_NO_SUCH_TURN) {
     return 'stopped';
   }
-  if (last.outcome !== 'answered' || last.status >= FIRST_SERVER_ERROR) {
+  if (last.outcome !== 'answered' || last.status >= FIRST_SERVER_ERROR_STATUS) {
     return 'failed';
   }
   return last.endedAt > deadlineAt ? 'late' : 'in time';
