--- a/features/steps/logs.steps.ts
+++ b/features/steps/logs.steps.ts
@@ -1,15 +1,15 @@
-/** Steps about logs: what they explain, and that writing them never blocks. */
+/** Steps about logs: explaining requests and programs from them, and writing them without blocking. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Given, Then, When } from '@cucumber/cucumber';
 import type { DataTable } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import { BoundedWriter, MAXIMUM_WAITING_BYTES } from '../../src/telemetry/bounded-writer.js';
+import { BoundedWriter, MAXIMUM_QUEUED_BYTES } from '../../src/telemetry/bounded-writer.js';
 import { explainRequest } from '../../src/telemetry/explain-request.js';
 import { parseLogLine } from '../../src/telemetry/log-lines.js';
 import type { LogLine } from '../../src/telemetry/log-lines.js';
-import { traceProgramsOf } from '../../src/telemetry/program-traces.js';
+import { tracePrograms } from '../../src/telemetry/program-traces.js';
 import type { ProgramTrace } from '../../src/telemetry/program-traces.js';
 import {
   lossRows,
@@ -29,37 +29,52 @@
   programs?: ProgramTrace[];
 }
 
-function line(time: number, node: string, event: string, fields: Record<string, unknown>): string {
+function createLogText(
+  time: number,
+  node: string,
+  event: string,
+  fields: Record<string, unknown>,
+): string {
   const context = { application: 'ivyloom', node, zone: 'z', event, logLevel: 30, ...fields };
   return `12.5 ${node} ${JSON.stringify({ context, message: 'said', time, version: '2.0.0' })}`;
 }
 
 Given(
-  'logs of two nodes, mixed, with a request that failed at one runner and was answered by another',
+  'interleaved logs of two nodes, with a request that failed at one runner and was answered by another',
   function (this: World) {
     const end = { request: 'q1', outcome: 'answered', status: 200, runner: 'b', tries: 2 };
     const texts = [
-      line(30, 'n1', 'relay.end', end),
+      createLogText(30, 'n1', 'relay.end', end),
       'not a line of a log',
-      line(20, 'n1', 'runner.distrusted', { runner: 'a', reason: 'gone' }),
-      line(25, 'n2', 'runner.distrusted', { runner: 'a', reason: 'elsewhere' }),
-      line(10, 'n1', 'relay.try', { request: 'q1', runner: 'a', tag: 'NeverSent', tries: 1 }),
-      line(11, 'n2', 'relay.try', { request: 'q2', runner: 'a', tag: 'NeverSent', tries: 1 }),
+      createLogText(20, 'n1', 'runner.distrusted', { runner: 'a', reason: 'gone' }),
+      createLogText(25, 'n2', 'runner.distrusted', { runner: 'a', reason: 'elsewhere' }),
+      createLogText(10, 'n1', 'relay.try', {
+        request: 'q1',
+        runner: 'a',
+        tag: 'NeverSent',
+        tries: 1,
+      }),
+      createLogText(11, 'n2', 'relay.try', {
+        request: 'q2',
+        runner: 'a',
+        tag: 'NeverSent',
+        tries: 1,
+      }),
     ];
     this.lines = texts.flatMap((text) => parseLogLine(text) ?? []);
   },
 );
 
-Given('a log of a program that was kept out', function (this: World) {
+Given('a log of a program that was not admitted', function (this: World) {
   const load = { ahead: 300, moreUrgent: 40, slots: 204, age: 120 };
   const time = { wait: 141, bearable: 97, left: 2_700, turns: 7, pause: 88 };
   const fields = { request: 'q1', cause: 'unbearable', ...load, ...time };
-  const parsed = parseLogLine(line(10, 'n1', 'relay.admission', fields));
+  const parsed = parseLogLine(createLogText(10, 'n1', 'relay.admission', fields));
   this.lines = parsed === undefined ? [] : [parsed];
 });
 
 Then(
-  'the sentence names the wait, what was bearable, who goes before, their age and the pause',
+  'the sentence names the expected wait, the limit, the requests ahead, the age of the load and the retry delay',
   function (this: World) {
     const [sentence, ...others] = this.sentences!;
     assert.deepEqual(others, []);
@@ -77,7 +92,7 @@
 });
 
 Then(
-  'the sentences name, in order, the failed try, the belief about its runner and the answer',
+  'the sentences name, in order, the failed attempt, the state of its runner and the answer',
   function (this: World) {
     assert.equal(this.sentences!.length, 3);
     assert.match(this.sentences![0]!, /n1: try 1 at runner a ended .* as NeverSent/);
@@ -86,7 +101,7 @@
   },
 );
 
-Then('nothing is said', function (this: World) {
+Then('no sentence is returned', function (this: World) {
   assert.deepEqual(this.sentences, []);
 });
 
@@ -115,7 +130,7 @@
   }
 });
 
-Given('a writer that gathers lines', function (this: World) {
+Given('a writer with a flush delay', function (this: World) {
   this.written = [];
   this.pending = [];
   this.writer = new BoundedWriter(
@@ -123,7 +138,7 @@
       this.written!.push(bytes.toString());
       done(null, bytes.length);
     },
-    (writeNow) => this.pending!.push(writeNow),
+    (flush) => this.pending!.push(flush),
   );
 });
 
@@ -131,7 +146,7 @@
   assert.deepEqual(this.written, []);
 });
 
-When('the moment is over', function (this: World) {
+When('the flush delay has passed', function (this: World) {
   this.pending!.splice(0).forEach((writeNow) => writeNow());
 });
 
@@ -140,33 +155,36 @@
   assert.equal(this.written![0]!.trim().split('\n').length, count);
 });
 
-Then('{int} lines are handed over when the process ends', function (this: World, count: number) {
-  assert.equal(this.writer!.takeWaiting().toString().trim().split('\n').length, count);
-});
+Then(
+  '{int} lines are left to be written when the process exits',
+  function (this: World, count: number) {
+    assert.equal(this.writer!.takeQueued().toString().trim().split('\n').length, count);
+  },
+);
 
-Then('the bytes that wait are bounded and the dropped lines are counted', function (this: World) {
-  const most = Math.ceil(MAXIMUM_WAITING_BYTES / 90);
-  assert.ok(this.writer!.droppedLines >= 100_000 - most);
+Then('the queued bytes are bounded and the dropped lines are counted', function (this: World) {
+  const maximumQueuedLines = Math.ceil(MAXIMUM_QUEUED_BYTES / 90);
+  assert.ok(this.writer!.droppedLines >= 100_000 - maximumQueuedLines);
   assert.equal(this.pending!.length, 1);
 });
 
-When('the reader reads again', async function (this: World) {
+When('the reader resumes reading', async function (this: World) {
   this.stopped = false;
   this.pending!.forEach((finish) => finish());
-  for (let look = 0; look < 200 && !this.written!.join('').includes('dropped'); look += 1) {
+  for (let check = 0; check < 200 && !this.written!.join('').includes('dropped'); check += 1) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 });
 
-Then('it is told how many lines were dropped', function (this: World) {
-  const told = this.written!.join('')
+Then('a line reports how many lines were dropped', function (this: World) {
+  const dropReport = this.written!.join('')
     .split('\n')
     .find((text) => text.includes('dropped'));
-  assert.equal((JSON.parse(told!) as { dropped: number }).dropped, this.writer!.droppedLines);
+  assert.equal((JSON.parse(dropReport!) as { dropped: number }).dropped, this.writer!.droppedLines);
 });
 
-/** All matches of a pattern's first group in the sources under some folders. */
-function namesIn(folders: readonly string[], pattern: RegExp): Set<string> {
+/** The first groups of all matches of a pattern in the TypeScript sources under the folders. */
+function collectNames(folders: readonly string[], pattern: RegExp): Set<string> {
   const names = new Set<string>();
   for (const folder of folders) {
     for (const file of readdirSync(folder, { recursive: true, encoding: 'utf8' })) {
@@ -183,18 +201,23 @@
   const page = readFileSync('docs/reference/logs.md', 'utf8');
   const listed = (pattern: RegExp): Set<string> =>
     new Set([...page.matchAll(pattern)].map((match) => match[1]!));
-  const events = namesIn(['src', 'platform'], /event: '([a-zA-Z]+\.[a-zA-Z]+)'/g);
+  const events = collectNames(['src', 'platform'], /event: '([a-zA-Z]+\.[a-zA-Z]+)'/g);
   assert.deepEqual(listed(/^\| `([a-z]+\.[a-zA-Z]+)`/gm), events);
-  const metrics = namesIn(['src/relay', 'platform'], /['`](ivyloom_[a-z_]+)/g);
+  const metrics = collectNames(['src/relay', 'platform'], /['`](ivyloom_[a-z_]+)/g);
   assert.deepEqual(listed(/^\| `(ivyloom_[a-z_]+)`/gm), metrics);
 });
 
-/** The end of a request that came at one time and ended at another, in milliseconds. */
-function endOf(program: string, from: number, to: number, fields: Record<string, unknown>): string {
-  const usual = { outcome: 'answered', status: 200, tries: 1, events: 0, reading: 0, unread: 0 };
+/** Log line of the end of a request, with its times of arrival and end in milliseconds. */
+function createEndText(
+  program: string,
+  from: number,
+  to: number,
+  fields: Record<string, unknown>,
+): string {
+  const defaults = { outcome: 'answered', status: 200, tries: 1, events: 0, reading: 0, unread: 0 };
   const times = { beforeDispatch: 0, firstByte: to - from, deadline: 1_000 };
-  const end = { program, route: 'r', ...usual, ...times, ...fields, total: to - from };
-  return line(to, 'n', 'relay.end', end);
+  const end = { program, route: 'r', ...defaults, ...times, ...fields, total: to - from };
+  return createLogText(to, 'n', 'relay.end', end);
 }
 
 Given(
@@ -203,23 +226,23 @@
     const turn = { events: 5, beforeDispatch: 10, firstByte: 100, reading: 50, deadline: 500 };
     const refusal = { outcome: 'refused', status: 503, beforeDispatch: -1, firstByte: -1 };
     const texts = [
-      endOf('late', 0, 200, turn),
-      // Two calls at a time: the program waits for the longer one.
-      endOf('late', 250, 300, {}),
-      endOf('late', 250, 500, {}),
-      endOf('late', 570, 600, refusal),
-      endOf('timely', 0, 900, {}),
-      endOf('lost', 0, 100, {}),
-      endOf('lost', 100, 300, { outcome: 'left', status: undefined }),
+      createEndText('late', 0, 200, turn),
+      // Two concurrent calls: the program waits for the longer one.
+      createEndText('late', 250, 300, {}),
+      createEndText('late', 250, 500, {}),
+      createEndText('late', 570, 600, refusal),
+      createEndText('timely', 0, 900, {}),
+      createEndText('lost', 0, 100, {}),
+      createEndText('lost', 100, 300, { outcome: 'left', status: undefined }),
     ];
     this.lines = texts.flatMap((text) => parseLogLine(text) ?? []);
-    // The refusal came back as an answer of no length, so that the program ends late and not refused.
-    this.lines.push(parseLogLine(endOf('late', 600, 600, {}))!);
+    // A last answer of no duration follows the refusal, so that the program counts as late, not as failed.
+    this.lines.push(parseLogLine(createEndText('late', 600, 600, {}))!);
   },
 );
 
 When('the losses are reported', function (this: World) {
-  this.programs = traceProgramsOf(this.lines!);
+  this.programs = tracePrograms(this.lines!);
 });
 
 Then('the late program spent these milliseconds', function (this: World, table: DataTable) {
@@ -257,15 +280,16 @@
   fc.assert(
     fc.property(fc.array(request, { minLength: 1 }), (requests) => {
       const lines = requests.flatMap(({ from, length, ...fields }) => {
-        const before = Math.min(fields.beforeDispatch, length);
-        const firstByte = fields.firstByte < 0 ? -1 : Math.min(length, before + fields.firstByte);
-        const times = { beforeDispatch: before, firstByte };
-        return parseLogLine(endOf('p', from, from + length, { ...fields, ...times })) ?? [];
+        const beforeDispatch = Math.min(fields.beforeDispatch, length);
+        const firstByte =
+          fields.firstByte < 0 ? -1 : Math.min(length, beforeDispatch + fields.firstByte);
+        const times = { beforeDispatch, firstByte };
+        return parseLogLine(createEndText('p', from, from + length, { ...fields, ...times })) ?? [];
       });
-      const [program] = traceProgramsOf(lines);
+      const [program] = tracePrograms(lines);
       const split = splitTime(program!);
       const sum = TIME_CAUSES.reduce((total, cause) => total + split[cause], 0);
-      assert.ok(Math.abs(sum - (program!.endedAt - program!.beganAt)) < 0.001);
+      assert.ok(Math.abs(sum - (program!.endedAt - program!.startedAt)) < 0.001);
       assert.ok(TIME_CAUSES.every((cause) => split[cause] >= 0));
     }),
   );
--- a/features/steps/promises.steps.ts
+++ b/features/steps/promises.steps.ts
@@ -1,8 +1,8 @@
-/** Steps about histories under faults and about the checkers themselves. */
+/** Steps for seeded histories under faults and for the checkers of their invariants. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { CHECKERS } from '../../src/histories/checkers.js';
-import type { ConditionName } from '../../src/histories/checkers.js';
+import type { InvariantName } from '../../src/histories/checkers.js';
 import type { RecordedCall, RecordedRun } from '../../src/histories/recorded-events.js';
 import { runHistory } from '../../src/histories/run-history.js';
 import type { HistoryResult } from '../../src/histories/run-history.js';
@@ -23,7 +23,7 @@
   },
 );
 
-Then('no promise is broken', function (this: PromisesWorld) {
+Then('no invariant is violated', function (this: PromisesWorld) {
   const violations = this.batches!.flat().flatMap(({ seed, violations: broken }) =>
     broken.map((violation) => ({ seed, ...violation })),
   );
@@ -31,12 +31,17 @@
   const answered = this.batches!.flat().flatMap((result) =>
     result.run.calls.filter((call) => call.result.type === 'answered'),
   );
-  assert.ok(answered.length > 100, 'hardly anything was answered');
+  assert.ok(answered.length > 100, 'fewer than 101 calls were answered');
 });
 
-Then('at least {int} kinds of faults struck', function (this: PromisesWorld, kinds: number) {
-  const struck = new Set(this.batches!.flat().flatMap((result) => [...result.faults.keys()]));
-  assert.ok(struck.size >= kinds, `only ${[...struck].join(', ')}`);
+Then('at least {int} kinds of faults occurred', function (this: PromisesWorld, kinds: number) {
+  const occurredKinds = new Set(
+    this.batches!.flat().flatMap((result) => [...result.faults.keys()]),
+  );
+  assert.ok(
+    occurredKinds.size >= kinds,
+    `only these kinds of faults occurred: ${[...occurredKinds].join(', ')}`,
+  );
 });
 
 Then('both runs recorded the same', function (this: PromisesWorld) {
@@ -64,7 +69,7 @@
   retryAfterSeconds: 1,
 } as const;
 
-const PLANTS: Readonly<Record<string, (run: RecordedRun) => void>> = {
+const MUTATIONS: Readonly<Record<string, (run: RecordedRun) => void>> = {
   'an execution out of order': (run) => {
     const call = run.calls.find((candidate) => candidate.sequence === 1)!;
     const { call: name, program, service } = call;
@@ -80,7 +85,7 @@
     (first!.history as unknown[]).push(second!.history[0]);
   },
   'a history that cannot be read': (run) => {
-    run.unreadable.push('p0');
+    run.unreadablePrograms.push('p0');
   },
   'a grant beyond the budget': (run) => {
     const account = run.accounts[0]!;
@@ -94,9 +99,9 @@
   },
   'crossed answers': (run) => {
     const [first, second] = answered(run, 'tool');
-    const kept = first!.result;
+    const firstResult = first!.result;
     first!.result = second!.result;
-    second!.result = kept;
+    second!.result = firstResult;
   },
   'a stream with a gap': (run) => {
     const call = answered(run, 'chat').find((candidate) => candidate.streaming)!;
@@ -133,14 +138,14 @@
   },
 };
 
-When('it is changed by {string}', function (this: PromisesWorld, plant: string) {
-  PLANTS[plant]!(this.run!);
+When('it is changed by {string}', function (this: PromisesWorld, mutation: string) {
+  MUTATIONS[mutation]!(this.run!);
 });
 
 Then(
-  'the checker of {string} names a violation',
+  'the checker of {string} reports a violation',
   function (this: PromisesWorld, condition: string) {
-    const found = CHECKERS[condition as ConditionName](this.run!);
+    const found = CHECKERS[condition as InvariantName](this.run!);
     assert.notDeepEqual(found, []);
   },
 );
--- a/features/steps/replication.steps.ts
+++ b/features/steps/replication.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about replicas that die and come back, in virtual time. */
+/** Steps about replicas that crash and restart, in virtual time. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { shardOfPool, shardOfProgram } from '../../src/replication/shard-map.js';
@@ -19,7 +19,7 @@
 
 function openPrograms(world: ReplicationWorld, count: number): void {
   const cluster = world.simulated!;
-  for (let made = 0; made < count;) {
+  for (let openedCount = 0; openedCount < count;) {
     const leader = cluster
       .livingNodes()
       .flatMap((node) => node.listShards())
@@ -28,13 +28,13 @@
       cluster.clock.runUntil(cluster.clock.now + STEP_MILLISECONDS);
       continue;
     }
-    const batch = Math.min(PROGRAMS_AT_ONCE, count - made);
+    const batch = Math.min(PROGRAMS_AT_ONCE, count - openedCount);
     for (let index = 0; index < batch; index += 1) {
-      const number = world.opened! + made + index;
+      const number = world.opened! + openedCount + index;
       const command = { type: 'openProgram', at: 0, program: `p${number}`, group: 'g' } as const;
       leader.host.propose(command, () => undefined);
     }
-    made += batch;
+    openedCount += batch;
     cluster.clock.runUntil(cluster.clock.now + STEP_MILLISECONDS);
   }
   world.opened! += count;
@@ -46,7 +46,7 @@
     this.simulated = new SimulatedCluster({
       seed: 11,
       zones: ['a', 'b', 'c'],
-      betweenZones: 1,
+      interZoneMilliseconds: 1,
       shardCount: SHARDS,
       services: [],
       groups: [],
@@ -57,7 +57,7 @@
   },
 );
 
-function nameOf(world: ReplicationWorld, number: number): string {
+function nodeNameOf(world: ReplicationWorld, number: number): string {
   return world.simulated!.nodeNames[number - 1]!;
 }
 
@@ -75,11 +75,11 @@
 );
 
 When('node {int} dies', function (this: ReplicationWorld, number: number) {
-  this.simulated!.killNode(nameOf(this, number));
+  this.simulated!.killNode(nodeNameOf(this, number));
 });
 
 When('node {int} starts again', function (this: ReplicationWorld, number: number) {
-  this.simulated!.startNode(nameOf(this, number));
+  this.simulated!.startNode(nodeNameOf(this, number));
 });
 
 When('every node dies and starts again', function (this: ReplicationWorld) {
@@ -124,7 +124,7 @@
   this.simulated = new SimulatedCluster({
     seed: 12,
     zones: ['a', 'b', 'c'],
-    betweenZones: 1,
+    interZoneMilliseconds: 1,
     shardCount: 12,
     services: [{ name: 'minds', kind: 'model', runners: 3, concurrency: 8 }],
     groups: [{ name: 'g', share: 1, budget: 1e9 }],
@@ -139,7 +139,7 @@
     this.asked = programs;
     this.answered = 0;
     const { map } = this.simulated!;
-    // Programs on the pool's own shard would tell their node who schedules it.
+    // Programs on the pool's own shard are left out: their owner knows the pool's leader already.
     const names = Array.from({ length: programs * 2 }, (_, number) => `p-${number}`)
       .filter((name) => shardOfProgram(map, name) !== shardOfPool(map, 'minds'))
       .slice(0, programs);
--- a/features/steps/storage.steps.ts
+++ b/features/steps/storage.steps.ts
@@ -31,7 +31,7 @@
   loaded?: LoadedStorage;
   ledger?: string;
   endRecording?: () => void;
-  /** Syncs of the database's folder that were seen so far. */
+  /** Number of recorded syncs of the database's folder so far. */
   syncCount?: number;
 }
 
@@ -68,8 +68,8 @@
   },
 );
 
-/** Times that a folder was synced, as the ledger tells. */
-function syncsOf(world: StorageWorld, folder: string): number {
+/** Number of syncs of a folder according to the ledger. */
+function countSyncs(world: StorageWorld, folder: string): number {
   const lines = readFileSync(world.ledger!, 'utf8').trim().split('\n');
   return lines
     .map((line) => JSON.parse(line) as LedgerLine)
@@ -77,17 +77,17 @@
 }
 
 Then(
-  'its name and those of its files were synced before the replica was acknowledged',
+  'the data folder and the database folder were synced before the replica was acknowledged',
   function (this: StorageWorld) {
     const root = join(this.folder!, 'data');
-    assert.equal(syncsOf(this, root), 1);
-    this.syncCount = syncsOf(this, join(root, 'replicas'));
+    assert.equal(countSyncs(this, root), 1);
+    this.syncCount = countSyncs(this, join(root, 'replicas'));
     assert.equal(this.syncCount, 2);
   },
 );
 
-Then('those of its files were synced once more', function (this: StorageWorld) {
-  assert.equal(syncsOf(this, join(this.folder!, 'data', 'replicas')), this.syncCount! + 1);
+Then('the database folder was synced once more', function (this: StorageWorld) {
+  assert.equal(countSyncs(this, join(this.folder!, 'data', 'replicas')), this.syncCount! + 1);
 });
 
 Given(
--- a/features/steps/store-client.steps.ts
+++ b/features/steps/store-client.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about the client of the platform's store, over a loopback socket. */
+/** Steps for the client of the platform's store, against a server on the loopback interface. */
 import assert from 'node:assert/strict';
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -15,16 +15,16 @@
 
 interface World {
   listServer?: Server;
-  listed?: ListResult;
+  listResult?: ListResult;
 }
 
-/** Serves one body after another, whatever is asked. */
+/** Starts a server that answers each request with the next body, whatever the request is. */
 async function serveBodies(world: World, bodies: readonly string[]): Promise<void> {
-  const waiting = [...bodies];
+  const remainingBodies = [...bodies];
   world.listServer = createServer((request, response) => {
     request.resume();
     response.writeHead(200, { 'content-type': 'application/json' });
-    response.end(waiting.shift() ?? '');
+    response.end(remainingBodies.shift() ?? '');
   });
   await new Promise<void>((resolve) => world.listServer!.listen(0, HOST, resolve));
 }
@@ -35,7 +35,7 @@
 });
 
 Given(
-  'a store that answers a list in pages that stand at revisions {string}',
+  'a store that answers a list in pages at revisions {string}',
   async function (this: World, revisions: string) {
     const pages = revisions.split(' ').map(Number);
     const bodies = pages.map((At, page) =>
@@ -56,21 +56,21 @@
 When('the stale list is read', async function (this: World) {
   const { port } = this.listServer!.address() as AddressInfo;
   const client = new PlatformStoreClient(HOST, port, createRealRuntime({ logLevel: 'error' }));
-  this.listed = await new Promise((resolve) => client.listStale('', resolve));
+  this.listResult = await new Promise((resolve) => client.listStale('', resolve));
 });
 
 Then(
-  'it has the items of {int} pages and stands at revision {int}',
+  'the list has the items of {int} pages and revision {int}',
   function (this: World, pages: number, revision: number) {
-    assert.ok(E.isRight(this.listed!));
+    assert.ok(E.isRight(this.listResult!));
     assert.deepEqual(
-      this.listed.right.items.map(({ key }) => key),
+      this.listResult.right.items.map(({ key }) => key),
       Array.from({ length: pages }, (_unused, page) => `k${page}`),
     );
-    assert.equal(this.listed.right.revision, revision);
+    assert.equal(this.listResult.right.revision, revision);
   },
 );
 
-Then('it is refused', function (this: World) {
-  assert.ok(E.isLeft(this.listed!));
+Then('the list is refused', function (this: World) {
+  assert.ok(E.isLeft(this.listResult!));
 });
--- a/features/steps/turn-histories.steps.ts
+++ b/features/steps/turn-histories.steps.ts
@@ -1,20 +1,20 @@
-/** Steps about seeded histories of kept turns and token accounts. */
+/** Steps for seeded histories of stored turns and token accounts. */
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { TURN_FAULTS } from '../../src/histories/turn-faults.js';
 import { runTurnHistory } from '../../src/histories/turn-history.js';
-import type { PlantedFault, TurnHistoryResult } from '../../src/histories/turn-history.js';
+import type { InjectedFault, TurnHistoryResult } from '../../src/histories/turn-history.js';
 
 interface World {
   histories?: TurnHistoryResult[];
 }
 
-const PLANTED: Readonly<Record<string, PlantedFault>> = {
+const INJECTED_FAULTS: Readonly<Record<string, InjectedFault>> = {
   'an emptied replica copies nothing': 'noRepair',
   'replicas acknowledge before the disk': 'hastyAcknowledge',
   'accounts never reach the disks': 'lostAccounts',
 };
-const MOST_PLANTED_SEEDS = 60;
+const MAXIMUM_SEEDS = 60;
 
 When(
   'histories of turns with seeds {int} to {int} are played',
@@ -54,14 +54,14 @@
 );
 
 Then('no promise about turns is broken', function (this: World) {
-  const broken = this.histories!.filter((history) => history.violations.length > 0);
-  assert.deepEqual(broken, []);
+  const failed = this.histories!.filter((history) => history.violations.length > 0);
+  assert.deepEqual(failed, []);
 });
 
 Then('turns were kept, tokens granted and budgets refused', function (this: World) {
   for (const figure of ['kept', 'granted', 'refused'] as const) {
     const sum = this.histories!.reduce((total, history) => total + history[figure], 0);
-    assert.ok(sum > 0, `no turn was ${figure}`);
+    assert.ok(sum > 0, `the sum of "${figure}" over all histories is 0`);
   }
 });
 
@@ -74,10 +74,10 @@
   'histories of turns are played with the planted fault {string}',
   function (this: World, fault: string) {
     this.histories = [];
-    for (let seed = 1; seed <= MOST_PLANTED_SEEDS; seed += 1) {
-      const history = runTurnHistory(seed, { planted: PLANTED[fault]! });
+    for (let seed = 1; seed <= MAXIMUM_SEEDS; seed += 1) {
+      const history = runTurnHistory(seed, { injectedFault: INJECTED_FAULTS[fault]! });
       this.histories.push(history);
-      // Service that is lost besides shows earlier with some faults, and is not what they are planted for.
+      // Some injected faults also cost service, often earlier; only the violations that they are meant to cause count.
       if (history.violations.some((violation) => !violation.startsWith('service'))) {
         return;
       }
--- a/src/bench/deployments.ts
+++ b/src/bench/deployments.ts
@@ -1,34 +1,34 @@
-/** The two deployments of today, as the bench and the local cluster set them up. */
+/** Deployments for the experiments and the local cluster: topology, services and workloads. */
 import type { SimulatedGroup, SimulatedService } from '../simulation/simulated-cluster.js';
 import { brandvoldKinds, terangaKinds } from './workloads.js';
 import type { WorkloadKind } from './workloads.js';
 
-/** A group's part of a deployment's arrivals. */
+/** The programs of one group in a deployment. */
 export interface DeploymentWorkload {
   readonly group: string;
-  /** Part of the engine time that this group's programs are made to need. */
-  readonly part: number;
+  /** Fraction of the deployment's offered load that this group's programs make up. */
+  readonly loadFraction: number;
   readonly kinds: readonly WorkloadKind[];
 }
 
-/** A deployment. */
+/** Zones, network delays, services, groups and workloads of a deployment. */
 export interface Deployment {
   readonly name: string;
   readonly zones: readonly string[];
-  /** One-way milliseconds between zones. */
-  readonly betweenZones: number;
-  /** One-way milliseconds to clients. */
-  readonly toClients: number;
+  /** One-way network delay between zones. */
+  readonly interZoneMilliseconds: number;
+  /** One-way network delay to clients. */
+  readonly clientLinkMilliseconds: number;
   readonly services: readonly SimulatedService[];
   readonly groups: readonly SimulatedGroup[];
   readonly workloads: readonly DeploymentWorkload[];
 }
 
 const AMPLE_BUDGET = 1e12;
-/** Calls a model engine is given at a time. */
+/** Maximum number of concurrent calls per model engine. */
 export const ENGINE_CONCURRENCY = 16;
 const TOOL_CONCURRENCY = 16;
-/** Memory of an engine, in tokens: what a runner of four large accelerators keeps of a 70B model. */
+/** Cache capacity of an engine: four large accelerators that serve a model of 70B parameters. */
 export const ENGINE_CACHE_TOKENS = 400_000;
 
 function model(name: string, runners: number): SimulatedService {
@@ -47,14 +47,14 @@
 export const LAKESHORE: Deployment = {
   name: 'lakeshore',
   zones: ['hall-erie', 'hall-huron', 'hall-superior'],
-  betweenZones: 1.5,
-  toClients: 1,
+  interZoneMilliseconds: 1.5,
+  clientLinkMilliseconds: 1,
   services: [model('catalog-minds', 8), tool('order-desk', 3)],
   groups: [BRANDVOLD],
   workloads: [
     {
       group: 'brandvold',
-      part: 1,
+      loadFraction: 1,
       kinds: brandvoldKinds({ model: 'catalog-minds', tool: 'order-desk' }),
     },
   ],
@@ -64,36 +64,36 @@
 export const DAKAR: Deployment = {
   name: 'dakar',
   zones: ['dkr-plateau', 'dkr-yoff', 'dkr-rufisque', 'dkr-diamniadio'],
-  betweenZones: 0.5,
-  toClients: 3,
+  interZoneMilliseconds: 0.5,
+  clientLinkMilliseconds: 3,
   services: [model('agent-models', 10), tool('notify-app', 4)],
   groups: [TERANGA],
   workloads: [
     {
       group: 'teranga',
-      part: 1,
+      loadFraction: 1,
       kinds: terangaKinds({ model: 'agent-models', tool: 'notify-app' }),
     },
   ],
 };
 
-/** Both groups on one pool, Teranga asking for more than its share. */
+/** Both groups on one pool; Teranga requests more than its share. */
 export const MIXED: Deployment = {
   name: 'mixed',
   zones: LAKESHORE.zones,
-  betweenZones: LAKESHORE.betweenZones,
-  toClients: LAKESHORE.toClients,
+  interZoneMilliseconds: LAKESHORE.interZoneMilliseconds,
+  clientLinkMilliseconds: LAKESHORE.clientLinkMilliseconds,
   services: [model('catalog-minds', 12), tool('order-desk', 4)],
   groups: [BRANDVOLD, TERANGA],
   workloads: [
     {
       group: 'brandvold',
-      part: 0.4,
+      loadFraction: 0.4,
       kinds: brandvoldKinds({ model: 'catalog-minds', tool: 'order-desk' }),
     },
     {
       group: 'teranga',
-      part: 0.6,
+      loadFraction: 0.6,
       kinds: terangaKinds({ model: 'catalog-minds', tool: 'order-desk' }),
     },
   ],
@@ -106,7 +106,7 @@
   services: [model('catalog-minds', 40), tool('order-desk', 12)],
 };
 
-/** Every deployment by its name. */
+/** All deployments by name. */
 export const DEPLOYMENTS: Readonly<Record<string, Deployment>> = {
   lakeshore: LAKESHORE,
   dakar: DAKAR,
--- a/src/bench/experiment.ts
+++ b/src/bench/experiment.ts
@@ -1,4 +1,4 @@
-/** Runs a workload over the real node code in virtual time, once for each policy, same seed. */
+/** Runs a workload on a simulated cluster, once for each scheduling policy with the same seed. */
 import { createRandom } from '../runtime/random.js';
 import type { RandomSource } from '../runtime/random.js';
 import { createPolicy } from '../scheduling/create-policy.js';
@@ -16,46 +16,46 @@
 import type { Summary } from './statistics.js';
 import { makeScript } from './workloads.js';
 
-/** What is run. */
+/** Deployment, load and policies of an experiment. */
 export interface ExperimentOptions {
   readonly deployment: Deployment;
   readonly seed: number;
-  /** Offered load as a part of the engines' capacity with every prefix cached. @default 0.85 */
+  /** Offered load as a fraction of the engines' capacity with every prefix cached. @default 0.85 */
   readonly load?: number;
   /** Virtual seconds during which programs arrive. @default 300 */
   readonly seconds?: number;
   readonly policies: readonly PolicyName[];
 }
 
-/** Figures of one policy. */
+/** Figures of one policy; printed as JSON. */
 export interface PolicyFigures {
-  /** First call to last answer of all programs with model calls, in seconds. */
+  /** Time from the first call to the last answer of programs with model calls, in seconds. */
   readonly programLatencySeconds: Summary;
   readonly latencyByKind: Readonly<Record<string, Summary>>;
-  /** Held token-seconds of prefixes never reused, as a part of all held. */
+  /** Idle token-seconds of prefixes that were never reused, as a fraction of all idle ones. */
   readonly wastedCacheRatio: number;
-  /** Held token-seconds whose stretch ended without reuse, as a part of all held. */
+  /** Idle token-seconds that ended without reuse, as a fraction of all idle ones. */
   readonly unusedStretchRatio: number;
-  /** Token-seconds of prompt memory kept while idle. */
+  /** Token-seconds of prompt memory cached while idle. */
   readonly heldTokenSeconds: number;
   readonly prefillTokens: number;
   readonly prefillTokensSaved: number;
-  /** Programs finished per second of the run. */
+  /** Finished programs per second of virtual time. */
   readonly throughput: number;
-  /** Jain's index of service received over service owed, while groups compete. */
+  /** Jain's index over the groups of tokens received divided by the group's share. */
   readonly fairness: number;
   readonly urgentWaitSeconds: Summary;
   readonly refusals: number;
   readonly failedPrograms: number;
   readonly finishedPrograms: number;
-  /** Part of the engines' time spent working while programs arrived. */
+  /** Fraction of the engines' time spent working while programs arrived. */
   readonly busyRatio: number;
   readonly runSeconds: number;
-  /** Wall-clock seconds the emulation took. */
+  /** Wall-clock duration of the simulation. */
   readonly wallSeconds: number;
 }
 
-/** Result of an experiment. */
+/** Result of an experiment, with the figures of each policy by its name; printed as JSON. */
 export interface ExperimentResult {
   readonly experiment: string;
   readonly seed: number;
@@ -64,11 +64,11 @@
   readonly policies: Readonly<Record<string, PolicyFigures>>;
 }
 
-/** Longest time the run goes on after the last arrival, in virtual milliseconds. */
-const DRAIN_MILLISECONDS = 3_600_000;
+/** Maximum virtual time for which a run goes on after the last arrival. */
+const MAXIMUM_DRAIN_MILLISECONDS = 3_600_000;
 const PROGRESS_STEP_MILLISECONDS = 5_000;
 
-/** Costs of a token on the emulated engine at the batch its limit allows. */
+/** Engine time per token on the emulated engine with a full batch. */
 export const UNIT_COSTS: UnitCosts = {
   prefillMilliseconds: 1_000 / 12_000,
   decodeMilliseconds: (8 + 0.35 * ENGINE_CONCURRENCY) / ENGINE_CONCURRENCY,
@@ -79,22 +79,23 @@
   readonly script: ProgramScript;
 }
 
-function modelEngines(deployment: Deployment): number {
+function countModelEngines(deployment: Deployment): number {
   return deployment.services
     .filter((service) => service.kind === 'model')
     .reduce((sum, service) => sum + service.runners, 0);
 }
 
-/** Programs drawn to find what a workload needs on the average. */
+/** Number of sample programs for the mean cost of a workload. */
 const SAMPLE_PROGRAMS = 400;
-/** Milliseconds of one decoding step at the batch the limit allows. */
+/** Duration of one decoding step with a full batch. */
 const STEP_MILLISECONDS = UNIT_COSTS.decodeMilliseconds * ENGINE_CONCURRENCY;
 
 /**
- * Mean need of a workload's programs, in milliseconds of a whole engine: of its computing time or
- * of its memory, whichever is scarcer, when each token is computed once and kept through pauses.
+ * Estimates the mean cost of a workload's programs in milliseconds of a whole engine. The cost is
+ * that of compute or of memory, whichever is higher, when each token is computed once and stays
+ * cached through pauses.
  */
-function meanNeed(
+function meanEngineMilliseconds(
   kinds: Parameters<typeof makeScript>[0],
   cacheTokens: number,
   random: RandomSource,
@@ -109,18 +110,19 @@
   return Math.max(computing, memory) / SAMPLE_PROGRAMS;
 }
 
-/** All programs of a run with the times at which they come. */
+/** Draws the programs of a run with their arrival times in milliseconds, sorted by time. */
 export function planArrivals(options: ExperimentOptions): Arrival[] {
   const { deployment, seed, load = 0.85, seconds = 300 } = options;
   const arrivals: Arrival[] = [];
   for (const workload of deployment.workloads) {
     const random = createRandom(seed, `arrivals:${workload.group}`);
     const sample = createRandom(seed, `sample:${workload.group}`);
-    const need = meanNeed(workload.kinds, ENGINE_CACHE_TOKENS, sample);
-    const gap = need / (modelEngines(deployment) * load * workload.part);
+    const engineMilliseconds = meanEngineMilliseconds(workload.kinds, ENGINE_CACHE_TOKENS, sample);
+    const meanInterval =
+      engineMilliseconds / (countModelEngines(deployment) * load * workload.loadFraction);
     let at = 0;
     for (let index = 0; at < seconds * 1_000; index += 1) {
-      at += random.exponential(gap);
+      at += random.exponential(meanInterval);
       const name = `${workload.group}-${index}`;
       arrivals.push({ at, script: makeScript(workload.kinds, name, random) });
     }
@@ -128,11 +130,11 @@
   return arrivals.sort((left, right) => left.at - right.at);
 }
 
-/** Knows each program's script; used by the clairvoyant policy alone. */
+/** Provides the programs' scripts to the clairvoyant policy. */
 class ScriptOracle implements Oracle {
   private readonly progress = new Map<string, { script: ProgramScript; next: number }>();
 
-  note(script: ProgramScript, next: number): void {
+  recordProgress(script: ProgramScript, next: number): void {
     this.progress.set(script.name, { script, next });
   }
 
@@ -152,7 +154,7 @@
   }
 }
 
-/** Time a program takes on lightly loaded engines, pauses included, in milliseconds. */
+/** Duration of a program on lightly loaded engines, pauses included, in milliseconds. */
 function expectedDuration(script: ProgramScript): number {
   return script.steps.reduce(
     (sum, step) => sum + step.pauseMilliseconds + step.outputTokens * STEP_MILLISECONDS,
@@ -160,14 +162,14 @@
   );
 }
 
-function isChat(script: ProgramScript): boolean {
+function hasChatStep(script: ProgramScript): boolean {
   return script.steps.some((step) => step.kind === 'chat');
 }
 
 interface RunState {
   readonly outcomes: ProgramOutcome[];
   readonly urgentWaits: number[];
-  /** Engine time received by each group while programs arrived. */
+  /** Output tokens received by each group. */
   readonly received: Map<string, number>;
 }
 
@@ -179,25 +181,27 @@
   wallSeconds: number,
 ): PolicyFigures {
   const { deployment, seconds = 300 } = options;
-  const chats = state.outcomes.filter((outcome) => isChat(outcome.script) && !outcome.failed);
+  const chatOutcomes = state.outcomes.filter(
+    (outcome) => hasChatStep(outcome.script) && !outcome.failed,
+  );
   const latency = (outcome: ProgramOutcome): number =>
     (outcome.endedAt - outcome.startedAt) / 1_000;
-  const kinds = [...new Set(chats.map((outcome) => outcome.script.kind))].sort();
+  const kinds = [...new Set(chatOutcomes.map((outcome) => outcome.script.kind))].sort();
   const totals = [...cluster.backEnds.values()].map((backEnd) => backEnd.totals());
   const sum = (pick: (total: (typeof totals)[number]) => number): number =>
     totals.reduce((accumulated, total) => accumulated + pick(total), 0);
-  const idle = sum((total) => total.use.idle);
+  const idle = sum((total) => total.idleMemory.idle);
   const runSeconds = cluster.clock.now / 1_000;
   return {
-    programLatencySeconds: summarize(chats.map(latency)),
+    programLatencySeconds: summarize(chatOutcomes.map(latency)),
     latencyByKind: Object.fromEntries(
       kinds.map((kind) => [
         kind,
-        summarize(chats.filter((outcome) => outcome.script.kind === kind).map(latency)),
+        summarize(chatOutcomes.filter((outcome) => outcome.script.kind === kind).map(latency)),
       ]),
     ),
-    wastedCacheRatio: sum((total) => total.use.neverReused) / Math.max(1, idle),
-    unusedStretchRatio: sum((total) => total.use.unusedStretches) / Math.max(1, idle),
+    wastedCacheRatio: sum((total) => total.idleMemory.neverReused) / Math.max(1, idle),
+    unusedStretchRatio: sum((total) => total.idleMemory.unusedStretches) / Math.max(1, idle),
     heldTokenSeconds: idle / 1_000,
     prefillTokens: sum((total) => total.prefillTokens),
     prefillTokensSaved: sum((total) => total.cachedTokens),
@@ -207,7 +211,7 @@
     refusals: state.outcomes.reduce((total, outcome) => total + outcome.refusals, 0),
     failedPrograms: state.outcomes.filter((outcome) => outcome.failed).length,
     finishedPrograms: state.outcomes.length,
-    busyRatio: busyWhileArriving / (modelEngines(deployment) * seconds * 1_000),
+    busyRatio: busyWhileArriving / (countModelEngines(deployment) * seconds * 1_000),
     runSeconds,
     wallSeconds,
   };
@@ -222,7 +226,7 @@
   return squares === 0 ? 1 : (total * total) / (ratios.length * squares);
 }
 
-/** Runs one policy. */
+/** Runs an experiment's workload under one policy. */
 export function runPolicy(options: ExperimentOptions, name: PolicyName): PolicyFigures {
   const { deployment, seed, seconds = 300 } = options;
   const wallStart = process.hrtime.bigint();
@@ -230,7 +234,7 @@
   const cluster = new SimulatedCluster({
     seed,
     zones: deployment.zones,
-    betweenZones: deployment.betweenZones,
+    interZoneMilliseconds: deployment.interZoneMilliseconds,
     shardCount: 12,
     services: deployment.services,
     groups: deployment.groups,
@@ -240,7 +244,7 @@
   const begin = cluster.clock.now;
   const state: RunState = { outcomes: [], urgentWaits: [], received: new Map() };
   const client = cluster.createProcess('caller');
-  const runtime = client.begin();
+  const runtime = client.start();
   const port = new SimulatedCaller(cluster, { process: client, zone: 'clients' }, runtime);
   const arrivals = planArrivals(options);
   const startProgram = (arrival: Arrival): void => {
@@ -248,12 +252,12 @@
       runtime,
       port,
       script: arrival.script,
-      onStep: (script, next) => oracle.note(script, next),
-      onCall: (call, waited) => {
-        noteReceived(state, call.script, call.step.outputTokens);
+      onStep: (script, next) => oracle.recordProgress(script, next),
+      onCall: (call, durationMilliseconds) => {
+        recordReceived(state, call.script, call.step.outputTokens);
         if (call.script.callClass === 'urgent' && call.step.kind === 'chat') {
-          const own = call.step.outputTokens * 8.35;
-          state.urgentWaits.push(Math.max(0, waited - own) / 1_000);
+          const decodeMilliseconds = call.step.outputTokens * 8.35;
+          state.urgentWaits.push(Math.max(0, durationMilliseconds - decodeMilliseconds) / 1_000);
         }
       },
       done: (outcome) => state.outcomes.push(outcome),
@@ -267,7 +271,7 @@
     0,
   );
   const finished = (): boolean => state.outcomes.length >= arrivals.length;
-  const end = begin + seconds * 1_000 + DRAIN_MILLISECONDS;
+  const end = begin + seconds * 1_000 + MAXIMUM_DRAIN_MILLISECONDS;
   while (!finished() && cluster.clock.now < end) {
     cluster.clock.runUntil(cluster.clock.now + PROGRESS_STEP_MILLISECONDS, finished);
   }
@@ -275,11 +279,11 @@
   return collectFigures(cluster, options, state, busy, wallSeconds);
 }
 
-function noteReceived(state: RunState, script: ProgramScript, tokens: number): void {
+function recordReceived(state: RunState, script: ProgramScript, tokens: number): void {
   state.received.set(script.group, (state.received.get(script.group) ?? 0) + tokens);
 }
 
-/** Runs an experiment. */
+/** Runs an experiment under each of its policies. */
 export function runExperiment(options: ExperimentOptions): ExperimentResult {
   const policies: Record<string, PolicyFigures> = {};
   for (const name of options.policies) {
--- a/src/bench/http-caller.ts
+++ b/src/bench/http-caller.ts
@@ -1,15 +1,15 @@
-/** A caller over real HTTP: OpenAI-compatible chat calls, tool calls, ends of programs. */
+/** A caller over HTTP: OpenAI-compatible chat calls, tool calls and ends of programs. */
 import { Agent, request } from 'undici';
 import type { CallError, Verdict } from '../model/verdict.js';
 import { mayHaveRun, notRun } from '../model/verdict.js';
 import type { CallerCall, CallerPort, CallerResult } from './program-runner.js';
 import type { ProgramScript } from './program-script.js';
 
-/** What the caller is made with. */
+/** Nodes and API keys of the caller. */
 export interface HttpCallerOptions {
-  /** HTTP addresses of nodes; calls go to them in turn. */
+  /** Base URLs of the nodes; requests use them round-robin. */
   readonly urls: readonly string[];
-  /** Key of each group. */
+  /** API key of each group. */
   readonly keys: Readonly<Record<string, string>>;
 }
 
@@ -24,17 +24,17 @@
   readonly detail?: string;
 }
 
-const REFUSED = 'ECONNREFUSED';
+const CONNECTION_REFUSED_CODE = 'ECONNREFUSED';
 
-/** See the head of this file. */
+/** Sends the calls of programs to nodes over HTTP. */
 export class HttpCaller implements CallerPort {
   private readonly agent = new Agent({ connections: 128, bodyTimeout: 0, headersTimeout: 0 });
-  private next = 0;
+  private urlIndex = 0;
 
   constructor(private readonly options: HttpCallerOptions) {}
 
   call(call: CallerCall, done: (result: CallerResult) => void): void {
-    this.send(call).then(done, (cause: unknown) => done(brokenConnection(cause)));
+    this.send(call).then(done, (cause: unknown) => done(resultOfBrokenConnection(cause)));
   }
 
   endProgram(script: ProgramScript): void {
@@ -54,8 +54,8 @@
   }
 
   private nextUrl(): string {
-    this.next += 1;
-    return this.options.urls[this.next % this.options.urls.length]!;
+    this.urlIndex += 1;
+    return this.options.urls[this.urlIndex % this.options.urls.length]!;
   }
 
   private async send(call: CallerCall): Promise<CallerResult> {
@@ -104,10 +104,12 @@
   };
 }
 
-function brokenConnection(cause: unknown): CallerResult {
+function resultOfBrokenConnection(cause: unknown): CallerResult {
   const { code } = cause as { code?: string };
   const detail = cause instanceof Error ? cause.message : String(cause);
   const error =
-    code === REFUSED ? notRun('Unavailable', detail, 0.2) : mayHaveRun('Unavailable', detail);
+    code === CONNECTION_REFUSED_CODE
+      ? notRun('Unavailable', detail, 0.2)
+      : mayHaveRun('Unavailable', detail);
   return { type: 'failed', error };
 }
--- a/src/bench/overhead.ts
+++ b/src/bench/overhead.ts
@@ -1,6 +1,6 @@
 /**
- * What the scheduler adds to a call: time to the first token and per relayed token against calling
- * the emulated engine directly, in one run, and the processor time of the daemons per token.
+ * Measures the scheduler's overhead: time to the first token and time per token, compared with
+ * calls that go directly to the emulated engine, and CPU time per token.
  */
 import { request } from 'undici';
 import { LAKESHORE } from './deployments.js';
@@ -9,13 +9,13 @@
 import { summarize } from './statistics.js';
 import type { Summary } from './statistics.js';
 
-/** Figures of one way of calling. */
+/** Latencies of direct or of scheduled calls. */
 export interface CallTimes {
   readonly firstTokenMilliseconds: Summary;
   readonly perTokenMilliseconds: Summary;
 }
 
-/** Result of the measurement. */
+/** Result of the measurement; printed as JSON. */
 export interface OverheadResult {
   readonly seed: number;
   readonly calls: number;
@@ -23,32 +23,32 @@
   readonly throughScheduler: CallTimes;
   readonly addedFirstTokenMilliseconds: number;
   readonly addedPerTokenMicroseconds: number;
-  /** Processor microseconds of the whole process per generated token, both ways. */
+  /** CPU time of the whole process per generated token of a direct call. */
   readonly directCpuMicrosecondsPerToken: number;
   readonly schedulerCpuMicrosecondsPerToken: number;
 }
 
-/** What is measured. */
+/** Seed and number of calls. */
 export interface OverheadOptions {
   readonly seed: number;
-  /** Calls each way; they alternate. */
+  /** Number of direct calls and of scheduled calls; they alternate. */
   readonly calls: number;
 }
 
 const ANSWER_TOKENS = 64;
 const MODEL = 'catalog-minds';
 
-interface OneCall {
+interface CallMeasurement {
   readonly firstMilliseconds: number;
   readonly perTokenMilliseconds: number;
   readonly cpuMicroseconds: number;
 }
 
-async function timeCall(
+async function measureCall(
   url: string,
   headers: Record<string, string>,
   text: string,
-): Promise<OneCall> {
+): Promise<CallMeasurement> {
   const cpu = process.cpuUsage();
   const started = performance.now();
   const response = await request(`${url}/v1/chat/completions`, {
@@ -62,22 +62,22 @@
     }),
   });
   const reader = new EventStreamReader();
-  let first = 0;
+  let firstMilliseconds = 0;
   for await (const chunk of response.body as AsyncIterable<Buffer>) {
-    if (reader.push(chunk).length > 0 && first === 0) {
-      first = performance.now() - started;
+    if (reader.push(chunk).length > 0 && firstMilliseconds === 0) {
+      firstMilliseconds = performance.now() - started;
     }
   }
-  const whole = performance.now() - started;
+  const totalMilliseconds = performance.now() - started;
   const used = process.cpuUsage(cpu);
   return {
-    firstMilliseconds: first,
-    perTokenMilliseconds: (whole - first) / ANSWER_TOKENS,
+    firstMilliseconds,
+    perTokenMilliseconds: (totalMilliseconds - firstMilliseconds) / ANSWER_TOKENS,
     cpuMicroseconds: used.user + used.system,
   };
 }
 
-function timesOf(calls: readonly OneCall[]): CallTimes {
+function summarizeCalls(calls: readonly CallMeasurement[]): CallTimes {
   return {
     firstTokenMilliseconds: summarize(calls.map((call) => call.firstMilliseconds)),
     perTokenMilliseconds: summarize(calls.map((call) => call.perTokenMilliseconds)),
@@ -88,24 +88,24 @@
   return [...values].sort((left, right) => left - right)[Math.floor(values.length / 2)] ?? 0;
 }
 
-/** Runs the measurement; calls go one after another, so that nothing waits. */
+/** Runs the measurement. Calls are sequential, so that none of them waits for another. */
 export async function measureOverhead(options: OverheadOptions): Promise<OverheadResult> {
   const { seed, calls } = options;
   const cluster = await startLocalCluster({ deployment: LAKESHORE, seed });
   const key = { authorization: `Bearer ${localKeyOf('brandvold')}` };
-  const direct: OneCall[] = [];
-  const scheduled: OneCall[] = [];
+  const direct: CallMeasurement[] = [];
+  const scheduled: CallMeasurement[] = [];
   const node = cluster.urls[0]!;
-  await timeCall(node, key, 'warm up');
+  await measureCall(node, key, 'warm up');
   for (let index = 0; index < calls; index += 1) {
-    direct.push(await timeCall(cluster.engineUrl, {}, `direct ${index}`));
-    scheduled.push(await timeCall(node, key, `scheduled ${index}`));
+    direct.push(await measureCall(cluster.engineUrl, {}, `direct ${index}`));
+    scheduled.push(await measureCall(node, key, `scheduled ${index}`));
   }
   await cluster.stop();
   const directCpu = median(direct.map((call) => call.cpuMicroseconds)) / ANSWER_TOKENS;
   const scheduledCpu = median(scheduled.map((call) => call.cpuMicroseconds)) / ANSWER_TOKENS;
-  const directTimes = timesOf(direct);
-  const scheduledTimes = timesOf(scheduled);
+  const directTimes = summarizeCalls(direct);
+  const scheduledTimes = summarizeCalls(scheduled);
   return {
     seed,
     calls,
--- a/src/bench/program-runner.ts
+++ b/src/bench/program-runner.ts
@@ -1,72 +1,72 @@
-/** Runs one program of a workload against the system, as its caller would, and times it. */
+/** Runs the programs of a workload as their callers would. */
 import type { CallError } from '../model/verdict.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { ProgramScript, ProgramStep } from './program-script.js';
 
-/** A call as a caller makes it. */
+/** A call of a program. */
 export interface CallerCall {
   readonly script: ProgramScript;
   readonly step: ProgramStep;
-  /** Place in the program, from 1. */
+  /** Position in the program, from 1. */
   readonly sequence: number;
-  /** Text of the new message or of the tool's input. */
+  /** Text of the new message, or the tool's input. */
   readonly input: string;
-  /** Leading instructions, with the first call of a program. */
+  /** System prompt, sent with the first call of a program; empty for the others. */
   readonly instructions: string;
 }
 
-/** What became of a call. */
+/** Result of a call. */
 export type CallerResult =
   | { readonly type: 'answered'; readonly text: string; readonly cachedTokens: number }
   | { readonly type: 'failed'; readonly error: CallError };
 
-/** How a caller reaches the system. */
+/** Sends calls to the system under test. */
 export interface CallerPort {
   call(call: CallerCall, done: (result: CallerResult) => void): void;
   endProgram(script: ProgramScript): void;
 }
 
-/** How a program went. */
+/** Timing and result of a program. */
 export interface ProgramOutcome {
   readonly script: ProgramScript;
-  /** Monotonic milliseconds. */
+  /** Monotonic time in milliseconds, as is `endedAt`. */
   readonly startedAt: number;
   readonly endedAt: number;
   readonly failed: boolean;
-  /** Times the system refused a call of it. */
+  /** Number of failed attempts, sub-agents included. */
   readonly refusals: number;
 }
 
-/** Tries of one call before its program gives up. */
-const MAXIMUM_TRIES = 20;
-const TEXT_UNIT = 'wind rated sash unit ';
+/** Attempts of one call after which its program fails. */
+const MAXIMUM_ATTEMPTS = 20;
+const FILLER_TEXT = 'wind rated sash unit ';
 
-/** A text of a number of tokens that differs from every other. */
+/** Creates a text of a number of tokens, unique by its label, that requests an answer's length. */
 export function makeText(label: string, tokens: number, outputTokens: number): string {
   const characters = Math.max(8, tokens * 4);
-  const filler = TEXT_UNIT.repeat(Math.ceil(characters / TEXT_UNIT.length));
-  const mark = ` #${outputTokens}`;
-  return `${label} ${filler}`.slice(0, Math.max(label.length, characters - mark.length)) + mark;
+  const filler = FILLER_TEXT.repeat(Math.ceil(characters / FILLER_TEXT.length));
+  const marker = ` #${outputTokens}`;
+  return `${label} ${filler}`.slice(0, Math.max(label.length, characters - marker.length)) + marker;
 }
 
-/** What a runner is made with. */
+/** The program to run, and callbacks for its progress. */
 export interface ProgramRunnerOptions {
   readonly runtime: Runtime;
   readonly port: CallerPort;
   readonly script: ProgramScript;
   readonly onStep?: (script: ProgramScript, nextStep: number) => void;
-  readonly onCall?: (call: CallerCall, waitedMilliseconds: number) => void;
+  readonly onCall?: (call: CallerCall, durationMilliseconds: number) => void;
   readonly done: (outcome: ProgramOutcome) => void;
 }
 
-/** See the head of this file. */
+/** Runs one program with its pauses, sub-agents and retries. */
 export class ProgramRunner {
   private startedAt = 0;
   private refusals = 0;
 
   constructor(private readonly options: ProgramRunnerOptions) {}
 
-  /** Begins with the program's first step. */
+  /** Starts the program's first step. */
   start(): void {
     this.startedAt = this.options.runtime.now();
     this.runStep(0);
@@ -87,8 +87,8 @@
   }
 
   private runChildren(step: ProgramStep, done: () => void): void {
-    let left = step.children.length;
-    if (left === 0) {
+    let remaining = step.children.length;
+    if (remaining === 0) {
       done();
       return;
     }
@@ -98,8 +98,8 @@
         script,
         done: (outcome) => {
           this.refusals += outcome.refusals;
-          left -= 1;
-          if (left === 0) {
+          remaining -= 1;
+          if (remaining === 0) {
             done();
           }
         },
@@ -108,7 +108,7 @@
     }
   }
 
-  private makeCall(index: number, step: ProgramStep, tries: number): void {
+  private makeCall(index: number, step: ProgramStep, attempt: number): void {
     const { script, port, runtime, onCall } = this.options;
     const sequence = index + 1;
     const label = `${script.name}:${sequence}`;
@@ -128,22 +128,22 @@
         onCall?.(call, runtime.now() - sentAt);
         this.runStep(index + 1);
       } else {
-        this.handleFailure(index, step, tries, result.error);
+        this.handleFailure(index, step, attempt, result.error);
       }
     });
   }
 
-  private handleFailure(index: number, step: ProgramStep, tries: number, error: CallError): void {
+  private handleFailure(index: number, step: ProgramStep, attempt: number, error: CallError): void {
     this.refusals += 1;
-    const mayTryAgain = error.verdict === 'NotRun' || step.repeatable;
-    const final =
+    const isRetryable = error.verdict === 'NotRun' || step.repeatable;
+    const isFinal =
       error.tag === 'BudgetSpent' || error.tag === 'Stopped' || error.tag === 'Forbidden';
-    if (tries >= MAXIMUM_TRIES || !mayTryAgain || final) {
+    if (attempt >= MAXIMUM_ATTEMPTS || !isRetryable || isFinal) {
       this.finish(true);
       return;
     }
     const pause = Math.max(0.2, error.retryAfterSeconds) * 1_000;
-    this.options.runtime.setTimer(pause, () => this.makeCall(index, step, tries + 1));
+    this.options.runtime.setTimer(pause, () => this.makeCall(index, step, attempt + 1));
   }
 
   private finish(failed: boolean): void {
--- a/src/bench/scale.ts
+++ b/src/bench/scale.ts
@@ -1,6 +1,7 @@
 /**
- * Idle control of hollow nodes in virtual time: real node code, messages counted in the bytes they
- * would have on the wire, processor time of the whole emulation divided by nodes.
+ * Measures the cost of idle nodes and the propagation of configuration changes in a simulated
+ * cluster. Messages are counted at their encoded size; CPU time and heap are those of the whole
+ * simulation, divided by the number of nodes.
  */
 import { runStatement } from '../language/run-statement.js';
 import * as E from 'fp-ts/lib/Either.js';
@@ -9,41 +10,44 @@
 import { encodeFrame } from '../wire/framing.js';
 import { summarize } from './statistics.js';
 
-/** What is measured. */
+/** Size and seed of a measurement. */
 export interface ScaleOptions {
   readonly nodes: number;
   readonly seed: number;
 }
 
-/** Figures at one size. */
+/** Figures of one cluster size; printed as JSON. */
 export interface ScaleFigures {
   readonly nodes: number;
   readonly shards: number;
   readonly bytesPerNodeSecond: number;
   readonly messagesPerNodeSecond: number;
-  /** Part of a core a node takes, emulation included. */
+  /** Fraction of a CPU core per node, simulation included. */
   readonly coreShare: number;
   readonly heapKilobytesPerNode: number;
-  /** Time from acceptance until the last node has a change in force, in milliseconds. */
+  /** Median time until a change is in force on all nodes, in milliseconds. */
   readonly inForceP50: number;
   readonly inForceMax: number;
 }
 
-const ZONES = 15;
+const ZONE_COUNT = 15;
 const SHARDS_PER_NODE = 3;
 const MEASURED_MILLISECONDS = 10_000;
-const CHANGES = 12;
-const CHANGE_PERIOD_MILLISECONDS = 2_000;
-const LOOK_MILLISECONDS = 20;
-const LONGEST_SPREAD_MILLISECONDS = 30_000;
+const CHANGE_COUNT = 12;
+const CHANGE_INTERVAL_MILLISECONDS = 2_000;
+const POLL_INTERVAL_MILLISECONDS = 20;
+const MAXIMUM_PROPAGATION_MILLISECONDS = 30_000;
 
-function createCluster(options: ScaleOptions, count: (bytes: number) => void): SimulatedCluster {
-  const zones = Array.from({ length: ZONES }, (_, index) => `zone-${index}`);
+function createCluster(
+  options: ScaleOptions,
+  onMessageBytes: (bytes: number) => void,
+): SimulatedCluster {
+  const zones = Array.from({ length: ZONE_COUNT }, (_, index) => `zone-${index}`);
   return new SimulatedCluster({
     seed: options.seed,
     zones: zones.slice(0, options.nodes),
-    nodesPerZone: Math.max(1, Math.ceil(options.nodes / ZONES)),
-    betweenZones: 1,
+    nodesPerZone: Math.max(1, Math.ceil(options.nodes / ZONE_COUNT)),
+    interZoneMilliseconds: 1,
     shardCount: options.nodes * SHARDS_PER_NODE,
     services: [{ name: 'catalog-minds', kind: 'model', runners: 12, concurrency: 16 }],
     groups: Array.from({ length: 20 }, (_, index) => ({
@@ -51,11 +55,11 @@
       share: 1,
       budget: 1e9,
     })),
-    onMessage: (_from, message) => count(encodeFrame(encodeMessage(message)).length),
+    onMessage: (_from, message) => onMessageBytes(encodeFrame(encodeMessage(message)).length),
   });
 }
 
-function timeChange(cluster: SimulatedCluster, number: number): number {
+function measurePropagation(cluster: SimulatedCluster, number: number): number {
   const node = cluster.livingNodes()[number % cluster.livingNodes().length]!;
   const operator = { name: 'scale', mayChange: true };
   const statement = `set group group-${number} share ${number + 2}`;
@@ -65,21 +69,21 @@
   runStatement(node, statement, operator, `scale-${number}`, (result) => {
     revision = E.isRight(result) ? (result.right.revision ?? 0) : -1;
   });
-  const spread = (): boolean =>
+  const hasPropagated = (): boolean =>
     cluster
       .livingNodes()
       .every(
         (other) => other.configuration.current.groups.get(`group-${number}`)?.share === number + 2,
       );
-  while (!spread() && clock.now - started < LONGEST_SPREAD_MILLISECONDS) {
-    clock.runUntil(clock.now + LOOK_MILLISECONDS);
+  while (!hasPropagated() && clock.now - started < MAXIMUM_PROPAGATION_MILLISECONDS) {
+    clock.runUntil(clock.now + POLL_INTERVAL_MILLISECONDS);
   }
-  const took = clock.now - started;
-  clock.runUntil(clock.now + CHANGE_PERIOD_MILLISECONDS, () => revision !== 0);
-  return took;
+  const propagationMilliseconds = clock.now - started;
+  clock.runUntil(clock.now + CHANGE_INTERVAL_MILLISECONDS, () => revision !== 0);
+  return propagationMilliseconds;
 }
 
-/** Measures one size. */
+/** Measures one cluster size. */
 export function measureScale(options: ScaleOptions): ScaleFigures {
   global.gc?.();
   const heapBefore = process.memoryUsage().heapUsed;
@@ -101,9 +105,11 @@
   counting = false;
   global.gc?.();
   const heap = process.memoryUsage().heapUsed - heapBefore;
-  const spreads = Array.from({ length: CHANGES }, (_, number) => timeChange(cluster, number));
+  const propagationTimes = Array.from({ length: CHANGE_COUNT }, (_, number) =>
+    measurePropagation(cluster, number),
+  );
   const seconds = MEASURED_MILLISECONDS / 1_000;
-  const summary = summarize(spreads);
+  const summary = summarize(propagationTimes);
   return {
     nodes,
     shards: cluster.map.shardCount,
--- a/src/bench/slopes.ts
+++ b/src/bench/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes for docs/CAPACITY.md: processor time, bytes and memory of each mechanism, measured by
- * running the real code at several sizes.
+ * Measures the cost of single operations, in CPU time, bytes and memory, for the capacity model in
+ * docs/CAPACITY.md.
  */
 import { emptySlice } from '../budget/slices.js';
 import { LeaderDirectory } from '../replication/leader-directory.js';
@@ -17,7 +17,7 @@
 import type { CallTicket, Message } from '../wire/messages.js';
 import { decodeMessage, encodeMessage } from '../wire/message-codec.js';
 
-/** One measured slope. */
+/** A measured cost; printed as a row or as JSON. */
 export interface Slope {
   readonly what: string;
   readonly unit: string;
@@ -26,8 +26,8 @@
 
 const MICROSECONDS_PER_NANOSECOND = 1e-3;
 
-/** Mean processor time of an operation, in microseconds, after a warm-up. */
-function timeEach(times: number, operation: (index: number) => void): number {
+/** Measures the mean duration of an operation after a warm-up, in microseconds. */
+function measureMeanMicroseconds(times: number, operation: (index: number) => void): number {
   for (let index = 0; index < Math.min(times, 2_000); index += 1) {
     operation(index);
   }
@@ -100,7 +100,7 @@
   };
 }
 
-/** Processor time of one decision with so many calls waiting and engines in the pool. */
+/** Measures the time of one scheduling decision for a queue and pool size, in microseconds. */
 export function measureDecision(waiting: number, engines: number, decisions = 4_000): number {
   const pool = makePool(engines);
   const policy = new IvyloomPolicy();
@@ -111,16 +111,16 @@
     pool.directory.add(holder, { name: ticket.program, tokens: 1_800 });
     policy.enqueue(ticket, 0);
   }
-  let made = waiting;
-  return timeEach(decisions, (index) => {
+  let ticketCount = waiting;
+  return measureMeanMicroseconds(decisions, (index) => {
     const placement = policy.choose(pool, index);
     if (placement === undefined) {
       return;
     }
     const { engine } = placement;
-    // Its place is taken to be free again at once; another call takes its place in the queue.
-    made += 1;
-    const next = makeTicket(made, 40);
+    // The slot counts as free again at once, and a new call replaces the placed one in the queue.
+    ticketCount += 1;
+    const next = makeTicket(ticketCount, 40);
     pool.directory.add(engine.engine, { name: next.program, tokens: 1_800 });
     policy.enqueue(next, index);
   });
@@ -159,7 +159,7 @@
   ];
   return messages.flatMap(([what, message]) => {
     const bytes = encodeMessage(message);
-    const cost = timeEach(20_000, () => {
+    const cost = measureMeanMicroseconds(20_000, () => {
       decodeMessage(encodeMessage(message));
     });
     return [
@@ -221,7 +221,7 @@
   const map = createShardMap(1_024, nodes);
   const milliseconds = Number(process.hrtime.bigint() - started) / 1e6;
   const leaders = new LeaderDirectory(map);
-  const lookup = timeEach(100_000, (index) => {
+  const lookup = measureMeanMicroseconds(100_000, (index) => {
     leaders.targetOf(index % 1_024);
   });
   return [
@@ -230,7 +230,7 @@
   ];
 }
 
-/** Measures every slope. */
+/** Measures all costs. */
 export function measureSlopes(): Slope[] {
   const decisions = [
     [100, 10],
--- a/src/bench/start.ts
+++ b/src/bench/start.ts
@@ -1,4 +1,4 @@
-/** The main job on embedded stand-ins: a local cluster under a workload, then a report. */
+/** Runs a workload on a local cluster with emulated back ends and prints a report. */
 import Table from 'cli-table3';
 import { createRandom } from '../runtime/random.js';
 import { createRealRuntime } from '../runtime/real-runtime.js';
@@ -13,25 +13,24 @@
 import { makeScript } from './workloads.js';
 import type { WorkloadKind } from './workloads.js';
 
-/** What is started. */
+/** Deployment and workload of a run. */
 export interface StartOptions {
   readonly deployment: Deployment;
   readonly seed: number;
-  /** Programs to run. */
+  /** Number of programs to run. */
   readonly programs: number;
-  /** Port of the first node's front. */
+  /** HTTP port of the first node; 0 selects a free one. */
   readonly httpPort: number;
-  /** End after the report. */
+  /** Whether to exit after the report instead of keeping the cluster up. */
   readonly once: boolean;
 }
 
-const PROGRESS_MILLISECONDS = 2_000;
-/** Mean time between programs, in milliseconds. */
-const ARRIVAL_MILLISECONDS = 60;
-/** Pauses are shortened, so that a first run takes seconds. */
+const PROGRESS_INTERVAL_MILLISECONDS = 2_000;
+/** Time between the starts of programs. */
+const ARRIVAL_INTERVAL_MILLISECONDS = 60;
+/** Factor applied to the scripts' pauses, so that a run takes seconds. */
 const PAUSE_SCALE = 0.1;
-/** Longest program of a first run, in steps. */
-const LONGEST_PROGRAM = 8;
+const MAXIMUM_PROGRAM_STEPS = 8;
 
 function write(line: string): void {
   process.stdout.write(`${line}\n`);
@@ -42,7 +41,7 @@
     ...kind,
     make: (name, random) => {
       const script = kind.make(name, random);
-      const steps = script.steps.slice(0, LONGEST_PROGRAM).map((step) => ({
+      const steps = script.steps.slice(0, MAXIMUM_PROGRAM_STEPS).map((step) => ({
         ...step,
         pauseMilliseconds: step.pauseMilliseconds * PAUSE_SCALE,
       }));
@@ -62,7 +61,7 @@
   return new Promise((resolve) => {
     const progress = setInterval(() => {
       write(`  ${outcomes.length} of ${options.programs} programs finished`);
-    }, PROGRESS_MILLISECONDS);
+    }, PROGRESS_INTERVAL_MILLISECONDS);
     for (let index = 0; index < options.programs; index += 1) {
       const script = makeScript(kinds, `run-${options.seed}-${index}`, random);
       const runner = new ProgramRunner({
@@ -77,7 +76,7 @@
           }
         },
       });
-      runtime.setTimer(index * ARRIVAL_MILLISECONDS, () => runner.start());
+      runtime.setTimer(index * ARRIVAL_INTERVAL_MILLISECONDS, () => runner.start());
     }
   });
 }
@@ -98,8 +97,8 @@
   }
   write(table.toString());
   const totals = cluster.backEnds.map((backEnd) => backEnd.totals());
-  const idle = totals.reduce((sum, total) => sum + total.use.idle, 0);
-  const unused = totals.reduce((sum, total) => sum + total.use.neverReused, 0);
+  const idle = totals.reduce((sum, total) => sum + total.idleMemory.idle, 0);
+  const unused = totals.reduce((sum, total) => sum + total.idleMemory.neverReused, 0);
   const prefill = totals.reduce((sum, total) => sum + total.prefillTokens, 0);
   const cached = totals.reduce((sum, total) => sum + total.cachedTokens, 0);
   const percent = (part: number, whole: number): string =>
@@ -129,7 +128,7 @@
   });
 }
 
-/** Runs the main job; resolves with the number of failed programs. */
+/** Runs the workload; resolves with the number of failed programs. */
 export async function runStart(options: StartOptions): Promise<number> {
   const { deployment, seed, httpPort } = options;
   write(`Starting ${deployment.name}: ${deployment.zones.join(', ')}`);
--- a/src/commands/client.ts
+++ b/src/commands/client.ts
@@ -1,4 +1,4 @@
-/** What the operators' client does: asks, prints, and says by its exit code how it went. */
+/** The operators' client: sends statements to a node, prints the answers and returns an exit code. */
 import { createInterface } from 'node:readline';
 import { setTimeout as wait } from 'node:timers/promises';
 import Table from 'cli-table3';
@@ -16,14 +16,14 @@
   notInForce: 5,
 } as const;
 
-/** What the client is run with. */
+/** Options of the client. */
 export interface ClientOptions {
   readonly url: string;
   readonly key: string;
   readonly json: boolean;
-  /** Seconds between runs of the same statement. */
+  /** Pause between runs of the statement, in seconds; undefined runs it once. */
   readonly watchSeconds?: number;
-  /** Most runs of a watched statement. @default Infinity */
+  /** Upper bound of the runs of a repeated statement. @default Infinity */
   readonly limitRuns?: number;
 }
 
@@ -32,7 +32,7 @@
   | { readonly type: 'problem'; readonly problem: ProblemDocument }
   | { readonly type: 'unreachable'; readonly detail: string };
 
-async function ask(statement: string, options: ClientOptions): Promise<Answer> {
+async function sendStatement(statement: string, options: ClientOptions): Promise<Answer> {
   try {
     const response = await request(`${options.url}/v1/operator/statements`, {
       method: 'POST',
@@ -49,7 +49,7 @@
   }
 }
 
-function write(line: string): void {
+function writeLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
@@ -66,21 +66,21 @@
 
 function printResult(result: StatementResult): number {
   if (result.columns.length > 0) {
-    write(formatRows(result));
+    writeLine(formatRows(result));
   }
   if (result.secret !== undefined) {
-    write(`The key, shown only once: ${result.secret}`);
+    writeLine(`The key, shown only once: ${result.secret}`);
   }
   if (result.unreachable.length > 0) {
-    write(`Not reached: ${result.unreachable.join(', ')}`);
+    writeLine(`Not reached: ${result.unreachable.join(', ')}`);
   }
   if (result.revision === undefined || result.inForce === undefined) {
     return EXIT.done;
   }
   const { acknowledged, total, missing } = result.inForce;
-  write(`Done at revision ${result.revision}; in force on ${acknowledged} of ${total} nodes.`);
+  writeLine(`Done at revision ${result.revision}; in force on ${acknowledged} of ${total} nodes.`);
   if (missing.length > 0) {
-    write(`Not yet on: ${missing.join(', ')}`);
+    writeLine(`Not yet on: ${missing.join(', ')}`);
     return EXIT.notInForce;
   }
   return EXIT.done;
@@ -100,7 +100,7 @@
       return EXIT.unreachable;
     case 'problem':
       if (options.json) {
-        write(JSON.stringify(answer.problem));
+        writeLine(JSON.stringify(answer.problem));
       } else {
         const { title, verdict, detail } = answer.problem;
         process.stderr.write(`ivyloom: ${title} (${verdict})\n${detail}\n`);
@@ -108,7 +108,7 @@
       return exitCodeOf(answer.problem);
     case 'result':
       if (options.json) {
-        write(JSON.stringify(answer.result));
+        writeLine(JSON.stringify(answer.result));
         const missing = answer.result.inForce?.missing.length ?? 0;
         return missing > 0 ? EXIT.notInForce : EXIT.done;
       }
@@ -117,11 +117,11 @@
 }
 
 async function watch(statement: string, seconds: number, options: ClientOptions): Promise<number> {
-  const most = options.limitRuns ?? Infinity;
+  const maximumRuns = options.limitRuns ?? Infinity;
   let exitCode: number = EXIT.done;
-  for (let run = 1; run <= most; run += 1) {
-    exitCode = printAnswer(await ask(statement, options), options);
-    if (run < most) {
+  for (let run = 1; run <= maximumRuns; run += 1) {
+    exitCode = printAnswer(await sendStatement(statement, options), options);
+    if (run < maximumRuns) {
       await wait(seconds * 1_000);
     }
   }
@@ -146,7 +146,7 @@
       break;
     }
     if (statement !== '') {
-      exitCode = printAnswer(await ask(statement, options), options);
+      exitCode = printAnswer(await sendStatement(statement, options), options);
     }
     if (interactive) {
       lines.prompt();
@@ -155,7 +155,7 @@
   return exitCode;
 }
 
-/** Runs the client; resolves with its exit code. */
+/** Runs a statement, or those read from standard input if it is empty; resolves with the exit code. */
 export async function runClient(statement: string, options: ClientOptions): Promise<number> {
   if (statement === '') {
     return readStatements(options);
@@ -163,5 +163,5 @@
   if (options.watchSeconds !== undefined) {
     return watch(statement, options.watchSeconds, options);
   }
-  return printAnswer(await ask(statement, options), options);
+  return printAnswer(await sendStatement(statement, options), options);
 }
--- a/src/commands/log-commands.ts
+++ b/src/commands/log-commands.ts
@@ -5,12 +5,11 @@
 import { explainRequest } from '../telemetry/explain-request.js';
 import { formatLogLine, matchesFilter, parseLogLine } from '../telemetry/log-lines.js';
 import type { LogFilter, LogLine } from '../telemetry/log-lines.js';
-import { traceProgramsOf } from '../telemetry/program-traces.js';
+import { tracePrograms } from '../telemetry/program-traces.js';
 import type { ProgramTrace } from '../telemetry/program-traces.js';
 import { lossRows, lossWindows, splitTime, TIME_CAUSES } from '../telemetry/report-losses.js';
 import { EXIT } from './client.js';
 
-/** Width of the windows in which programs are counted, in seconds. */
 const WINDOW_SECONDS = 2;
 
 async function readLines(files: readonly string[], filter: LogFilter): Promise<LogLine[]> {
@@ -27,13 +26,13 @@
   return lines.sort((left, right) => left.time - right.time);
 }
 
-function fail(cause: unknown): number {
+function reportError(cause: unknown): number {
   const detail = cause instanceof Error ? cause.message : String(cause);
   process.stderr.write(`ivyloom: ${detail}\n`);
   return EXIT.wrong;
 }
 
-/** Explains one request from files of logs, or from standard input; the exit code says how it went. */
+/** Explains one request from log files, or from standard input; resolves with the exit code. */
 export async function runExplainRequest(id: string, files: readonly string[]): Promise<number> {
   try {
     const sentences = explainRequest(await readLines(files, {}), id);
@@ -44,7 +43,7 @@
     sentences.forEach((sentence) => process.stdout.write(`${sentence}\n`));
     return EXIT.done;
   } catch (cause) {
-    return fail(cause);
+    return reportError(cause);
   }
 }
 
@@ -58,10 +57,10 @@
 }
 
 async function readPrograms(files: readonly string[]): Promise<ProgramTrace[]> {
-  return traceProgramsOf(await readLines(files, {}));
+  return tracePrograms(await readLines(files, {}));
 }
 
-/** Splits the time of one program by cause. */
+/** Prints the time of one program by cause; resolves with the exit code. */
 export async function runExplainProgram(id: string, files: readonly string[]): Promise<number> {
   try {
     const program = (await readPrograms(files)).find((one) => one.program === id);
@@ -69,10 +68,10 @@
       process.stderr.write(`ivyloom: no line names a program ${id} with a deadline\n`);
       return EXIT.refused;
     }
-    const over = Math.round(program.endedAt - program.deadlineAt);
-    const total = Math.round(program.endedAt - program.beganAt);
+    const overrunMilliseconds = Math.round(program.endedAt - program.deadlineAt);
+    const totalMilliseconds = Math.round(program.endedAt - program.startedAt);
     process.stdout.write(
-      `${id}: ${program.outcome}, ${total} ms, ${Math.abs(over)} ms ${over > 0 ? 'after' : 'before'} its time was over\n`,
+      `${id}: ${program.outcome}, ${totalMilliseconds} ms, ${Math.abs(overrunMilliseconds)} ms ${overrunMilliseconds > 0 ? 'after' : 'before'} its time was over\n`,
     );
     const split = splitTime(program);
     printTable(
@@ -81,11 +80,11 @@
     );
     return EXIT.done;
   } catch (cause) {
-    return fail(cause);
+    return reportError(cause);
   }
 }
 
-/** Reports where the time of all programs went, by kind and outcome, and when programs were lost. */
+/** Prints mean times by cause, kind and outcome, and counts of late and failed programs by time window. */
 export async function runReportLosses(files: readonly string[]): Promise<number> {
   try {
     const programs = await readPrograms(files);
@@ -105,22 +104,22 @@
         window.begun,
         window.late,
         window.failed,
-        window.mostly,
+        window.mainCause,
       ]),
     );
     return programs.length > 0 ? EXIT.done : EXIT.refused;
   } catch (cause) {
-    return fail(cause);
+    return reportError(cause);
   }
 }
 
-/** Prints the lines of files, or of standard input, that match a filter. */
+/** Prints the lines of log files, or of standard input, that match a filter; resolves with the exit code. */
 export async function runLogs(filter: LogFilter, files: readonly string[]): Promise<number> {
   try {
     const lines = await readLines(files, filter);
     lines.forEach((line) => process.stdout.write(`${formatLogLine(line)}\n`));
     return lines.length > 0 ? EXIT.done : EXIT.refused;
   } catch (cause) {
-    return fail(cause);
+    return reportError(cause);
   }
 }
--- a/src/emulator/emulated-back-end.ts
+++ b/src/emulator/emulated-back-end.ts
@@ -1,4 +1,4 @@
-/** What every emulated back end offers, in process; HTTP and the simulation are put around it. */
+/** The in-process interface of emulated back ends, used by the HTTP server and the simulation. */
 import type { CallId, ProgramId, ServiceName } from '../model/identifiers.js';
 import type {
   BackEndListener,
@@ -6,9 +6,9 @@
   BackEndReport,
   Fence,
 } from '../platform/back-end-port.js';
-import type { CacheUse } from './prefix-cache.js';
+import type { IdleMemory } from './prefix-cache.js';
 
-/** One order that began to run, as checkers see it. */
+/** A request that started to run, recorded for checkers. */
 export interface Execution {
   readonly call: CallId;
   readonly program: ProgramId;
@@ -18,42 +18,42 @@
   readonly at: number;
 }
 
-/** Totals of one back end, for reports. */
+/** Cumulative totals of one back end. */
 export interface BackEndTotals {
   readonly prefillTokens: number;
   readonly cachedTokens: number;
   readonly generatedTokens: number;
   readonly busyMilliseconds: number;
-  readonly use: CacheUse;
+  readonly idleMemory: IdleMemory;
 }
 
-/** An emulated back end. */
+/** An emulated back end, with the operations of `BackEndPort` for one engine. */
 export interface EmulatedBackEnd {
   readonly name: string;
-  start(order: BackEndRequest, listener: BackEndListener): void;
+  start(request: BackEndRequest, listener: BackEndListener): void;
   resume(call: CallId, fence: Fence, listener: BackEndListener): void;
   cancel(call: CallId): void;
   hold(program: ProgramId, milliseconds: number, fence: Fence): void;
   report(): BackEndReport;
-  /** Loses all work and memory; streams break. */
+  /** Drops all requests and cached prompts and fails open streams. */
   crash(): void;
-  /** Comes back empty. */
+  /** Accepts requests again after a crash, without any earlier state. */
   restart(): void;
-  /** Ends it for good, with its timers. */
+  /** Shuts the back end down for good and cancels its timers. */
   stop(): void;
   readonly isUp: boolean;
   readonly executions: readonly Execution[];
   totals(): BackEndTotals;
 }
 
-/** Terms seen of each shard; an order of a lower term is stale. */
+/** The highest term seen of each shard; requests of a lower term are stale. */
 export class FenceGuard {
   private readonly terms = new Map<number, number>();
 
-  /** Raises the fence; false when the order is stale. */
+  /** Records the fence's term; returns false when the request is stale. */
   admit(fence: Fence): boolean {
-    const known = this.terms.get(fence.shard) ?? 0;
-    if (fence.term < known) {
+    const highestTerm = this.terms.get(fence.shard) ?? 0;
+    if (fence.term < highestTerm) {
       return false;
     }
     this.terms.set(fence.shard, fence.term);
--- a/src/emulator/tool-model.ts
+++ b/src/emulator/tool-model.ts
@@ -1,4 +1,4 @@
-/** An emulated tool service runner: slow, hanging and failing calls, with effects that count. */
+/** An emulated runner of a tool service, with slow, hanging and failing calls. */
 import type { CallId } from '../model/identifiers.js';
 import { countTextTokens } from '../model/chat.js';
 import type { Usage } from '../model/call.js';
@@ -13,14 +13,14 @@
 import { FenceGuard } from './emulated-back-end.js';
 import type { BackEndTotals, EmulatedBackEnd, Execution } from './emulated-back-end.js';
 
-/** How an emulated tool performs. */
+/** Durations and failure rates of an emulated tool. */
 export interface ToolModelOptions {
   readonly name: string;
-  /** Median time of a call, in milliseconds. @default 60 */
+  /** Median duration of a call. @default 60 */
   readonly medianMilliseconds?: number;
-  /** Part of the calls that never answer. @default 0 */
+  /** Fraction of the calls that are never answered. @default 0 */
   readonly hangRate?: number;
-  /** Part of the calls that fail after they ran. @default 0 */
+  /** Fraction of the calls that fail after they ran. @default 0 */
   readonly failureRate?: number;
 }
 
@@ -33,13 +33,13 @@
   readonly usage: Usage;
 }
 
-const SPREAD = 0.5;
+const DURATION_SIGMA = 0.5;
 
-/** See the head of this file. */
+/** A tool runner that records every execution, so that checkers can find repeated effects. */
 export class ToolModel implements EmulatedBackEnd {
   readonly name: string;
   readonly executions: Execution[] = [];
-  /** While true, no call that begins is ever answered. */
+  /** While true, new calls are never answered. */
   hanging = false;
   private fences = new FenceGuard();
   private readonly running = new Map<CallId, ToolRun>();
@@ -57,17 +57,17 @@
     return this.up;
   }
 
-  start(order: BackEndRequest, listener: BackEndListener): void {
-    if (!this.up || !this.fences.admit(order.fence)) {
+  start(request: BackEndRequest, listener: BackEndListener): void {
+    if (!this.up || !this.fences.admit(request.fence)) {
       const detail = this.up ? 'stale order: a newer term is known' : 'connection refused';
       listener({ type: 'failed', verdict: 'NotRun', detail });
       return;
     }
-    if (this.running.has(order.call) || this.results.has(order.call)) {
-      this.resume(order.call, order.fence, listener);
+    if (this.running.has(request.call) || this.results.has(request.call)) {
+      this.resume(request.call, request.fence, listener);
       return;
     }
-    const { call, program, service, payload } = order;
+    const { call, program, service, payload } = request;
     this.executions.push({ call, program, service, engine: this.name, at: this.runtime.now() });
     const run: ToolRun = { listener };
     this.running.set(call, run);
@@ -76,7 +76,9 @@
       return;
     }
     const median = this.options.medianMilliseconds ?? 60;
-    this.runtime.setTimer(random.logNormal(median, SPREAD), () => this.finish(call, run, payload));
+    this.runtime.setTimer(random.logNormal(median, DURATION_SIGMA), () =>
+      this.finish(call, run, payload),
+    );
   }
 
   resume(call: CallId, fence: Fence, listener: BackEndListener): void {
@@ -100,7 +102,7 @@
   }
 
   hold(): void {
-    // A tool keeps no prompt memory.
+    // A tool has no prompt cache.
   }
 
   report(): BackEndReport {
@@ -135,8 +137,14 @@
   }
 
   totals(): BackEndTotals {
-    const use = { idle: 0, neverReused: 0, unusedStretches: 0 };
-    return { prefillTokens: 0, cachedTokens: 0, generatedTokens: 0, busyMilliseconds: 0, use };
+    const idleMemory = { idle: 0, neverReused: 0, unusedStretches: 0 };
+    return {
+      prefillTokens: 0,
+      cachedTokens: 0,
+      generatedTokens: 0,
+      busyMilliseconds: 0,
+      idleMemory,
+    };
   }
 
   private finish(call: CallId, run: ToolRun, payload: string): void {
--- a/src/gateway/chat-answer.ts
+++ b/src/gateway/chat-answer.ts
@@ -13,9 +13,9 @@
   };
 }
 
-/** Headers that name the call, its program and its place. */
-function identify(response: ServerResponse, request: CallRequest, answer?: Answer): void {
-  // A repeat is answered by the first call, and that is the one that can be looked up.
+/** Sets the headers that identify the call, its program and its sequence number. */
+function setCallHeaders(response: ServerResponse, request: CallRequest, answer?: Answer): void {
+  // A duplicate gets the answer of the original call, and only that call can be looked up.
   response.setHeader('ivyloom-call', answer?.call ?? request.call);
   response.setHeader('ivyloom-program', request.program);
   if (answer !== undefined) {
@@ -23,14 +23,14 @@
   }
 }
 
-/** Answers a chat call in one piece. */
+/** Sends the complete answer to a chat call. */
 export function sendChatAnswer(
   response: ServerResponse,
   request: CallRequest,
   created: number,
   answer: Answer,
 ): void {
-  identify(response, request, answer);
+  setCallHeaders(response, request, answer);
   const message = { role: 'assistant', content: answer.text, refusal: null };
   response.writeHead(200, { 'content-type': 'application/json' });
   response.end(
@@ -45,32 +45,32 @@
   );
 }
 
-/** Answers a tool call. */
+/** Sends the answer to a tool call. */
 export function sendToolAnswer(
   response: ServerResponse,
   request: CallRequest,
   answer: Answer,
 ): void {
-  identify(response, request, answer);
+  setCallHeaders(response, request, answer);
   response.writeHead(200, { 'content-type': 'application/json' });
   response.end(answer.text);
 }
 
-/** Streams a chat call's events to its caller; returns the listener of the events. */
+/** Streams a chat call to its caller; returns the listener for the call's events. */
 export function streamChat(
   response: ServerResponse,
   request: CallRequest,
   created: number,
 ): (event: CallEvent) => void {
-  let open = false;
-  const start = (): void => {
-    if (!open) {
-      open = true;
-      identify(response, request);
+  let headersSent = false;
+  const sendHeaders = (): void => {
+    if (!headersSent) {
+      headersSent = true;
+      setCallHeaders(response, request);
       response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-cache' });
     }
   };
-  const head = {
+  const chunkFields = {
     id: request.call,
     object: 'chat.completion.chunk',
     created,
@@ -81,16 +81,16 @@
   };
   return (event) => {
     if (event.type === 'piece') {
-      start();
+      sendHeaders();
       const delta = { role: 'assistant', content: event.text };
-      write({ ...head, choices: [{ index: 0, delta, finish_reason: null }] });
+      write({ ...chunkFields, choices: [{ index: 0, delta, finish_reason: null }] });
     } else if (event.type === 'answered') {
-      start();
+      sendHeaders();
       const choices = [{ index: 0, delta: {}, finish_reason: 'stop' }];
-      write({ ...head, choices, usage: usageBody(event.answer) });
+      write({ ...chunkFields, choices, usage: usageBody(event.answer) });
       response.end('data: [DONE]\n\n');
-    } else if (open) {
-      // The status is sent already: the error travels as an event, as OpenAI's own does.
+    } else if (headersSent) {
+      // The status has been sent already, so the error is sent as an event, as OpenAI does.
       write(problemOf(event.error, request.call));
       response.end();
     } else {
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway of one node: finds the owner of a call's program, relays the call's events to its
- * caller, and asks again wherever the owner has moved. Keeps nothing that must last.
+ * The gateway of one node: sends each call to the owner of its program's shard, relays the call's events
+ * to the caller, and sends the call again when the owner has changed. Has no durable state.
  */
 import type { CallId, NodeId, ProgramId, ShardId } from '../model/identifiers.js';
 import type { CallEvent, CallListener, CallRequest } from '../model/call.js';
@@ -19,20 +19,20 @@
   ProgramReply,
 } from '../wire/messages.js';
 
-/** Time between probes of owners, in milliseconds. */
-export const PROBE_MILLISECONDS = 1_000;
-/** Silence after which an owner is believed lost, in milliseconds. */
-const OWNER_SILENCE_MILLISECONDS = 2_700;
-/** Pause before a shard without a known leader is asked again, in milliseconds. */
-const RETRY_PAUSE_MILLISECONDS = 100;
-/** Time added to a caller's patience for the owner's own final answer to arrive, in milliseconds. */
+/** Time between probes of shard owners, in milliseconds. */
+export const PROBE_INTERVAL_MILLISECONDS = 1_000;
+/** Time without a message from a shard owner after which the owner is considered lost, in milliseconds. */
+const OWNER_TIMEOUT_MILLISECONDS = 2_700;
+/** Delay before retrying on a shard without a known leader, in milliseconds. */
+const RETRY_DELAY_MILLISECONDS = 100;
+/** Time added to a call's timeout so that the owner's final event can arrive, in milliseconds. */
 const DEADLINE_GRACE_MILLISECONDS = 1_500;
-/** Time a program request may take, in milliseconds. */
-const PROGRAM_REQUEST_MILLISECONDS = 8_000;
-/** Time after which a program request is sent again, in milliseconds. */
-const PROGRAM_RESEND_MILLISECONDS = 700;
+/** Timeout of a program request, in milliseconds. */
+const PROGRAM_REQUEST_TIMEOUT_MILLISECONDS = 8_000;
+/** Time after which an unanswered program request is sent again, in milliseconds. */
+const PROGRAM_RESEND_INTERVAL_MILLISECONDS = 700;
 
-/** What a gateway is made with. */
+/** Dependencies of a gateway. */
 export interface GatewayOptions {
   readonly runtime: Runtime;
   readonly map: ShardMap;
@@ -44,17 +44,17 @@
   readonly request: CallRequest;
   readonly listener: CallListener;
   readonly streaming: boolean;
-  /** Text the caller has been sent. */
-  received: string;
+  /** Text already delivered to the caller. */
+  deliveredText: string;
   owner: NodeId;
-  /** Times it was sent to an owner and not turned away for want of leadership. */
-  openSends: number;
-  /** When the owner last proved to know the call. */
-  heardAt: number;
+  /** Number of times that the call was sent and not answered by `notLeader`. */
+  outstandingSends: number;
+  /** Time at which the call was last sent, or at which its owner last showed that it tracks the call. */
+  lastContactAt: number;
   cancelDeadline: CancelTimer;
 }
 
-/** Result of a program request. */
+/** Result of a program request: an HTTP status and a JSON body. */
 export interface ProgramResult {
   readonly status: number;
   readonly body: string;
@@ -66,38 +66,40 @@
   readonly cancel: () => void;
 }
 
-/** See the head of this file. */
+/** Relays calls and program requests between this node's callers and the shard owners. */
 export class Gateway {
   private readonly calls = new Map<CallId, PendingCall>();
   private readonly programRequests = new Map<CallId, PendingProgramRequest>();
 
   constructor(private readonly options: GatewayOptions) {}
 
-  /** Calls whose callers wait here. */
+  /** Number of calls and program requests whose callers are waiting. */
   get pendingCount(): number {
     return this.calls.size + this.programRequests.size;
   }
 
-  /** Sends a call to its owner; the listener hears pieces (when streaming) and one end. */
+  /** Sends a call to its owner; the listener gets pieces (when streaming) and one final event. */
   submit(request: CallRequest, streaming: boolean, listener: CallListener): void {
     const { runtime } = this.options;
     const pending: PendingCall = {
       request,
       listener,
       streaming,
-      received: '',
+      deliveredText: '',
       owner: '',
-      openSends: 0,
-      heardAt: runtime.now(),
+      outstandingSends: 0,
+      lastContactAt: runtime.now(),
       cancelDeadline: () => undefined,
     };
     this.calls.set(request.call, pending);
-    const patience = request.timeoutMilliseconds + DEADLINE_GRACE_MILLISECONDS;
-    pending.cancelDeadline = runtime.setTimer(patience, () => this.passDeadline(pending));
+    const timeoutMilliseconds = request.timeoutMilliseconds + DEADLINE_GRACE_MILLISECONDS;
+    pending.cancelDeadline = runtime.setTimer(timeoutMilliseconds, () =>
+      this.failOnDeadline(pending),
+    );
     this.sendToOwner(pending);
   }
 
-  /** Forgets a call whose caller has gone; the call itself goes on. */
+  /** Stops relaying a call whose caller has disconnected; the call itself continues. */
   abandon(call: CallId): void {
     const pending = this.calls.get(call);
     if (pending !== undefined) {
@@ -106,7 +108,7 @@
     }
   }
 
-  /** Acts on, or reads, a program at its owner. `group` is empty for an operator. */
+  /** Reads or changes a program through its shard's leader. `group` is empty for an operator. */
   requestProgram(
     id: CallId,
     action: ProgramAction,
@@ -118,7 +120,7 @@
     this.requestShard(shard, id, action, program, group, listener);
   }
 
-  /** Sends a request to the leader of a shard; `subject` is what the action is about. */
+  /** Sends a request to a shard's leader; `subject` is the program or the call that it concerns. */
   requestShard(
     shard: ShardId,
     id: CallId,
@@ -136,9 +138,9 @@
       const message = { type: 'programRequest', shard, call: id, action, program, group } as const;
       this.options.send(target, message);
       cancelTimer();
-      cancelTimer = runtime.setTimer(PROGRAM_RESEND_MILLISECONDS, () => {
+      cancelTimer = runtime.setTimer(PROGRAM_RESEND_INTERVAL_MILLISECONDS, () => {
         leaders.suspect(shard, target);
-        if (runtime.now() - started < PROGRAM_REQUEST_MILLISECONDS) {
+        if (runtime.now() - started < PROGRAM_REQUEST_TIMEOUT_MILLISECONDS) {
           send();
         } else {
           this.finishProgramRequest(id, unavailableResult(action));
@@ -149,14 +151,14 @@
     send();
   }
 
-  /** Takes an event of a call. */
+  /** Handles an event of a call. */
   receiveEvent(from: NodeId, message: CallEventMessage): void {
     const pending = this.calls.get(message.call);
     if (pending === undefined) {
       return;
     }
     pending.owner = from;
-    pending.heardAt = this.options.runtime.now();
+    pending.lastContactAt = this.options.runtime.now();
     this.options.leaders.confirm(this.shardOf(pending), from);
     switch (message.event.type) {
       case 'piece':
@@ -164,20 +166,20 @@
       case 'answered':
         return this.receiveAnswer(pending, message.event);
       case 'failed':
-        return this.finish(pending, withCertainty(pending, message.event));
+        return this.finish(pending, adjustVerdict(pending, message.event));
     }
   }
 
-  /** Takes word that the asked node does not lead the shard. */
+  /** Handles a `notLeader` reply: sends the request again, after a delay if no leader is known. */
   receiveNotLeader(from: NodeId, message: NotLeader): void {
     const { leaders, runtime } = this.options;
     leaders.learn(message.shard, message.hint, from);
     const pending = this.calls.get(message.call);
     const request = this.programRequests.get(message.call);
-    const pause = message.hint === '' ? RETRY_PAUSE_MILLISECONDS : 0;
-    runtime.setTimer(pause, () => {
+    const delayMilliseconds = message.hint === '' ? RETRY_DELAY_MILLISECONDS : 0;
+    runtime.setTimer(delayMilliseconds, () => {
       if (pending !== undefined && this.calls.get(message.call) === pending) {
-        pending.openSends -= 1;
+        pending.outstandingSends -= 1;
         this.sendToOwner(pending);
       }
       if (request !== undefined && this.programRequests.get(message.call) === request) {
@@ -186,12 +188,12 @@
     });
   }
 
-  /** Takes the answer to a program request. */
+  /** Handles the reply to a program request. */
   receiveProgramReply(message: ProgramReply): void {
     this.finishProgramRequest(message.call, { status: message.status, body: message.body });
   }
 
-  /** Takes an owner's answer to a probe. */
+  /** Handles an owner's reply to a probe. */
   receiveProbeReply(from: NodeId, message: CallProbeReply): void {
     const now = this.options.runtime.now();
     const unknown = new Set(message.unknown);
@@ -203,23 +205,23 @@
       if (unknown.has(call)) {
         this.sendToOwner(pending);
       } else {
-        pending.heardAt = now;
+        pending.lastContactAt = now;
       }
     }
   }
 
-  /** Probes the owners of all pending calls and leaves those that are silent; once a second. */
+  /** Probes the owners of pending calls and sends calls of lost owners again; run once a second. */
   probe(): void {
     const now = this.options.runtime.now();
     const byOwner = new Map<NodeId, CallId[]>();
     for (const pending of this.calls.values()) {
-      if (now - pending.heardAt > OWNER_SILENCE_MILLISECONDS) {
+      if (now - pending.lastContactAt > OWNER_TIMEOUT_MILLISECONDS) {
         this.options.leaders.suspect(this.shardOf(pending), pending.owner);
         this.sendToOwner(pending);
         continue;
       }
-      if (now - pending.heardAt < PROBE_MILLISECONDS) {
-        // Its stream shows that the owner knows it.
+      if (now - pending.lastContactAt < PROBE_INTERVAL_MILLISECONDS) {
+        // A recent event shows that the owner tracks the call.
         continue;
       }
       const calls = byOwner.get(pending.owner) ?? [];
@@ -238,9 +240,9 @@
   private sendToOwner(pending: PendingCall): void {
     const shard = this.shardOf(pending);
     pending.owner = this.options.leaders.targetOf(shard);
-    pending.heardAt = this.options.runtime.now();
-    pending.openSends += 1;
-    const request = { ...pending.request, receivedText: pending.received };
+    pending.lastContactAt = this.options.runtime.now();
+    pending.outstandingSends += 1;
+    const request = { ...pending.request, receivedText: pending.deliveredText };
     this.options.send(pending.owner, { type: 'submitCall', shard, request });
   }
 
@@ -248,27 +250,27 @@
     if (!pending.streaming) {
       return;
     }
-    const { received } = pending;
-    if (event.offset > received.length) {
-      // A piece before this one was lost: the owner is asked for the stream from here on.
+    const { deliveredText } = pending;
+    if (event.offset > deliveredText.length) {
+      // An earlier piece was lost: the call is sent again to get the stream from the delivered text on.
       this.sendToOwner(pending);
       return;
     }
-    const fresh = event.text.slice(received.length - event.offset);
-    if (fresh === '') {
+    const newText = event.text.slice(deliveredText.length - event.offset);
+    if (newText === '') {
       return;
     }
-    pending.received += fresh;
-    pending.listener({ type: 'piece', offset: received.length, text: fresh });
+    pending.deliveredText += newText;
+    pending.listener({ type: 'piece', offset: deliveredText.length, text: newText });
   }
 
   private receiveAnswer(
     pending: PendingCall,
     event: Extract<CallEvent, { type: 'answered' }>,
   ): void {
-    const { received } = pending;
+    const { deliveredText } = pending;
     const { text, call } = event.answer;
-    if (!text.startsWith(received)) {
+    if (!text.startsWith(deliveredText)) {
       const detail = `The stream broke; the whole answer is at /v1/calls/${call}.`;
       this.finish(pending, {
         type: 'failed',
@@ -276,9 +278,9 @@
       });
       return;
     }
-    const rest = text.slice(received.length);
-    if (pending.streaming && rest !== '') {
-      pending.listener({ type: 'piece', offset: received.length, text: rest });
+    const remainingText = text.slice(deliveredText.length);
+    if (pending.streaming && remainingText !== '') {
+      pending.listener({ type: 'piece', offset: deliveredText.length, text: remainingText });
     }
     this.finish(pending, event);
   }
@@ -288,8 +290,8 @@
     pending.listener(event);
   }
 
-  private passDeadline(pending: PendingCall): void {
-    // The owner may have run it; only the owner could say that it did not.
+  private failOnDeadline(pending: PendingCall): void {
+    // Only the owner could rule out that the call has run.
     const detail = 'The call was not answered in time; ask again with the same sequence or key.';
     const error: CallError = { ...mayHaveRun('DeadlinePassed', detail), retryAfterSeconds: 1 };
     this.finish(pending, { type: 'failed', error });
@@ -307,14 +309,14 @@
 }
 
 /**
- * A refusal proves that a call did not run only when no other copy of it can still be on its way:
- * one that was sent twice may be taken by the owner that hears of it last.
+ * Changes the verdict `NotRun` to `MayHaveRun` if the call was sent more than once: another copy may
+ * still be in flight, and the owner that receives it may run the call.
  */
-function withCertainty(
+function adjustVerdict(
   pending: PendingCall,
   event: Extract<CallEvent, { type: 'failed' }>,
 ): CallEvent {
-  if (event.error.verdict !== 'NotRun' || pending.openSends <= 1) {
+  if (event.error.verdict !== 'NotRun' || pending.outstandingSends <= 1) {
     return event;
   }
   return { type: 'failed', error: { ...event.error, verdict: 'MayHaveRun' } };
@@ -322,7 +324,7 @@
 
 function unavailableResult(action: ProgramAction): ProgramResult {
   const detail = 'The program has no reachable owner at the moment.';
-  const reads = action === 'describe' || action === 'history' || action === 'findCall';
-  const error = reads ? notRun('Unavailable', detail, 2) : mayHaveRun('Unavailable', detail);
+  const isReadOnly = action === 'describe' || action === 'history' || action === 'findCall';
+  const error = isReadOnly ? notRun('Unavailable', detail, 2) : mayHaveRun('Unavailable', detail);
   return { status: 503, body: JSON.stringify({ error }) };
 }
--- a/src/gateway/http-body.ts
+++ b/src/gateway/http-body.ts
@@ -1,10 +1,10 @@
-/** Reads a request's body within a bound of bytes. */
+/** Reads request bodies of limited size. */
 import type { IncomingMessage } from 'node:http';
 import * as E from 'fp-ts/lib/Either.js';
 import { notRun } from '../model/verdict.js';
 import type { CallError } from '../model/verdict.js';
 
-/** Longest body a caller may send, in bytes. */
+/** Maximum size of a request body, in bytes. */
 export const MAXIMUM_BODY_BYTES = 8 * 1024 * 1024;
 
 function tooLarge(): CallError {
@@ -12,30 +12,30 @@
 }
 
 /**
- * The body as text, or why it cannot be had. Of a body beyond the bound nothing more is kept; the
- * answer closes the connection, since its rest may never end.
+ * Reads the body as text, or returns why that failed. The rest of a body that is too large is discarded;
+ * the error response closes the connection, since the body may never end.
  */
 export function readBody(request: IncomingMessage): Promise<E.Either<CallError, string>> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let length = 0;
-    const keep = (chunk: Buffer): void => {
+    const onData = (chunk: Buffer): void => {
       length += chunk.length;
       if (length > MAXIMUM_BODY_BYTES) {
-        request.off('data', keep);
+        request.off('data', onData);
         request.resume();
         resolve(E.left(tooLarge()));
         return;
       }
       chunks.push(chunk);
     };
-    request.on('data', keep);
+    request.on('data', onData);
     request.once('end', () => resolve(E.right(Buffer.concat(chunks).toString('utf8'))));
     request.once('error', () => resolve(E.left(notRun('Malformed', 'The body broke off.'))));
   });
 }
 
-/** The body as JSON, or why it cannot be had. */
+/** Reads the body as JSON, or returns why that failed. */
 export async function readJsonBody(
   request: IncomingMessage,
 ): Promise<E.Either<CallError, unknown>> {
--- a/src/gateway/http-front.ts
+++ b/src/gateway/http-front.ts
@@ -1,4 +1,4 @@
-/** The HTTP front of a node, for callers and operators: routing, authentication, bounds. */
+/** The HTTP server of a node, for callers and operators: routing, authentication, limits. */
 import { randomBytes } from 'node:crypto';
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -14,7 +14,7 @@
 import { runStatement } from '../language/run-statement.js';
 import { renderMetrics } from '../telemetry/metrics.js';
 import { authenticate, requireRole } from './authentication.js';
-import { nameCall, shardOfCallName } from './call-name.js';
+import { createCallId, shardOfCallId } from './call-id.js';
 import { parseChat, parseToolCall } from './call-parsing.js';
 import type { ParsedCall, ParsingContext } from './call-parsing.js';
 import { sendChatAnswer, sendToolAnswer, streamChat } from './chat-answer.js';
@@ -22,22 +22,22 @@
 import { sendProblem } from './problem.js';
 import type { ProgramResult } from './gateway.js';
 
-/** Most bytes of a request's headers. */
+/** Maximum size of a request's headers, in bytes. */
 const MAXIMUM_HEADER_BYTES = 16 * 1024;
-/** Time a client may take to send its headers, in milliseconds. */
-const HEADERS_MILLISECONDS = 10_000;
-/** Time a client may take to send its whole request, in milliseconds. */
-const REQUEST_MILLISECONDS = 60_000;
-/** Most connections at a time. */
+/** Timeout for receiving a request's headers, in milliseconds. */
+const HEADERS_TIMEOUT_MILLISECONDS = 10_000;
+/** Timeout for receiving a whole request, in milliseconds. */
+const REQUEST_TIMEOUT_MILLISECONDS = 60_000;
+/** Maximum number of open connections. */
 const MAXIMUM_CONNECTIONS = 20_000;
-/** Time between closings of idle connections while the front drains, in milliseconds. */
-const IDLE_CLOSE_MILLISECONDS = 100;
-/** Bytes of randomness in a name made here. */
+/** Time between closings of idle connections while the server drains, in milliseconds. */
+const IDLE_CLOSE_INTERVAL_MILLISECONDS = 100;
+/** Number of random bytes in a generated name. */
 const NAME_BYTES = 12;
 const FIRST_ERROR_STATUS = 400;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A request on its way through the front. */
+/** An authenticated request and its response. */
 interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -54,7 +54,7 @@
   response.end(typeof body === 'string' ? body : JSON.stringify(body));
 }
 
-/** See the head of this file. */
+/** Serves the HTTP interface of a node. */
 export class HttpFront {
   private readonly server: Server;
 
@@ -62,21 +62,21 @@
     this.server = createServer({ maxHeaderSize: MAXIMUM_HEADER_BYTES }, (request, response) => {
       this.serve(request, response).catch((cause: unknown) => this.fail(response, cause));
     });
-    this.server.headersTimeout = HEADERS_MILLISECONDS;
-    this.server.requestTimeout = REQUEST_MILLISECONDS;
+    this.server.headersTimeout = HEADERS_TIMEOUT_MILLISECONDS;
+    this.server.requestTimeout = REQUEST_TIMEOUT_MILLISECONDS;
     this.server.maxConnections = MAXIMUM_CONNECTIONS;
   }
 
-  /** Listens; calls back with the port. */
+  /** Starts listening; calls `done` with the port. */
   listen(host: string, port: number, done: (port: number) => void): void {
     this.server.listen(port, host, () => done((this.server.address() as AddressInfo).port));
   }
 
-  /** Takes no new connections; calls back when the last request has its answer. */
+  /** Stops accepting connections; calls `done` when the last response has been sent. */
   drain(done: () => void): void {
     const { runtime } = this.node.options;
-    // A connection becomes idle only when its answer is out, so this is done again and again.
-    const cancel = setRepeatingTimer(runtime, IDLE_CLOSE_MILLISECONDS, () =>
+    // A connection becomes idle only after its response, so idle connections are closed repeatedly.
+    const cancel = setRepeatingTimer(runtime, IDLE_CLOSE_INTERVAL_MILLISECONDS, () =>
       this.server.closeIdleConnections(),
     );
     this.server.close(() => {
@@ -86,7 +86,7 @@
     this.server.closeIdleConnections();
   }
 
-  /** Closes everything at once. */
+  /** Closes the server and all connections at once. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -109,7 +109,7 @@
     }
     const authenticated = authenticate(request, this.node.configuration.current);
     if (E.isLeft(authenticated)) {
-      // Until the configuration is known no key is: that is not the caller's fault.
+      // Without a configuration no key is known, so the caller's key may be valid.
       const error =
         this.node.configuration.current.revision === 0 ? notReady() : authenticated.left;
       request.resume();
@@ -143,13 +143,13 @@
     const [version, kind, name, action] = path;
     const route = `${request.method} /${version ?? ''}/${kind ?? ''}`;
     if (route === 'POST /v1/chat' && name === 'completions') {
-      return this.chat(exchange);
+      return this.completeChat(exchange);
     }
     if (route === 'POST /v1/services' && name !== undefined && action === 'calls') {
       return this.callTool(exchange, name);
     }
     if (route === 'POST /v1/operator' && name === 'statements') {
-      return this.operate(exchange);
+      return this.runOperatorStatement(exchange);
     }
     if (route === 'POST /v1/programs') {
       return this.openProgram(exchange);
@@ -173,11 +173,11 @@
       configuration: this.node.configuration.current,
       headers: exchange.request.headers,
       newName,
-      nameCall: (program) => nameCall(this.node.options.map, program, newName()),
+      createCallId: (program) => createCallId(this.node.options.map, program, newName()),
     };
   }
 
-  private async chat(exchange: Exchange): Promise<void> {
+  private async completeChat(exchange: Exchange): Promise<void> {
     const body = await readJsonBody(exchange.request);
     const parsed = pipe(
       requireRole(exchange.key, ['caller']),
@@ -230,7 +230,7 @@
 
   private actOnProgram(exchange: Exchange): void {
     const { request, response, path } = exchange;
-    // A sub-agent's name has slashes; the last segment may be the view that is asked for.
+    // A sub-agent's name contains slashes; the last path segment may select the history.
     const wantsHistory = path[path.length - 1] === 'history' && path.length > 3;
     const program = path.slice(2, wantsHistory ? -1 : undefined).join('/');
     request.resume();
@@ -253,7 +253,7 @@
   private lookUpCall(exchange: Exchange): void {
     const { request, response, path, key } = exchange;
     const call = path[2] ?? '';
-    const shard = shardOfCallName(this.node.options.map, call);
+    const shard = shardOfCallId(this.node.options.map, call);
     request.resume();
     if (shard === undefined) {
       sendProblem(response, notRun('NotFound', `${call} is not the name of a call.`));
@@ -271,7 +271,7 @@
     sendJson(response, 200, { object: 'list', data });
   }
 
-  private async operate(exchange: Exchange): Promise<void> {
+  private async runOperatorStatement(exchange: Exchange): Promise<void> {
     const { response, key } = exchange;
     const body = await readJsonBody(exchange.request);
     const statement = E.isRight(body) ? (body.right as { statement?: unknown })?.statement : '';
@@ -308,8 +308,8 @@
 }
 
 function sendProgramResult(response: ServerResponse, result: ProgramResult): void {
-  const refused = result.status >= FIRST_ERROR_STATUS;
-  const { error } = refused ? (JSON.parse(result.body) as { error?: CallError }) : {};
+  const isError = result.status >= FIRST_ERROR_STATUS;
+  const { error } = isError ? (JSON.parse(result.body) as { error?: CallError }) : {};
   if (error !== undefined) {
     sendProblem(response, error);
   } else {
--- a/src/histories/checkers.ts
+++ b/src/histories/checkers.ts
@@ -1,17 +1,16 @@
-/** Independent checkers of the ten promises; each reads a recorded run and names what broke. */
+/** Checkers of the ten invariants. Each reads only a recorded run and describes every violation in it. */
 import { digestConversation } from '../model/chat.js';
 import type { ChatMessage } from '../model/chat.js';
 import { expectedAnswer, expectedToolResult } from '../emulator/answer-text.js';
 import type { RecordedCall, RecordedHistory, RecordedRun } from './recorded-events.js';
 
-/** A promise that a run broke. */
+/** A violation of an invariant by a run. */
 export interface Violation {
-  readonly condition: ConditionName;
+  readonly condition: InvariantName;
   readonly detail: string;
 }
 
-/** Names of the promises. */
-export type ConditionName =
+export type InvariantName =
   | 'order'
   | 'history'
   | 'budget'
@@ -23,15 +22,15 @@
   | 'planned-stop'
   | 'configuration';
 
-/** A checker of one promise. */
+/** Checks one invariant and returns a description of each violation. */
 export type Checker = (run: RecordedRun) => string[];
 
-/** Time in which a leaving back end must have stopped receiving work, in milliseconds. */
-const LEAVING_MILLISECONDS = 5_000;
-/** Time in which an accepted change must be in force, in milliseconds. */
-const IN_FORCE_MILLISECONDS = 12_000;
+/** Time after the drain command from which a back end must receive no new work. */
+const DRAIN_DEADLINE_MILLISECONDS = 5_000;
+/** Time within which an accepted change must be in force at every node. */
+const APPLY_DEADLINE_MILLISECONDS = 12_000;
 
-function byProgram<Item extends { readonly program: string }>(
+function groupByProgram<Item extends { readonly program: string }>(
   items: readonly Item[],
 ): Map<string, Item[]> {
   const groups = new Map<string, Item[]>();
@@ -46,11 +45,11 @@
   return groups;
 }
 
-/** The calls of one program run in the order the program issued them. */
+/** The calls of a program run in the order of their sequence numbers. */
 export const checkOrder: Checker = (run) => {
   const sequences = new Map(run.calls.map((call) => [call.call, call.sequence]));
   const violations: string[] = [];
-  for (const [program, executions] of byProgram(run.executions)) {
+  for (const [program, executions] of groupByProgram(run.executions)) {
     let newest = 0;
     for (const execution of [...executions].sort((left, right) => left.at - right.at)) {
       const sequence = sequences.get(execution.call) ?? 0;
@@ -63,71 +62,74 @@
   return violations;
 };
 
-function answeredCall(calls: readonly RecordedCall[], sequence: number): RecordedCall | undefined {
+function findAnsweredCall(
+  calls: readonly RecordedCall[],
+  sequence: number,
+): RecordedCall | undefined {
   return calls.find((call) => call.sequence === sequence && call.result.type === 'answered');
 }
 
-/** True when a history continues at a place with these messages and an answer. */
+/** Whether the messages, followed by an answer, stand in the history at an offset. */
 function continuesWith(
   history: readonly ChatMessage[],
-  place: number,
+  offset: number,
   messages: readonly ChatMessage[],
 ): boolean {
-  const here = history.slice(place, place + messages.length);
-  const same = here.every(
+  const actual = history.slice(offset, offset + messages.length);
+  const isSame = actual.every(
     (message, index) =>
       message.role === messages[index]?.role && message.content === messages[index]?.content,
   );
-  const answer = history[place + messages.length];
-  return same && here.length === messages.length && answer?.role === 'assistant';
+  const answer = history[offset + messages.length];
+  return isSame && actual.length === messages.length && answer?.role === 'assistant';
 }
 
-function checkOneHistory(recorded: RecordedHistory, calls: readonly RecordedCall[]): string[] {
+function checkProgramHistory(recorded: RecordedHistory, calls: readonly RecordedCall[]): string[] {
   const { program, history, historyDigest } = recorded;
   if (digestConversation(history) !== historyDigest) {
     return [`${program}: the digest does not match the history`];
   }
   const violations: string[] = [];
   const chats = calls.filter((call) => call.kind === 'chat');
-  const last = Math.max(0, ...chats.map((call) => call.sequence));
-  let place = 0;
-  for (let sequence = 1; sequence <= last; sequence += 1) {
-    const tries = chats.filter((call) => call.sequence === sequence);
-    const first = tries[0];
+  const lastSequence = Math.max(0, ...chats.map((call) => call.sequence));
+  let offset = 0;
+  for (let sequence = 1; sequence <= lastSequence; sequence += 1) {
+    const attempts = chats.filter((call) => call.sequence === sequence);
+    const first = attempts[0];
     if (first === undefined) {
       continue;
     }
-    const present = continuesWith(history, place, first.messages);
-    const answered = answeredCall(chats, sequence);
-    if (answered !== undefined && !present) {
+    const isPresent = continuesWith(history, offset, first.messages);
+    const answered = findAnsweredCall(chats, sequence);
+    if (answered !== undefined && !isPresent) {
       violations.push(`${program}: call ${sequence} was answered and is not in the history`);
     }
-    if (present) {
-      const answer = history[place + first.messages.length]?.content;
+    if (isPresent) {
+      const answer = history[offset + first.messages.length]?.content;
       const { result } = answered ?? first;
       if (result.type === 'answered' && result.text !== answer) {
         violations.push(`${program}: the history has another answer to call ${sequence}`);
       }
-      place += first.messages.length + 1;
+      offset += first.messages.length + 1;
     }
   }
-  if (place !== history.length) {
-    violations.push(`${program}: ${history.length - place} messages belong to no call of it`);
+  if (offset !== history.length) {
+    violations.push(`${program}: ${history.length - offset} messages belong to no call of it`);
   }
   return violations;
 }
 
-/** A program's history is never lost and never mixed with another's. */
+/** The history of a program is never lost and never mixed with that of another. */
 export const checkHistory: Checker = (run) => {
-  const calls = byProgram(run.calls);
-  const lost = run.unreadable.map((program) => `${program}: the history could not be read`);
+  const calls = groupByProgram(run.calls);
+  const lost = run.unreadablePrograms.map((program) => `${program}: the history could not be read`);
   const wrong = run.histories.flatMap((history) =>
-    checkOneHistory(history, calls.get(history.program) ?? []),
+    checkProgramHistory(history, calls.get(history.program) ?? []),
   );
   return [...lost, ...wrong];
 };
 
-/** A group's budget is never exceeded. */
+/** No group exceeds its token budget, and every answered token is accounted for. */
 export const checkBudget: Checker = (run) =>
   run.accounts.flatMap((account) => {
     const { group, budget, granted, spent, reserved } = account;
@@ -155,7 +157,7 @@
     return violations;
   });
 
-/** Engine memory held for a program that is gone is given back. */
+/** Engines release the memory that they held for programs that have ended. */
 export const checkMemory: Checker = (run) => {
   const ended = new Set(run.endedPrograms);
   return run.holds
@@ -163,10 +165,10 @@
     .map((hold) => `${hold.engine} still holds memory of ${hold.program}`);
 };
 
-/** A caller receives the whole answer to its own request. */
+/** A caller receives the complete answer to its own request. */
 export const checkAnswer: Checker = (run) => {
   const violations: string[] = [];
-  for (const [program, calls] of byProgram(run.calls)) {
+  for (const [program, calls] of groupByProgram(run.calls)) {
     const history = run.histories.find((recorded) => recorded.program === program)?.history;
     const chats = calls.filter((call) => call.kind === 'chat');
     for (const call of calls) {
@@ -188,47 +190,47 @@
   return violations;
 };
 
-/** The answer that follows from the conversation before a call, as the history has it. */
+/** The answer that the emulator gives to the recorded conversation up to a call; undefined if the history lacks the call. */
 function expectedChatAnswer(
   call: RecordedCall,
   chats: readonly RecordedCall[],
   history: readonly ChatMessage[] | undefined,
 ): string | undefined {
   const first = call.messages[0];
-  const place = history?.findIndex((message) => message.content === first?.content) ?? -1;
-  if (history === undefined || place < 0 || chats.length === 0) {
+  const position = history?.findIndex((message) => message.content === first?.content) ?? -1;
+  if (history === undefined || position < 0 || chats.length === 0) {
     return undefined;
   }
-  const conversation = history.slice(0, place + call.messages.length);
+  const conversation = history.slice(0, position + call.messages.length);
   return expectedAnswer(conversation, call.maximumTokens);
 }
 
-/** What is reported as "not run" did not run. */
+/** A call that is reported as "not run" was not executed. */
 export const checkNotRun: Checker = (run) => {
-  const ran = new Set(run.executions.map((execution) => execution.call));
+  const executedCalls = new Set(run.executions.map((execution) => execution.call));
   return run.calls
     .filter((call) => call.result.type === 'failed' && call.result.error.verdict === 'NotRun')
-    .filter((call) => ran.has(call.call))
+    .filter((call) => executedCalls.has(call.call))
     .map((call) => `${call.program}: call ${call.sequence} was reported as not run, yet it ran`);
 };
 
-/** A request marked as not repeatable runs at most once. */
+/** A call that is not repeatable runs at most once over all of its attempts. */
 export const checkAtMostOnce: Checker = (run) => {
   const calls = new Map(run.calls.map((call) => [call.call, call]));
-  const runs = new Map<string, number>();
+  const executionCounts = new Map<string, number>();
   for (const execution of run.executions) {
     const call = calls.get(execution.call);
     if (call !== undefined && !call.repeatable) {
       const key = `${call.program}:${call.sequence}`;
-      runs.set(key, (runs.get(key) ?? 0) + 1);
+      executionCounts.set(key, (executionCounts.get(key) ?? 0) + 1);
     }
   }
-  return [...runs]
+  return [...executionCounts]
     .filter(([, count]) => count > 1)
     .map(([key, count]) => `${key} is not repeatable and ran ${count} times`);
 };
 
-/** A back end that is leaving receives no new work after a few seconds. */
+/** A draining back end receives no new work from the deadline until it is resumed. */
 export const checkLeavingBackEnd: Checker = (run) =>
   run.changes.flatMap((change) => {
     if (change.drains === '') {
@@ -237,7 +239,7 @@
     const resumed = run.changes.find(
       (other) => other.resumes === change.drains && other.revision > change.revision,
     );
-    const from = change.at + LEAVING_MILLISECONDS;
+    const from = change.at + DRAIN_DEADLINE_MILLISECONDS;
     const until = resumed?.issuedAt ?? Infinity;
     return run.executions
       .filter((execution) => execution.engine === change.drains)
@@ -245,7 +247,7 @@
       .map((execution) => `${change.drains} got ${execution.call} while it was leaving`);
   });
 
-/** A planned stop cuts no request in flight. */
+/** A planned stop breaks no call in flight. */
 export const checkPlannedStop: Checker = (run) =>
   run.stops
     .filter((stop) => !stop.interrupted)
@@ -258,7 +260,7 @@
         ),
     );
 
-/** An accepted configuration is in force everywhere within seconds and never reverts. */
+/** An accepted configuration is in force at every live node by the deadline and is never reverted. */
 export const checkConfiguration: Checker = (run) => {
   const violations: string[] = [];
   for (const node of new Set(run.revisions.map((revision) => revision.node))) {
@@ -270,26 +272,26 @@
       }
     });
     if (run.livingNodes.includes(node)) {
-      violations.push(...lateChanges(run, node));
+      violations.push(...findLateChanges(run, node));
     }
   }
   return violations;
 };
 
-function lateChanges(run: RecordedRun, node: string): string[] {
-  const calmFrom = Math.max(0, ...run.disturbances.map((disturbance) => disturbance.until));
+function findLateChanges(run: RecordedRun, node: string): string[] {
+  const faultsEndedAt = Math.max(0, ...run.faultIntervals.map((interval) => interval.until));
   return run.changes.flatMap((change) => {
-    const due = Math.max(change.at, calmFrom) + IN_FORCE_MILLISECONDS;
+    const deadline = Math.max(change.at, faultsEndedAt) + APPLY_DEADLINE_MILLISECONDS;
     const inForce = run.revisions.find(
       (revision) => revision.node === node && revision.revision >= change.revision,
     );
-    const late = due < run.endedAt && (inForce === undefined || inForce.at > due);
-    return late ? [`${node} had revision ${change.revision} not in force in time`] : [];
+    const isLate = deadline < run.endedAt && (inForce === undefined || inForce.at > deadline);
+    return isLate ? [`${node} had revision ${change.revision} not in force in time`] : [];
   });
 }
 
-/** Every promise with its checker. */
-export const CHECKERS: Readonly<Record<ConditionName, Checker>> = {
+/** The checker of each invariant. */
+export const CHECKERS: Readonly<Record<InvariantName, Checker>> = {
   order: checkOrder,
   history: checkHistory,
   budget: checkBudget,
@@ -302,9 +304,9 @@
   configuration: checkConfiguration,
 };
 
-/** Checks every promise. */
+/** Runs all checkers on a recorded run. */
 export function checkRun(run: RecordedRun): Violation[] {
   return Object.entries(CHECKERS).flatMap(([condition, check]) =>
-    check(run).map((detail) => ({ condition: condition as ConditionName, detail })),
+    check(run).map((detail) => ({ condition: condition as InvariantName, detail })),
   );
 }
--- a/src/histories/history-caller.ts
+++ b/src/histories/history-caller.ts
@@ -1,100 +1,99 @@
-/** A caller of a history: runs one program, repeats what it may, and records what it saw. */
+/** Simulated client that runs one program, retries its calls and records the outcomes. */
 import type { CallEvent, CallRequest } from '../model/call.js';
 import type { Runtime } from '../runtime/runtime.js';
 import type { SimulatedCluster } from '../simulation/simulated-cluster.js';
-import type { ConnectionOrder, NetworkEnd } from '../simulation/simulated-network.js';
+import type { ConnectionOrder, NetworkEndpoint } from '../simulation/simulated-network.js';
 import type { RecordedCall, RecordedRun } from './recorded-events.js';
 
-/** One call that a caller will make. */
+/** A call in the plan of a program. */
 export interface PlannedCall {
   readonly service: string;
   readonly kind: 'chat' | 'tool';
   readonly repeatable: boolean;
   readonly streaming: boolean;
   readonly text: string;
+  /** Pause before the first attempt. */
   readonly pauseMilliseconds: number;
 }
 
-/** A program that a caller will run. */
+/** A program and its calls in order. */
 export interface PlannedProgram {
   readonly program: string;
   readonly group: string;
   readonly calls: readonly PlannedCall[];
 }
 
-/** What a caller is made with. */
 export interface HistoryCallerOptions {
   readonly cluster: SimulatedCluster;
   readonly run: RecordedRun;
-  readonly end: NetworkEnd;
+  readonly endpoint: NetworkEndpoint;
   readonly runtime: Runtime;
   readonly plan: PlannedProgram;
-  readonly done: () => void;
+  readonly onDone: () => void;
 }
 
 const TIMEOUT_MILLISECONDS = 15_000;
-const MAXIMUM_TRIES = 12;
-const RETRY_MILLISECONDS = 400;
+const MAXIMUM_ATTEMPTS = 12;
+const RETRY_DELAY_MILLISECONDS = 400;
 const MAXIMUM_ANSWER_TOKENS = 48;
 
-/** See the head of this file. */
+/** Runs the calls of one program one after another, each with retries over random nodes. */
 export class HistoryCaller {
-  private made = 0;
+  private sentCount = 0;
 
   constructor(private readonly options: HistoryCallerOptions) {}
 
-  /** Begins with the first call. */
   start(): void {
     this.runCall(0, 1);
   }
 
-  private runCall(index: number, tries: number): void {
-    const { plan, runtime, done } = this.options;
+  private runCall(index: number, attempt: number): void {
+    const { plan, runtime, onDone } = this.options;
     const planned = plan.calls[index];
     if (planned === undefined) {
       this.endProgram();
-      done();
+      onDone();
       return;
     }
-    const pause = tries === 1 ? planned.pauseMilliseconds : RETRY_MILLISECONDS;
+    const pause = attempt === 1 ? planned.pauseMilliseconds : RETRY_DELAY_MILLISECONDS;
     runtime.setTimer(pause, () => {
-      this.send(planned, index + 1, (call) => this.afterCall(index, tries, call));
+      this.send(planned, index + 1, (call) => this.afterCall(index, attempt, call));
     });
   }
 
-  private afterCall(index: number, tries: number, call: RecordedCall): void {
+  private afterCall(index: number, attempt: number, call: RecordedCall): void {
     const { result } = call;
-    const { done } = this.options;
+    const { onDone } = this.options;
     if (result.type === 'answered') {
       this.runCall(index + 1, 1);
       return;
     }
-    const final =
+    const isFinal =
       result.type === 'failed' &&
       ['BudgetSpent', 'Stopped', 'Forbidden'].includes(result.error.tag);
-    if (final || tries >= MAXIMUM_TRIES) {
-      done();
+    if (isFinal || attempt >= MAXIMUM_ATTEMPTS) {
+      onDone();
       return;
     }
-    // The sequence makes a repeat safe, whatever became of the try before.
-    const recorded = result.type === 'failed' && result.error.verdict !== 'NotRun';
-    if (recorded && !call.repeatable && tries > 3) {
+    // Retries are safe whatever happened to the attempt before: nodes detect duplicates by sequence number.
+    const mayHaveRun = result.type === 'failed' && result.error.verdict !== 'NotRun';
+    if (mayHaveRun && !call.repeatable && attempt > 3) {
       this.runCall(index + 1, 1);
       return;
     }
-    this.runCall(index, tries + 1);
+    this.runCall(index, attempt + 1);
   }
 
   private send(planned: PlannedCall, sequence: number, done: (call: RecordedCall) => void): void {
-    const { cluster, run, end, runtime } = this.options;
+    const { cluster, run, endpoint, runtime } = this.options;
     const node = runtime.random.pick(cluster.nodeNames);
-    this.made += 1;
-    const request = this.requestOf(planned, sequence);
+    this.sentCount += 1;
+    const request = this.createRequest(planned, sequence);
     const call = createRecord(request, planned, node, cluster.clock.now);
     run.calls.push(call);
-    const target = cluster.endOf(node);
-    const asking: ConnectionOrder = { lastArrival: 0 };
-    const answering: ConnectionOrder = { lastArrival: 0 };
+    const target = cluster.endpointOf(node);
+    const requestOrder: ConnectionOrder = { lastArrival: 0 };
+    const responseOrder: ConnectionOrder = { lastArrival: 0 };
     const settle = (result: RecordedCall['result']): void => {
       if (call.result.type === 'pending') {
         call.result = result;
@@ -102,57 +101,57 @@
         done(call);
       }
     };
-    const broken = (): void => settle({ type: 'broken' });
-    runtime.setTimer(2 * TIMEOUT_MILLISECONDS, broken);
+    const settleBroken = (): void => settle({ type: 'broken' });
+    runtime.setTimer(2 * TIMEOUT_MILLISECONDS, settleBroken);
     cluster.network.deliverInOrder(
-      asking,
-      end,
+      requestOrder,
+      endpoint,
       target,
       () => {
-        this.watchConnection(node, call, answering, broken);
-        // A leaving node has closed its listening socket after a while.
-        if (cluster.node(node)?.takesConnections === false) {
-          settle({ type: 'failed', error: refusedConnection() });
+        this.watchConnection(node, call, responseOrder, settleBroken);
+        // A stopping node closes its listening socket before its process ends.
+        if (cluster.node(node)?.acceptsConnections === false) {
+          settle({ type: 'failed', error: connectionRefusedError() });
           return;
         }
         const gateway = cluster.node(node)?.gateway;
-        const relay = (event: CallEvent): void =>
+        const forwardEvent = (event: CallEvent): void =>
           cluster.network.deliverInOrder(
-            answering,
+            responseOrder,
             target,
-            end,
+            endpoint,
             () => this.receive(call, event, settle),
-            broken,
+            settleBroken,
           );
-        gateway?.submit(request, planned.streaming, relay);
+        gateway?.submit(request, planned.streaming, forwardEvent);
       },
-      // Nothing was sent: the connection was refused.
-      () => settle({ type: 'failed', error: refusedConnection() }),
+      // The request never arrived: the connection was refused.
+      () => settle({ type: 'failed', error: connectionRefusedError() }),
     );
   }
 
-  /** A connection to a process that dies breaks; the caller sees it. */
+  /** Reports a broken connection once the process at its other end is gone. */
   private watchConnection(
     node: string,
     call: RecordedCall,
-    answering: ConnectionOrder,
-    broken: () => void,
+    responseOrder: ConnectionOrder,
+    settleBroken: () => void,
   ): void {
     const { cluster, runtime } = this.options;
-    const life = cluster.node(node);
-    const look = (): void => {
+    const instance = cluster.node(node);
+    const poll = (): void => {
       if (call.result.type !== 'pending') {
         return;
       }
-      // The end of a connection arrives behind what was sent on it.
-      const allArrived = cluster.clock.now > answering.lastArrival;
-      if (allArrived && cluster.node(node) !== life) {
-        broken();
+      // The connection ends only after everything that was sent on it has arrived.
+      const allArrived = cluster.clock.now > responseOrder.lastArrival;
+      if (allArrived && cluster.node(node) !== instance) {
+        settleBroken();
         return;
       }
-      runtime.setTimer(100, look);
+      runtime.setTimer(100, poll);
     };
-    runtime.setTimer(100, look);
+    runtime.setTimer(100, poll);
   }
 
   private receive(
@@ -170,11 +169,11 @@
     }
   }
 
-  private requestOf(planned: PlannedCall, sequence: number): CallRequest {
+  private createRequest(planned: PlannedCall, sequence: number): CallRequest {
     const { plan } = this.options;
     const chat = planned.kind === 'chat';
     return {
-      call: `c-${plan.program}-${this.made}`,
+      call: `c-${plan.program}-${this.sentCount}`,
       program: plan.program,
       group: plan.group,
       service: planned.service,
@@ -203,7 +202,7 @@
   }
 }
 
-function refusedConnection(): {
+function connectionRefusedError(): {
   tag: 'Unavailable';
   verdict: 'NotRun';
   detail: string;
--- a/src/language/evaluate-rows.ts
+++ b/src/language/evaluate-rows.ts
@@ -1,4 +1,4 @@
-/** Filters, groups, orders and limits rows as a `show` asks. */
+/** Evaluates a `show` statement over rows: filter, group, order, limit. */
 import type { Row, RowValue } from '../node/row-collector.js';
 import type { Aggregate, Condition, ShowStatement } from './statement.js';
 
@@ -11,7 +11,7 @@
   return String(left ?? '') < String(right) ? -1 : String(left ?? '') === String(right) ? 0 : 1;
 }
 
-function isLike(value: string, pattern: string): boolean {
+function matchesPattern(value: string, pattern: string): boolean {
   const escaped = pattern.replace(/[.*+?^${}()|[\]\\]/g, '\\$&').replace(/%/g, '.*');
   return new RegExp(`^${escaped}$`, 'i').test(value);
 }
@@ -33,11 +33,11 @@
     case '>=':
       return order >= 0;
     case 'like':
-      return isLike(String(value ?? ''), String(condition.value));
+      return matchesPattern(String(value ?? ''), String(condition.value));
   }
 }
 
-/** Name of an aggregate's column. */
+/** Name of the result column of an aggregate: `sum(tokens)` gives `sum_tokens`, `count(*)` gives `count`. */
 export function aggregateName(aggregate: Aggregate): string {
   return aggregate.column === '' ? aggregate.function : `${aggregate.function}_${aggregate.column}`;
 }
@@ -82,19 +82,19 @@
   });
 }
 
-/** The rows a `show` answers with. */
+/** Returns the result rows of a `show` statement. */
 export function evaluateShow(rows: readonly Row[], statement: ShowStatement): Row[] {
-  const kept = rows.filter((row) =>
+  const matchingRows = rows.filter((row) =>
     statement.conditions.every((condition) => satisfies(row, condition)),
   );
   const grouping = statement.groupBy.length > 0 || statement.aggregates.length > 0;
-  const shaped = grouping ? groupRows(kept, statement) : [...kept];
+  const resultRows = grouping ? groupRows(matchingRows, statement) : [...matchingRows];
   const { orderBy } = statement;
   if (orderBy !== undefined) {
     const direction = orderBy.descending ? -1 : 1;
-    shaped.sort(
+    resultRows.sort(
       (left, right) => direction * compare(left[orderBy.column], right[orderBy.column] ?? ''),
     );
   }
-  return statement.limit === undefined ? shaped : shaped.slice(0, statement.limit);
+  return statement.limit === undefined ? resultRows : resultRows.slice(0, statement.limit);
 }
--- a/src/language/parse-statement.ts
+++ b/src/language/parse-statement.ts
@@ -1,4 +1,4 @@
-/** The grammar of the operators' language, and errors that point at the character. */
+/** Grammar of the operators' query language. Syntax errors carry the offset of the offending character. */
 import { EmbeddedActionsParser, EOF, tokenMatcher } from 'chevrotain';
 import type { IToken, TokenType } from 'chevrotain';
 import * as E from 'fp-ts/lib/Either.js';
@@ -15,20 +15,20 @@
 import { closestWord } from './suggest.js';
 import {
   ALL_TOKENS,
-  Close,
+  CloseParenthesis,
   Comma,
   Comparator,
   DigitName,
   KEYWORDS,
   Name,
-  Open,
+  OpenParenthesis,
   Quantity,
   Star,
   statementLexer,
   Text,
 } from './tokens.js';
 
-/** Words a statement may start with. */
+/** Keywords that a statement may start with. */
 export const STATEMENT_WORDS = [
   'show',
   'set',
@@ -40,16 +40,16 @@
   'explain',
 ] as const;
 
-/** What is wrong with a statement, and where. */
+/** A syntax error. */
 export interface StatementError {
   readonly message: string;
-  /** Place of the offending character, from 0. */
+  /** Offset of the offending character, from 0. */
   readonly offset: number;
 }
 
 const MULTIPLIERS: Readonly<Record<string, number>> = { k: 1e3, M: 1e6, G: 1e9 };
 
-function readQuantity(image: string): number {
+function parseQuantity(image: string): number {
   const unit = image.slice(-1);
   const multiplier = MULTIPLIERS[unit];
   return multiplier === undefined ? Number(image) : Number(image.slice(0, -1)) * multiplier;
@@ -59,7 +59,7 @@
   return image.slice(1, -1).replace(/\\(.)/g, '$1');
 }
 
-/** While the grammar is recorded, alternatives have no token. */
+/** Text of a token; empty while chevrotain records the grammar, since alternatives have no token then. */
 function imageOf(token: IToken | undefined): string {
   return token?.image ?? '';
 }
@@ -121,7 +121,7 @@
     });
     this.OPTION6(() => {
       this.CONSUME(KEYWORDS.limit);
-      limit = readQuantity(this.CONSUME(Quantity).image);
+      limit = parseQuantity(this.CONSUME(Quantity).image);
     });
     return {
       type: 'show',
@@ -153,11 +153,11 @@
         { ALT: () => this.CONSUME(KEYWORDS.p95) },
       ]),
     );
-    this.CONSUME(Open);
+    this.CONSUME(OpenParenthesis);
     const column = imageOf(
       this.OR2<IToken>([{ ALT: () => this.CONSUME(Star) }, { ALT: () => this.CONSUME(Name) }]),
     );
-    this.CONSUME(Close);
+    this.CONSUME(CloseParenthesis);
     return { function: name as Aggregate['function'], column: column === '*' ? '' : column };
   });
 
@@ -175,7 +175,7 @@
 
   private readonly value = this.RULE('value', (): RowValue =>
     this.OR<RowValue>([
-      { ALT: () => readQuantity(this.CONSUME(Quantity).image) },
+      { ALT: () => parseQuantity(this.CONSUME(Quantity).image) },
       { ALT: () => unquote(this.CONSUME(Text).image) },
       { ALT: () => this.CONSUME(DigitName).image },
       {
@@ -280,7 +280,7 @@
   return `Unexpected ${place}; the statement is understood up to there.`;
 }
 
-/** Understands a statement, or says what is wrong and where. */
+/** Parses a statement. */
 export function parseStatement(text: string): E.Either<StatementError, Statement> {
   const lexed = statementLexer.tokenize(text);
   const badCharacter = lexed.errors[0];
--- a/src/language/run-statement.ts
+++ b/src/language/run-statement.ts
@@ -1,4 +1,4 @@
-/** Runs one statement of an operator on a node and answers with rows, verdict and revision. */
+/** Runs an operator's statement on a node and returns its rows, verdict and revision. */
 import * as E from 'fp-ts/lib/Either.js';
 import { notRun } from '../model/verdict.js';
 import type { CallError, Verdict } from '../model/verdict.js';
@@ -15,40 +15,40 @@
 
 const FIRST_ERROR_STATUS = 400;
 
-/** Who runs a statement. */
+/** The operator that runs a statement. */
 export interface Operator {
   readonly name: string;
   /** False for a viewer. */
   readonly mayChange: boolean;
 }
 
-/** Where a change stands on the nodes. */
+/** Progress of a configuration change across the nodes. */
 export interface InForceState {
-  /** Nodes that have the revision in force. */
+  /** Number of nodes that have the revision in force. */
   readonly acknowledged: number;
   readonly total: number;
   readonly missing: readonly string[];
 }
 
-/** Answer to a statement. */
+/** Result of a statement. */
 export interface StatementResult {
   readonly columns: readonly string[];
   readonly rows: readonly Row[];
-  /** Nodes whose rows are missing. */
+  /** Nodes that did not answer, whose rows are missing. */
   readonly unreachable: readonly string[];
-  /** For a command: that it was carried out. */
+  /** `Ran` for a command that was carried out; undefined for a query. */
   readonly verdict?: Verdict;
-  /** For a change of configuration: the revision that has it. */
+  /** Revision that contains a configuration change. */
   readonly revision?: number;
   readonly inForce?: InForceState;
-  /** Something to be shown once, such as a new key. */
+  /** A new API key, which is shown only once. */
   readonly secret?: string;
 }
 
-/** Receives the answer, once. */
+/** Receives the result, once. */
 export type StatementListener = (result: E.Either<CallError, StatementResult>) => void;
 
-/** Runs a statement; `id` names it among changes. */
+/** Parses and runs a statement; `id` identifies the change that it makes. */
 export function runStatement(
   node: IvyloomNode,
   text: string,
@@ -64,15 +64,15 @@
     return;
   }
   const statement = parsed.right;
-  const changes = statement.type !== 'show' && statement.type !== 'explain';
-  if (changes && !operator.mayChange) {
+  const isChange = statement.type !== 'show' && statement.type !== 'explain';
+  if (isChange && !operator.mayChange) {
     listener(E.left(notRun('Forbidden', 'A viewer may only show and explain.')));
     return;
   }
   execute(node, statement, { text, operator, id }, listener);
 }
 
-interface Origin {
+interface StatementOrigin {
   readonly text: string;
   readonly operator: Operator;
   readonly id: string;
@@ -81,7 +81,7 @@
 function execute(
   node: IvyloomNode,
   statement: Statement,
-  origin: Origin,
+  origin: StatementOrigin,
   listener: StatementListener,
 ): void {
   switch (statement.type) {
@@ -90,9 +90,9 @@
     case 'explain':
       return statement.subject === 'call'
         ? explainCall(node, statement.name, listener)
-        : describeProgram(node, 'describe', statement.name, origin.id, listener);
+        : requestProgramAction(node, 'describe', statement.name, origin.id, listener);
     case 'stop':
-      return describeProgram(node, 'stop', statement.program, origin.id, listener);
+      return requestProgramAction(node, 'stop', statement.program, origin.id, listener);
     default:
       return changeConfiguration(
         node,
@@ -103,23 +103,23 @@
   }
 }
 
-function unknownColumn(statement: ShowStatement): string | undefined {
+function describeUnknownColumn(statement: ShowStatement): string | undefined {
   const table = findTable(statement.table);
   const known = (table?.columns ?? []).map((column) => column.name);
   const aggregates = statement.aggregates.map(aggregateName);
-  const mentioned = [
+  const referenced = [
     ...statement.conditions.map((condition) => condition.column),
     ...statement.groupBy,
     ...statement.aggregates.map((aggregate) => aggregate.column).filter((name) => name !== ''),
     ...(statement.orderBy === undefined ? [] : [statement.orderBy.column]),
   ];
-  const wrong = mentioned.find((name) => ![...known, ...aggregates, 'count'].includes(name));
-  if (wrong === undefined) {
+  const unknown = referenced.find((name) => ![...known, ...aggregates, 'count'].includes(name));
+  if (unknown === undefined) {
     return undefined;
   }
-  const suggestion = closestWord(wrong, known);
+  const suggestion = closestWord(unknown, known);
   const hint = suggestion === undefined ? '' : ` Did you mean "${suggestion}"?`;
-  return `${statement.table} has no column "${wrong}"; it has ${known.join(', ')}.${hint}`;
+  return `${statement.table} has no column "${unknown}"; it has ${known.join(', ')}.${hint}`;
 }
 
 function show(node: IvyloomNode, statement: ShowStatement, listener: StatementListener): void {
@@ -132,12 +132,12 @@
     listener(E.left(notRun('Malformed', detail)));
     return;
   }
-  const mistake = unknownColumn(statement);
-  if (mistake !== undefined) {
-    listener(E.left(notRun('Malformed', mistake)));
+  const columnError = describeUnknownColumn(statement);
+  if (columnError !== undefined) {
+    listener(E.left(notRun('Malformed', columnError)));
     return;
   }
-  const answer = ({ rows, unreachable }: CollectedRows): void => {
+  const respond = ({ rows, unreachable }: CollectedRows): void => {
     const merged = statement.table === 'groups' ? mergeGroups(rows) : rows;
     const shown = evaluateShow(merged, statement);
     const grouping = statement.groupBy.length > 0 || statement.aggregates.length > 0;
@@ -147,13 +147,13 @@
     listener(E.right({ columns, rows: shown, unreachable }));
   };
   if ((COLLECTED_TABLES as readonly string[]).includes(statement.table)) {
-    node.rows.collect(statement.table, answer);
+    node.rows.collect(statement.table, respond);
   } else {
-    answer({ rows: configurationRows(node, statement.table), unreachable: [] });
+    respond({ rows: configurationRows(node, statement.table), unreachable: [] });
   }
 }
 
-/** Each node knows a part of a group's account; the whole is their sum. */
+/** Sums the rows of each group over the nodes, since each node holds a part of the group's account. */
 function mergeGroups(rows: readonly Row[]): Row[] {
   const merged = new Map<string, Record<string, string | number | boolean>>();
   for (const row of rows) {
@@ -182,7 +182,7 @@
   return [...keys.values()].map(({ name, group, role }) => ({ key: name, group, role }));
 }
 
-function describeProgram(
+function requestProgramAction(
   node: IvyloomNode,
   action: 'describe' | 'stop',
   program: string,
--- a/src/node/node-rows.ts
+++ b/src/node/node-rows.ts
@@ -1,4 +1,4 @@
-/** The rows a node contributes to the operators' tables: what it leads, owns or is. */
+/** Rows that a node contributes to the operators' tables: its own state and that of the shards it leads. */
 import type { ShardRoles } from './shard-roles.js';
 import type { IvyloomNode } from './node.js';
 import type { Row } from './row-collector.js';
@@ -13,13 +13,13 @@
   'holds',
 ] as const;
 
-function ledRoles(node: IvyloomNode): ShardRoles[] {
+function listLedShards(node: IvyloomNode): ShardRoles[] {
   return node.listShards().filter((roles) => roles.host.canServe());
 }
 
 function listCalls(node: IvyloomNode): Row[] {
   const now = node.options.runtime.now();
-  return ledRoles(node).flatMap((roles) =>
+  return listLedShards(node).flatMap((roles) =>
     roles.owner.listLiveCalls().map((call) => ({
       call: call.request.call,
       program: call.request.program,
@@ -38,7 +38,7 @@
 
 function listPrograms(node: IvyloomNode): Row[] {
   const now = node.options.runtime.wallTime();
-  return ledRoles(node).flatMap((roles) =>
+  return listLedShards(node).flatMap((roles) =>
     [...roles.host.state.programs.values()].map((program) => ({
       program: program.program,
       group: program.group,
@@ -54,7 +54,7 @@
 }
 
 function listEngines(node: IvyloomNode): Row[] {
-  return ledRoles(node).flatMap((roles) =>
+  return listLedShards(node).flatMap((roles) =>
     roles.listSchedulers().flatMap((scheduler) =>
       scheduler.listEngines().map((row) => ({
         engine: row.engine,
@@ -86,7 +86,7 @@
   ];
 }
 
-/** Part of each group's account kept here; the reader adds the parts up. */
+/** Each group's account on the shards that this node leads; the query adds up the rows of all nodes. */
 function listGroups(node: IvyloomNode): Row[] {
   const rows: Row[] = [];
   for (const group of node.configuration.current.groups.values()) {
@@ -94,7 +94,7 @@
     let reserved = 0;
     let granted = 0;
     let running = 0;
-    for (const roles of ledRoles(node)) {
+    for (const roles of listLedShards(node)) {
       const slice = roles.host.state.slices.get(group.name);
       spent += slice?.spent ?? 0;
       reserved += slice?.reserved ?? 0;
@@ -110,12 +110,12 @@
 }
 
 function listHolds(node: IvyloomNode): Row[] {
-  return ledRoles(node).flatMap((roles) =>
+  return listLedShards(node).flatMap((roles) =>
     roles.listSchedulers().flatMap((scheduler) => scheduler.listHolds()),
   );
 }
 
-/** Rows of one table; empty for a table that nodes do not keep. */
+/** Rows of one table; none for a table that is not collected from nodes. */
 export function listRows(node: IvyloomNode, table: string): Row[] {
   switch (table) {
     case 'calls':
--- a/src/replication/level-storage.ts
+++ b/src/replication/level-storage.ts
@@ -1,14 +1,14 @@
 /**
  * Durable storage of a node's replicas in one `classic-level` database under the data folder.
- * Changes of all replicas that come while a write is under way share the next synced write. The database
- * syncs what it writes, but not always the names of files that it has just made, so the folder is synced
- * before anything is acknowledged: one more sync a write, of a folder that has rarely changed.
+ * Changes of all replicas that arrive during a write share the next synced write. The database syncs the
+ * contents of its files, but not always the directory entries of new ones, so the folder is synced too
+ * before a write is acknowledged. The extra sync is cheap, since the folder rarely changes.
  */
 import { join } from 'node:path';
 import { ClassicLevel } from 'classic-level';
 import type { NodeId, ShardId } from '../model/identifiers.js';
 import { hashText } from '../runtime/hashing.js';
-import { makeDurableFolder, syncNames } from '../runtime/sync-names.js';
+import { createDurableFolder, syncFolder } from '../runtime/sync-folder.js';
 import type { NodeStorage } from '../node/node-options.js';
 import type { Runtime } from '../runtime/runtime.js';
 import { decodeEntry, encodeEntry } from '../wire/command-codec.js';
@@ -23,11 +23,12 @@
 interface ReplicaMeta {
   readonly term: number;
   readonly votedFor: NodeId;
-  /** Newest entry promised to be here; fewer found means a torn tail. */
+  /** Highest index written durably; a log that ends earlier has a torn tail. */
   readonly lastIndex: number;
 }
 
-interface ReplicaBook {
+/** What the database holds of one replica once all queued writes are done. */
+interface StoredReplicaState {
   meta: ReplicaMeta;
   snapshotIndex: number;
   lastIndex: number;
@@ -52,14 +53,14 @@
   return `replica/${shard}/entry/${String(index).padStart(INDEX_DIGITS, '0')}`;
 }
 
-/** An entry with its checksum, as stored. */
-function sealEntry(entry: LogEntry): string {
+/** Stored form of an entry: a checksum followed by the encoded entry in base64. */
+function encodeStoredEntry(entry: LogEntry): string {
   const text = Buffer.from(encodeEntry(entry)).toString('base64');
   return hashText(text) + text;
 }
 
-/** The entry of a stored value; undefined when it is damaged. */
-function openEntry(value: string): LogEntry | undefined {
+/** Decodes a stored entry; undefined when the value is damaged. */
+function decodeStoredEntry(value: string): LogEntry | undefined {
   const text = value.slice(CHECKSUM_DIGITS);
   if (hashText(text) !== value.slice(0, CHECKSUM_DIGITS)) {
     return undefined;
@@ -71,21 +72,21 @@
   }
 }
 
-/** Replicas found in a data folder. */
+/** Result of opening a data folder. */
 export interface LoadedStorage {
   readonly storage: LevelStorage;
-  /** Shards whose logs ended before what was promised: their tails were torn. */
+  /** Shards whose logs have lost acknowledged entries at the end (torn tails). */
   readonly tornShards: readonly ShardId[];
 }
 
-/** See the head of this file. */
+/** Durable storage of a node's replicas and of its configuration. */
 export class LevelStorage implements NodeStorage {
-  keptConfiguration?: { readonly revision: number; readonly documents: string };
-  private readonly books = new Map<ShardId, ReplicaBook>();
+  storedConfiguration?: { readonly revision: number; readonly documents: string };
+  private readonly replicaStates = new Map<ShardId, StoredReplicaState>();
   private readonly loaded = new Map<ShardId, PersistedReplica>();
   private queue: PendingWrite[] = [];
   private writing = false;
-  /** Synced writes so far. */
+  /** Number of synced writes so far. */
   writeCount = 0;
 
   private constructor(
@@ -97,7 +98,7 @@
   /** Opens the data folder and reads the replicas of a region's shards. */
   static async open(folder: string, map: ShardMap, runtime: Runtime): Promise<LoadedStorage> {
     const path = join(folder, 'replicas');
-    await makeDurableFolder(path);
+    await createDurableFolder(path);
     const database = new ClassicLevel<string, string>(path);
     await database.open();
     const storage = new LevelStorage(database, path, runtime);
@@ -107,9 +108,12 @@
         tornShards.push(shard);
       }
     }
-    const kept = await database.get(CONFIGURATION_KEY);
-    if (kept !== undefined) {
-      storage.keptConfiguration = JSON.parse(kept) as { revision: number; documents: string };
+    const configurationText = await database.get(CONFIGURATION_KEY);
+    if (configurationText !== undefined) {
+      storage.storedConfiguration = JSON.parse(configurationText) as {
+        revision: number;
+        documents: string;
+      };
     }
     return { storage, tornShards };
   }
@@ -131,41 +135,41 @@
     };
   }
 
-  /** Closes the database when the last write is done. */
+  /** Closes the database after the write in progress. */
   async close(): Promise<void> {
     await this.database.close();
   }
 
-  private bookOf(shard: ShardId): ReplicaBook {
-    let book = this.books.get(shard);
-    if (book === undefined) {
-      book = { meta: { term: 0, votedFor: '', lastIndex: 0 }, snapshotIndex: 0, lastIndex: 0 };
-      this.books.set(shard, book);
+  private replicaStateOf(shard: ShardId): StoredReplicaState {
+    let state = this.replicaStates.get(shard);
+    if (state === undefined) {
+      state = { meta: { term: 0, votedFor: '', lastIndex: 0 }, snapshotIndex: 0, lastIndex: 0 };
+      this.replicaStates.set(shard, state);
     }
-    return book;
+    return state;
   }
 
   private operationsOf(shard: ShardId, change: PersistChange): Operation[] {
-    const book = this.bookOf(shard);
+    const state = this.replicaStateOf(shard);
     const operations: Operation[] = [];
     if (change.append !== undefined) {
       const { fromIndex, entries } = change.append;
       entries.forEach((entry, offset) => {
         const key = entryKey(shard, fromIndex + offset);
-        operations.push({ type: 'put', key, value: sealEntry(entry) });
+        operations.push({ type: 'put', key, value: encodeStoredEntry(entry) });
       });
       const lastIndex = fromIndex + entries.length - 1;
-      for (let index = lastIndex + 1; index <= book.lastIndex; index += 1) {
+      for (let index = lastIndex + 1; index <= state.lastIndex; index += 1) {
         operations.push({ type: 'del', key: entryKey(shard, index) });
       }
-      book.lastIndex = lastIndex;
+      state.lastIndex = lastIndex;
     }
     if (change.snapshot !== undefined) {
-      this.addSnapshot(shard, book, change.snapshot, operations);
+      this.addSnapshot(shard, state, change.snapshot, operations);
     }
     if (operations.length > 0 || change.vote !== undefined) {
-      book.meta = { ...book.meta, ...change.vote, lastIndex: book.lastIndex };
-      const value = JSON.stringify(book.meta);
+      state.meta = { ...state.meta, ...change.vote, lastIndex: state.lastIndex };
+      const value = JSON.stringify(state.meta);
       operations.push({ type: 'put', key: metaKey(shard), value });
     }
     return operations;
@@ -173,17 +177,17 @@
 
   private addSnapshot(
     shard: ShardId,
-    book: ReplicaBook,
+    state: StoredReplicaState,
     snapshot: Snapshot,
     operations: Operation[],
   ): void {
     const value = JSON.stringify(snapshot);
     operations.push({ type: 'put', key: snapshotKey(shard), value });
-    for (let index = book.snapshotIndex + 1; index <= snapshot.lastIndex; index += 1) {
+    for (let index = state.snapshotIndex + 1; index <= snapshot.lastIndex; index += 1) {
       operations.push({ type: 'del', key: entryKey(shard, index) });
     }
-    book.snapshotIndex = snapshot.lastIndex;
-    book.lastIndex = Math.max(book.lastIndex, snapshot.lastIndex);
+    state.snapshotIndex = snapshot.lastIndex;
+    state.lastIndex = Math.max(state.lastIndex, snapshot.lastIndex);
   }
 
   private enqueue(operations: readonly Operation[], done: () => void): void {
@@ -210,7 +214,8 @@
       return;
     }
     this.writeDurably(operations).then(finish, (cause: unknown) => {
-      // Nothing may be acknowledged that is not on disk: the node stands still until replaced.
+      // A change that is not on disk must not be acknowledged. `writing` stays set, so that this
+      // process persists and acknowledges nothing more.
       const reason = cause instanceof Error ? cause.message : String(cause);
       this.runtime.log('error', 'disk write failed; this node stops replicating', { reason });
     });
@@ -218,10 +223,10 @@
 
   private async writeDurably(operations: Operation[]): Promise<void> {
     await this.database.batch(operations, { sync: true });
-    await syncNames(this.folder);
+    await syncFolder(this.folder);
   }
 
-  /** Reads one replica; true when its tail is torn. */
+  /** Loads one replica; returns true when its log has a torn tail. */
   private async readReplica(shard: ShardId, voters: readonly NodeId[]): Promise<boolean> {
     const metaText = await this.database.get(metaKey(shard));
     if (metaText === undefined) {
@@ -236,13 +241,17 @@
     const entries = await this.readEntries(shard, snapshot.lastIndex);
     const lastIndex = snapshot.lastIndex + entries.length;
     const { term, votedFor } = meta;
-    const promise = lastIndex < meta.lastIndex ? { promisedIndex: meta.lastIndex } : {};
-    this.loaded.set(shard, { term, votedFor, snapshot, entries, ...promise });
-    this.books.set(shard, { meta, snapshotIndex: snapshot.lastIndex, lastIndex: meta.lastIndex });
+    const acknowledged = lastIndex < meta.lastIndex ? { acknowledgedIndex: meta.lastIndex } : {};
+    this.loaded.set(shard, { term, votedFor, snapshot, entries, ...acknowledged });
+    this.replicaStates.set(shard, {
+      meta,
+      snapshotIndex: snapshot.lastIndex,
+      lastIndex: meta.lastIndex,
+    });
     return lastIndex < meta.lastIndex;
   }
 
-  /** Entries after the snapshot up to the first gap or damage. */
+  /** Reads the entries after the snapshot, up to the first missing or damaged one. */
   private async readEntries(shard: ShardId, snapshotIndex: number): Promise<LogEntry[]> {
     const entries: LogEntry[] = [];
     const range = {
@@ -251,7 +260,7 @@
     };
     for await (const [key, value] of this.database.iterator(range)) {
       const expected = entryKey(shard, snapshotIndex + entries.length + 1);
-      const entry = key === expected ? openEntry(value) : undefined;
+      const entry = key === expected ? decodeStoredEntry(value) : undefined;
       if (entry === undefined) {
         break;
       }
--- a/src/runtime/real-runtime.ts
+++ b/src/runtime/real-runtime.ts
@@ -1,63 +1,63 @@
-/** The real surroundings of a process: the machine's clocks, timers and standard output. */
+/** The runtime of a real process: system clocks, timers and standard output. */
 import './enable-roarr.js';
 import { randomInt } from 'node:crypto';
 import { writeSync } from 'node:fs';
 import { performance } from 'node:perf_hooks';
 import { ROARR, Roarr, logLevels } from 'roarr';
-import { BoundedWriter, writeTo } from '../telemetry/bounded-writer.js';
+import { BoundedWriter, writeToDescriptor } from '../telemetry/bounded-writer.js';
 import { createRandom } from './random.js';
 import type { LogFields, LogFunction, LogLevel, Runtime } from './runtime.js';
 
-/** Settings of the real surroundings. */
+/** Options of `createRealRuntime`. */
 export interface RealRuntimeOptions {
-  /** Seed of the random numbers; by default one from the machine. */
+  /** Seed of the random numbers; random by default. */
   readonly seed?: number;
-  /** Fields of every log line. */
+  /** Fields added to every log line. */
   readonly fields?: LogFields;
-  /** Least severity written. @default 'info' */
+  /** Lowest level that is written. @default 'info' */
   readonly logLevel?: LogLevel;
 }
 
 const STANDARD_OUTPUT = 1;
-const LARGEST_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 
-/** Time for which log lines are gathered for one write, in milliseconds: longer saves wake-ups, and a crash may lose that much. */
-const GATHER_MILLISECONDS = 250;
+/** Time for which log lines are collected for one write, in milliseconds. A crash loses the lines collected. */
+const FLUSH_DELAY_MILLISECONDS = 250;
 
-/** Writes the last lines before the process ends. */
-function writeLast(bytes: Buffer): void {
+/** Writes the queued lines synchronously, when the process exits. */
+function writeFinalLines(bytes: Buffer): void {
   try {
     writeSync(STANDARD_OUTPUT, bytes);
   } catch {
-    // Nobody reads, and there is no later moment in which to say so.
+    // The reader has gone, and the process exits: the error cannot be reported.
   }
 }
 
 function openStandardOutput(): BoundedWriter {
-  const writer = new BoundedWriter(writeTo(STANDARD_OUTPUT), (writeNow) => {
-    setTimeout(writeNow, GATHER_MILLISECONDS).unref();
+  const writer = new BoundedWriter(writeToDescriptor(STANDARD_OUTPUT), (flush) => {
+    setTimeout(flush, FLUSH_DELAY_MILLISECONDS).unref();
   });
-  process.on('exit', () => writeLast(writer.takeWaiting()));
+  process.on('exit', () => writeFinalLines(writer.takeQueued()));
   return writer;
 }
 
-/** One for all logs of the process. */
+/** Shared by all loggers of the process. */
 let standardOutput: BoundedWriter | undefined;
 
-/** A logger that writes JSON lines by `roarr`. */
-export function createLog(fields: LogFields, least: LogLevel): LogFunction {
+/** Creates a logger that writes JSON lines to standard output with `roarr`. */
+export function createLog(fields: LogFields, minimumLevel: LogLevel): LogFunction {
   standardOutput ??= openStandardOutput();
   const writer = standardOutput;
   ROARR.write = (line: string): void => writer.push(line);
   const logger = Roarr.child({ application: 'ivyloom', ...fields });
   return (level, message, extra = {}) => {
-    if (logLevels[level] >= logLevels[least]) {
+    if (logLevels[level] >= logLevels[minimumLevel]) {
       logger[level]({ ...extra }, message);
     }
   };
 }
 
-/** Makes the real surroundings. */
+/** Creates the runtime of this process. */
 export function createRealRuntime(options: RealRuntimeOptions = {}): Runtime {
   return {
     now: () => performance.now(),
@@ -70,7 +70,7 @@
       const timer = setTimeout(callback, delay);
       return () => clearTimeout(timer);
     },
-    random: createRandom(options.seed ?? randomInt(LARGEST_SEED)),
+    random: createRandom(options.seed ?? randomInt(SEED_LIMIT)),
     log: createLog(options.fields ?? {}, options.logLevel ?? 'info'),
   };
 }
--- a/src/simulation/simulated-cluster.ts
+++ b/src/simulation/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** A whole cluster in virtual time: real node code, emulated platform, seeded network and faults. */
+/** A cluster in virtual time: production node code on emulated back ends, disks and network. */
 import type { EngineId, NodeId, ZoneName } from '../model/identifiers.js';
 import type { ConfigurationDocument } from '../configuration/documents.js';
 import type { EmulatedBackEnd } from '../emulator/emulated-back-end.js';
@@ -23,57 +23,57 @@
 import { SimulatedBackEnds } from './simulated-back-ends.js';
 import { SimulatedDisk } from './simulated-disk.js';
 import { SimulatedNetwork } from './simulated-network.js';
-import type { NetworkEnd } from './simulated-network.js';
+import type { NetworkEndpoint } from './simulated-network.js';
 import { SimulatedProcess, silentLog } from './simulated-process.js';
 import { VirtualClock } from './virtual-clock.js';
 
-/** A service with its back ends, as a simulation sets it up. */
+/** Configuration of a simulated service and its back ends. */
 export interface SimulatedService {
   readonly name: string;
   readonly kind: 'model' | 'tool';
   readonly runners: number;
-  /** Most calls a runner is given at a time. */
+  /** Maximum number of concurrent calls per runner. */
   readonly concurrency: number;
   readonly engine?: Omit<EngineModelOptions, 'name'>;
   readonly tool?: Omit<ToolModelOptions, 'name'>;
 }
 
-/** A group, as a simulation sets it up. */
+/** Configuration of a simulated group: its share of the engines and its token budget. */
 export interface SimulatedGroup {
   readonly name: string;
   readonly share: number;
   readonly budget: number;
 }
 
-/** What a simulated cluster is made of. */
+/** Topology, network delays and configuration of a simulated cluster. */
 export interface SimulatedClusterOptions {
   readonly seed: number;
   readonly zones: readonly ZoneName[];
   /** Nodes in each zone. @default 1 */
   readonly nodesPerZone?: number;
-  /** One-way milliseconds between zones. */
-  readonly betweenZones: number;
+  /** One-way network delay between zones. */
+  readonly interZoneMilliseconds: number;
   readonly shardCount: number;
   readonly services: readonly SimulatedService[];
   readonly groups: readonly SimulatedGroup[];
   readonly limits?: OwnerLimits;
   readonly createPolicy?: () => SchedulingPolicy;
   readonly log?: LogFunction;
-  /** Sees every message that a node sends to another. */
+  /** Called with every message that one node sends to another. */
   readonly onMessage?: (from: NodeId, message: Message) => void;
 }
 
 interface Machine {
   readonly placed: PlacedNode;
-  readonly end: NetworkEnd;
+  readonly endpoint: NetworkEndpoint;
   readonly disk: SimulatedDisk;
   node: IvyloomNode | undefined;
 }
 
-/** Time in which a fresh cluster elects its leaders and reads its configuration, in ms. */
+/** Time that a new cluster takes to elect its leaders and read its configuration. */
 export const SETTLE_MILLISECONDS = 4_000;
 
-/** See the head of this file. */
+/** Runs the nodes, back ends and key-value service of a cluster; a seed makes a run repeatable. */
 export class SimulatedCluster {
   readonly clock = new VirtualClock();
   readonly random: RandomSource;
@@ -81,17 +81,17 @@
   readonly keyValue: KeyValueModel;
   readonly map: ShardMap;
   readonly backEnds = new Map<EngineId, EmulatedBackEnd>();
-  private readonly backEndEnds = new Map<EngineId, NetworkEnd>();
+  private readonly backEndEndpoints = new Map<EngineId, NetworkEndpoint>();
   private readonly machines = new Map<NodeId, Machine>();
   private readonly placed: readonly PlacedNode[];
 
   constructor(readonly options: SimulatedClusterOptions) {
-    const { seed, zones, betweenZones } = options;
+    const { seed, zones, interZoneMilliseconds } = options;
     this.random = createRandom(seed, 'cluster');
     this.network = new SimulatedNetwork(this.clock, createRandom(seed, 'network'), {
-      betweenZones,
+      interZoneMilliseconds,
     });
-    this.keyValue = new KeyValueModel(this.createProcess('key-value').begin());
+    this.keyValue = new KeyValueModel(this.createProcess('key-value').start());
     this.placed = zones.flatMap((zone) =>
       Array.from({ length: options.nodesPerZone ?? 1 }, (_, index) => ({
         node: `${zone}-${index + 1}`,
@@ -109,70 +109,68 @@
     return this.placed.map((placed) => placed.node);
   }
 
-  /** Starts every node and waits until leaders are elected. */
+  /** Starts every node and advances the clock so that leaders are elected. */
   start(): void {
     this.nodeNames.forEach((name) => this.startNode(name));
     this.clock.runUntil(this.clock.now + SETTLE_MILLISECONDS);
   }
 
-  /** A node; undefined while its process is dead. */
+  /** Returns a node, or undefined while its process is not running. */
   node(name: NodeId): IvyloomNode | undefined {
     return this.machine(name).node;
   }
 
-  /** Nodes whose processes live. */
+  /** Nodes whose process runs or is paused. */
   livingNodes(): IvyloomNode[] {
     return [...this.machines.values()].flatMap((machine) => machine.node ?? []);
   }
 
-  /** The process a node runs in. */
   processOf(name: NodeId): SimulatedProcess {
-    return this.machine(name).end.process;
+    return this.machine(name).endpoint.process;
   }
 
-  /** The network end of a node. */
-  endOf(name: NodeId): NetworkEnd {
-    return this.machine(name).end;
+  endpointOf(name: NodeId): NetworkEndpoint {
+    return this.machine(name).endpoint;
   }
 
-  /** Starts a node's process, from what its disk holds. */
+  /** Starts a node from the state on its disk; does nothing while the node is running. */
   startNode(name: NodeId): void {
     const machine = this.machine(name);
     if (machine.node !== undefined) {
       return;
     }
-    const runtime = machine.end.process.begin();
+    const runtime = machine.endpoint.process.start();
     const node = this.createNode(machine, runtime);
     machine.node = node;
     node.start();
   }
 
-  /** Ends a node's process at once. */
+  /** Kills a node's process without a graceful shutdown. */
   killNode(name: NodeId): void {
     const machine = this.machine(name);
-    machine.end.process.kill();
+    machine.endpoint.process.kill();
     machine.node = undefined;
   }
 
-  /** Loses the end of the logs on a dead node's disk. */
+  /** Drops the newest entries of every log on a node's disk; the node must not be running. */
   tearDisk(name: NodeId, entries: number): void {
     this.machine(name).disk.tearTails(entries);
   }
 
-  /** Stops a node as planned; it is gone when `done` is called. */
+  /** Shuts a node down gracefully; `done` is called after its process has ended. */
   leaveNode(name: NodeId, done: () => void = () => undefined): void {
     const machine = this.machine(name);
-    // A signal to a process that stands still takes effect when it goes on.
-    machine.end.process.enter(() => {
+    // A paused process handles the signal after it resumes.
+    machine.endpoint.process.execute(() => {
       machine.node?.leave(() => {
-        machine.end.process.kill();
+        machine.endpoint.process.kill();
         machine.node = undefined;
         done();
       });
     });
   }
 
-  /** Crashes a back end; it comes back empty after a while. */
+  /** Crashes a back end and restarts it, without its state, after `downMilliseconds`. */
   crashBackEnd(name: EngineId, downMilliseconds: number): void {
     const backEnd = this.backEnds.get(name);
     if (backEnd === undefined || !backEnd.isUp) {
@@ -182,7 +180,7 @@
     this.clock.schedule(downMilliseconds, () => backEnd.restart());
   }
 
-  /** Makes a process outside the cluster, such as a client's. */
+  /** Creates a process that is not a node of the cluster, such as a client. */
   createProcess(name: string): SimulatedProcess {
     const random = createRandom(this.options.seed, name);
     return new SimulatedProcess(name, this.clock, random, this.options.log ?? silentLog);
@@ -191,15 +189,18 @@
   private machine(name: NodeId): Machine {
     const machine = this.machines.get(name);
     if (machine === undefined) {
-      throw new Error(`no machine ${name}`);
+      throw new Error(`machine "${name}" does not exist`);
     }
     return machine;
   }
 
   private createMachine(placed: PlacedNode): void {
-    const end: NetworkEnd = { process: this.createProcess(placed.node), zone: placed.zone };
+    const endpoint: NetworkEndpoint = {
+      process: this.createProcess(placed.node),
+      zone: placed.zone,
+    };
     const disk = new SimulatedDisk(this.map);
-    this.machines.set(placed.node, { placed, end, disk, node: undefined });
+    this.machines.set(placed.node, { placed, endpoint, disk, node: undefined });
   }
 
   private createNode(machine: Machine, runtime: Runtime): IvyloomNode {
@@ -215,27 +216,27 @@
           const target = this.machines.get(to);
           this.options.onMessage?.(self, message);
           if (target !== undefined) {
-            this.network.deliver(machine.end, target.end, () =>
+            this.network.deliver(machine.endpoint, target.endpoint, () =>
               target.node?.receive(self, message),
             );
           }
         },
       },
       storage: machine.disk.open(runtime),
-      backEnds: this.connectBackEnds(machine.end, runtime),
+      backEnds: this.connectBackEnds(machine.endpoint, runtime),
       keyValue: this.keyValue.connect(runtime),
       limits: this.options.limits ?? DEFAULT_OWNER_LIMITS,
       createPolicy: this.options.createPolicy ?? (() => createPolicy('ivyloom')),
     });
   }
 
-  private connectBackEnds(end: NetworkEnd, runtime: Runtime): BackEndPort {
+  private connectBackEnds(endpoint: NetworkEndpoint, runtime: Runtime): BackEndPort {
     return new SimulatedBackEnds({
       network: this.network,
-      end,
+      endpoint,
       runtime,
       backEnds: this.backEnds,
-      backEndEnds: this.backEndEnds,
+      backEndEndpoints: this.backEndEndpoints,
     });
   }
 
@@ -251,13 +252,13 @@
     const name = `${service.name}-${index + 1}`;
     const zone = this.options.zones[index % this.options.zones.length]!;
     const process = this.createProcess(name);
-    const runtime = process.begin();
+    const runtime = process.start();
     const backEnd =
       service.kind === 'model'
         ? new EngineModel(runtime, { ...service.engine, name })
         : new ToolModel(runtime, { ...service.tool, name });
     this.backEnds.set(name, backEnd);
-    this.backEndEnds.set(name, { process, zone });
+    this.backEndEndpoints.set(name, { process, zone });
   }
 
   private listDocuments(): ConfigurationDocument[] {
--- a/src/simulation/simulated-network.ts
+++ b/src/simulation/simulated-network.ts
@@ -1,39 +1,39 @@
-/** The network in virtual time: seeded delays, loss, partitions; an order may be overtaken. */
+/** The network in virtual time: delays, loss, reordering of datagrams and partitions, by a seed. */
 import type { ZoneName } from '../model/identifiers.js';
 import type { RandomSource } from '../runtime/random.js';
 import type { SimulatedProcess } from './simulated-process.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** One end of the network. */
-export interface NetworkEnd {
+/** A process on the network and the zone that it runs in. */
+export interface NetworkEndpoint {
   readonly process: SimulatedProcess;
   readonly zone: ZoneName;
 }
 
-/** How the network behaves. */
+/** One-way delays of the network. */
 export interface NetworkOptions {
-  /** One-way milliseconds inside a zone. @default 0.2 */
-  readonly insideZone?: number;
-  /** One-way milliseconds between zones. */
-  readonly betweenZones: number;
+  /** One-way delay within a zone. @default 0.2 */
+  readonly intraZoneMilliseconds?: number;
+  /** One-way delay between zones. */
+  readonly interZoneMilliseconds: number;
 }
 
-/** Keeps the order of one direction of a connection. */
+/** Delivery state of one direction of a connection, which keeps its messages in order. */
 export interface ConnectionOrder {
-  /** Virtual milliseconds at which the newest message arrives. */
+  /** Virtual time, in milliseconds, at which the newest message arrives. */
   lastArrival: number;
 }
 
-/** Jitter as a part of the usual delay. */
+/** Maximum jitter as a fraction of the delay. */
 const JITTER = 0.3;
 
-/** See the head of this file. */
+/** Delivers messages between simulated processes, as datagrams or over ordered connections. */
 export class SimulatedNetwork {
-  /** Probability that a message is lost. */
+  /** Probability that a datagram is lost. */
   loss = 0;
-  /** Most milliseconds added at random to each message. */
+  /** Upper bound of a random delay added to each message, in milliseconds. */
   extraDelay = 0;
-  private readonly cut = new Set<string>();
+  private readonly cutLinks = new Set<string>();
   private delivered = 0;
 
   constructor(
@@ -42,66 +42,69 @@
     private readonly options: NetworkOptions,
   ) {}
 
-  /** Messages delivered so far. */
+  /** Number of messages delivered so far. */
   get messageCount(): number {
     return this.delivered;
   }
 
-  /** Cuts both directions between two ends. */
+  /** Cuts both directions between two processes, given by name. */
   cutLink(left: string, right: string): void {
-    this.cut.add(`${left}>${right}`);
-    this.cut.add(`${right}>${left}`);
+    this.cutLinks.add(`${left}>${right}`);
+    this.cutLinks.add(`${right}>${left}`);
   }
 
-  /** Cuts one direction. */
+  /** Cuts the direction from one process to another, given by name. */
   cutOneWay(from: string, to: string): void {
-    this.cut.add(`${from}>${to}`);
+    this.cutLinks.add(`${from}>${to}`);
   }
 
-  /** Heals every cut. */
+  /** Restores all links that were cut. */
   heal(): void {
-    this.cut.clear();
+    this.cutLinks.clear();
   }
 
-  /** True when messages pass from one end to another. */
-  isConnected(from: NetworkEnd, to: NetworkEnd): boolean {
-    return !this.cut.has(`${from.process.name}>${to.process.name}`);
+  /** Whether the link in this direction is up. */
+  isConnected(from: NetworkEndpoint, to: NetworkEndpoint): boolean {
+    return !this.cutLinks.has(`${from.process.name}>${to.process.name}`);
   }
 
-  /** Delivers a datagram, or loses it. */
-  deliver(from: NetworkEnd, to: NetworkEnd, receive: () => void): void {
+  /** Delivers a datagram; it may be lost, or overtaken by a later one. */
+  deliver(from: NetworkEndpoint, to: NetworkEndpoint, receive: () => void): void {
     if (!this.isConnected(from, to) || this.random.uniform() < this.loss) {
       return;
     }
     this.clock.schedule(this.delay(from, to), () => {
       this.delivered += 1;
-      to.process.enter(receive);
+      to.process.execute(receive);
     });
   }
 
-  /** Delivers over a connection: in order, never lost while the link is up, told when it is not. */
+  /**
+   * Delivers over a connection: in order and without loss. When the link is down or the receiver's
+   * process has ended at the time of arrival, the sender's callback for a broken connection runs.
+   */
   deliverInOrder(
     connection: ConnectionOrder,
-    from: NetworkEnd,
-    to: NetworkEnd,
+    from: NetworkEndpoint,
+    to: NetworkEndpoint,
     receive: () => void,
-    broken: () => void,
+    onBroken: () => void,
   ): void {
     const { now } = this.clock;
     connection.lastArrival = Math.max(connection.lastArrival, now + this.delay(from, to));
     this.clock.schedule(connection.lastArrival - now, () => {
       if (this.isConnected(from, to) && to.process.isAlive) {
         this.delivered += 1;
-        to.process.enter(receive);
+        to.process.execute(receive);
       } else {
-        from.process.enter(broken);
+        from.process.execute(onBroken);
       }
     });
   }
 
-  private delay(from: NetworkEnd, to: NetworkEnd): number {
-    const { insideZone = 0.2, betweenZones } = this.options;
-    const usual = from.zone === to.zone ? insideZone : betweenZones;
-    return usual * (1 + this.random.uniform() * JITTER) + this.random.uniform() * this.extraDelay;
+  private delay(from: NetworkEndpoint, to: NetworkEndpoint): number {
+    const { intraZoneMilliseconds = 0.2, interZoneMilliseconds } = this.options;
+    const base = from.zone === to.zone ? intraZoneMilliseconds : interZoneMilliseconds;
+    return base * (1 + this.random.uniform() * JITTER) + this.random.uniform() * this.extraDelay;
   }
 }
