--- a/src/simulation/simulated-replicas.ts
+++ b/src/simulation/simulated-replicas.ts
@@ -1,7 +1,7 @@
 /**
- * Replicas of turns and accounts, their members' record and gateways in virtual time: messages are
- * delayed and lost, machines are cut off, processes killed and paused, disks wiped, machines added,
- * replaced and emptied.
+ * Replicas of turns and token accounts in virtual time, with the store that holds their membership
+ * record. Messages are delayed; links can be cut, processes killed and paused, disks wiped, and
+ * machines added and retired.
  */
 import type { LogFunction, Runtime } from '../runtime/runtime.js';
 import type { RandomSource } from '../runtime/random.js';
@@ -32,63 +32,62 @@
 import { silentLog, SimulatedProcess } from './simulated-process.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-const WRITE_MILLISECONDS = 1;
-const LAZY_MILLISECONDS = 250;
-/** Pause before a refused write is tried again. */
-const REFUSED_MILLISECONDS = 500;
-/** Delay of writes that are acknowledged before they are on disk: a planted fault. */
-const HASTY_MILLISECONDS = 2_000;
-const LINK_MILLISECONDS = 1;
+const WRITE_DELAY_MILLISECONDS = 1;
+const LAZY_WRITE_DELAY_MILLISECONDS = 250;
+const WRITE_RETRY_DELAY_MILLISECONDS = 500;
+/** Delay of writes acknowledged before they are on disk, under the fault 'hastyAcknowledge'. */
+const EARLY_ACKNOWLEDGED_WRITE_DELAY_MILLISECONDS = 2_000;
+const LINK_DELAY_MILLISECONDS = 1;
 const LINK_JITTER_MILLISECONDS = 2;
-const STORE_MILLISECONDS = 4;
+const STORE_DELAY_MILLISECONDS = 4;
 
-/** A disk of one machine: what was written lasts, unless the disk is wiped. */
+/** The disk of one machine. Its content outlives processes, unless the disk is wiped. */
 class SimulatedTurnDisk {
   private state = emptyState();
-  /** While true, writes are refused; they are tried again as the real storage does. */
-  refuses = false;
+  /** While true, writes fail and are retried, as the production storage does. */
+  refusesWrites = false;
 
   wipe(): void {
     this.state = emptyState();
   }
 
-  /** Tells everything that was written. */
-  load(take: (change: WrittenChange) => void): void {
+  /** Replays all stored changes. */
+  load(visit: (change: WrittenChange) => void): void {
     const { meta, joining, entries, turns } = this.state;
     if (meta !== undefined) {
-      take({ tag: 'meta', meta });
+      visit({ tag: 'meta', meta });
     }
     if (joining !== undefined) {
-      take({ tag: 'joining', token: joining });
+      visit({ tag: 'joining', token: joining });
     }
-    entries.forEach((entry) => take({ tag: 'entry', entry }));
-    turns.forEach((turn) => take({ tag: 'turn', turn }));
+    entries.forEach((entry) => visit({ tag: 'entry', entry }));
+    turns.forEach((turn) => visit({ tag: 'turn', turn }));
   }
 
   open(runtime: Runtime, options: SimulatedReplicasOptions): TurnStorage {
-    const { planted, writeMilliseconds = WRITE_MILLISECONDS } = options;
+    const { injectedFault, writeMilliseconds = WRITE_DELAY_MILLISECONDS } = options;
     return {
       write: (changes, done, urgency = 'urgent') => {
-        if (planted === 'hastyAcknowledge') {
-          runtime.setTimer(HASTY_MILLISECONDS, () =>
+        if (injectedFault === 'hastyAcknowledge') {
+          runtime.setTimer(EARLY_ACKNOWLEDGED_WRITE_DELAY_MILLISECONDS, () =>
             changes.forEach((change) => this.apply(change)),
           );
           done(true);
           return;
         }
-        const pause = urgency === 'lazy' ? LAZY_MILLISECONDS : writeMilliseconds;
-        // The timer dies with the process, and with it whatever was not yet written.
+        const delay = urgency === 'lazy' ? LAZY_WRITE_DELAY_MILLISECONDS : writeMilliseconds;
+        // Timers of a killed process don't fire, so its pending writes are lost.
         const write = (): void => {
-          if (this.refuses) {
-            runtime.setTimer(REFUSED_MILLISECONDS, write);
+          if (this.refusesWrites) {
+            runtime.setTimer(WRITE_RETRY_DELAY_MILLISECONDS, write);
             return;
           }
           changes
-            .filter((change) => planted !== 'lostAccounts' || change.tag !== 'entry')
+            .filter((change) => injectedFault !== 'lostAccounts' || change.tag !== 'entry')
             .forEach((change) => this.apply(change));
           done(true);
         };
-        runtime.setTimer(pause, write);
+        runtime.setTimer(delay, write);
       },
     };
   }
@@ -130,28 +129,30 @@
   return { meta: undefined, joining: undefined, entries: new Map(), turns: new Map() };
 }
 
-/** The store that holds the record of members. */
+/** The store that holds the membership record and the retirement reports. */
 class SimulatedMembershipStore {
   private text = '';
   private revision = 0;
-  /** While false, nobody reaches it. */
+  /** While false, reads and writes of the record fail. */
   reachable = true;
-  /** While true, it takes no reports on the emptying of machines. */
+  /** While true, retirement reports fail. */
   refusesReports = false;
+  /** Nodes that operators want retired. */
   readonly retiring = new Set<string>();
-  readonly finished = new Set<string>();
+  /** Nodes whose retirement was reported as finished. */
+  readonly retired = new Set<string>();
 
-  /** Members that the stored record names. */
+  /** Members in the stored record. */
   get members(): readonly Member[] {
     return decodeMemberRecord(this.text)?.members ?? [];
   }
 
-  /** Epoch of the stored record; 0 when there is none. */
+  /** Epoch of the stored record, or 0 when there is none. */
   get epoch(): number {
     return decodeMemberRecord(this.text)?.epoch ?? 0;
   }
 
-  portOf(runtime: Runtime, isCut: () => boolean): MembershipStore {
+  connect(runtime: Runtime, isCut: () => boolean): MembershipStore {
     return {
       readRecord: (): StoredRecord => {
         if (!this.reachable || isCut()) {
@@ -162,7 +163,7 @@
           : { tag: 'Present', text: this.text, revision: this.revision };
       },
       swapRecord: (expected, text, done) => {
-        runtime.setTimer(STORE_MILLISECONDS, () => {
+        runtime.setTimer(STORE_DELAY_MILLISECONDS, () => {
           const swapped = this.reachable && !isCut() && expected === this.revision;
           if (swapped) {
             this.text = text;
@@ -174,7 +175,7 @@
       retiringNodes: () => this.retiring,
       reportRetirement: (node, finished, done) => {
         if (finished && !this.refusesReports) {
-          this.finished.add(node);
+          this.retired.add(node);
         }
         done(!this.refusesReports);
       },
@@ -182,7 +183,7 @@
   }
 }
 
-/** One machine with a disk. */
+/** A machine with its process, its disk and, while the process runs, its replica. */
 interface SimulatedMachine {
   readonly member: Member;
   readonly process: SimulatedProcess;
@@ -192,29 +193,29 @@
   close: () => void;
 }
 
-/** How the replicas are played; the planted faults show that checks find them. */
+/** Options of the simulated replicas; injected faults verify that the checks detect them. */
 export interface SimulatedReplicasOptions {
-  readonly planted?: 'noRepair' | 'hastyAcknowledge' | 'lostAccounts';
+  readonly injectedFault?: 'noRepair' | 'hastyAcknowledge' | 'lostAccounts';
   readonly log?: LogFunction;
-  /** Time that a synced write takes, in milliseconds. @default 1 */
+  /** Duration of a synced write. @default 1 */
   readonly writeMilliseconds?: number;
-  /** Members that the record is to name. @default as many as there are machines */
+  /** Wanted number of members in the record. @default as many as there are machines */
   readonly wantedMembers?: number;
-  /** Time after its start from which on a successor counts, in milliseconds. @default 16,000 */
+  /** Upper bound on the time from a successor's start to its activation. @default 16,000 */
   readonly catchUpMilliseconds?: number;
-  /** What may be given out beyond the limits of tenants. @default nothing */
+  /** The amount by which tenants' limits may be exceeded. @default nothing */
   readonly quotaAllowance?: QuotaAllowance;
 }
 
-/** See the head of this file. */
+/** Runs replicas on simulated machines and gives gateways clients to them. */
 export class SimulatedReplicas {
   readonly store = new SimulatedMembershipStore();
   private readonly machines = new Map<string, SimulatedMachine>();
-  /** Pairs of names, `a b`, between which nothing passes. */
-  private readonly cuts = new Set<string>();
-  /** Turns that replicas have sent one another to copy. */
+  /** Links that are cut, as `from to`. */
+  private readonly cutLinks = new Set<string>();
+  /** Number of turns that replicas have copied from one another. */
   copiedTurns = 0;
-  private lastCall = 0;
+  private lastCallNumber = 0;
   private readonly log: LogFunction;
 
   constructor(
@@ -225,7 +226,7 @@
     this.log = options.log ?? silentLog;
   }
 
-  /** Adds a machine and starts its process. */
+  /** Adds a machine with an empty disk and starts its process. */
   add(name: string, zone: string): void {
     const member: Member = { id: `${name}@${name}`, node: name, host: name, port: 1, zone };
     const machine: SimulatedMachine = {
@@ -240,10 +241,10 @@
     this.start(name);
   }
 
-  /** Starts the process of a machine. */
+  /** Starts the process of a machine from the state on its disk. */
   start(name: string): void {
     const machine = this.machine(name);
-    const runtime = machine.process.begin();
+    const runtime = machine.process.start();
     const directory = new MemberDirectory(runtime);
     const { id } = machine.member;
     const storage = machine.disk.open(runtime, this.options);
@@ -251,10 +252,10 @@
     const replica = new Replica({ id, runtime, storage, directory, quotaAllowance });
     machine.disk.load((change) => replica.restore(change));
     replica.endRestore();
-    if (this.options.planted === 'noRepair') {
-      replica.markReady('planted fault');
+    if (this.options.injectedFault === 'noRepair') {
+      replica.markReady('injected fault');
     }
-    const caller = this.callerOf(name, runtime, directory);
+    const caller = this.createCaller(name, runtime, directory);
     const { wantedMembers = Infinity } = this.options;
     const { catchUpMilliseconds = DEFAULT_CATCH_UP_MILLISECONDS } = this.options;
     const timings = membershipTimingsFor(catchUpMilliseconds);
@@ -263,22 +264,27 @@
     replica.holdsQuorum = () => sync.holdsQuorum;
     replica.hasReadEarlierEpochs = () => sync.hasReadEarlierEpochs;
     replica.silenceReports = () => sync.silenceReports();
-    if (this.options.planted === 'noRepair') {
+    if (this.options.injectedFault === 'noRepair') {
       sync.close();
     }
-    const isCut = (): boolean => this.cuts.has(`${name} store`);
-    const store = this.store.portOf(runtime, isCut);
-    const keeper = new MembershipController({ ...shared, self: machine.member, sync, store });
+    const isCut = (): boolean => this.cutLinks.has(`${name} store`);
+    const store = this.store.connect(runtime, isCut);
+    const membershipController = new MembershipController({
+      ...shared,
+      self: machine.member,
+      sync,
+      store,
+    });
     machine.replica = replica;
     machine.directory = directory;
     machine.close = () => {
-      keeper.close();
+      membershipController.close();
       sync.close();
       replica.close();
     };
   }
 
-  /** Kills a process; its disk stays. */
+  /** Kills the process of a machine; the disk keeps what was written. */
   kill(name: string): void {
     const machine = this.machine(name);
     machine.close();
@@ -286,17 +292,17 @@
     machine.replica = undefined;
   }
 
-  /** Empties the disk of a machine whose process is dead. */
+  /** Wipes the disk of a machine; its process must not be running. */
   wipe(name: string): void {
     this.machine(name).disk.wipe();
   }
 
-  /** Lets the disk of a machine refuse writes, or take them again. */
+  /** Makes the disk of a machine refuse writes, or accept them again. */
   refuseWrites(name: string, refuses: boolean): void {
-    this.machine(name).disk.refuses = refuses;
+    this.machine(name).disk.refusesWrites = refuses;
   }
 
-  /** Stops a process without ending it, and lets it go on. */
+  /** Pauses the process of a machine until `resume`. */
   pause(name: string): void {
     this.machine(name).process.pause();
   }
@@ -305,88 +311,88 @@
     this.machine(name).process.resume();
   }
 
-  /** Lets nothing pass between two; a name may also be `store` or a gateway's. */
+  /** Cuts both directions between two names: machines, gateways or `store`. */
   cut(left: string, right: string): void {
-    this.cuts.add(`${left} ${right}`);
-    this.cuts.add(`${right} ${left}`);
+    this.cutLinks.add(`${left} ${right}`);
+    this.cutLinks.add(`${right} ${left}`);
   }
 
   heal(left: string, right: string): void {
-    this.cuts.delete(`${left} ${right}`);
-    this.cuts.delete(`${right} ${left}`);
+    this.cutLinks.delete(`${left} ${right}`);
+    this.cutLinks.delete(`${right} ${left}`);
   }
 
-  /** Machines whose process runs. */
+  /** Machines whose process is alive. */
   runningNames(): string[] {
     return [...this.machines].flatMap(([name, { replica }]) => (replica ? [name] : []));
   }
 
-  /** Machines that the stored record names. */
-  namedMembers(): string[] {
+  /** Machines named in the stored record. */
+  recordedMembers(): string[] {
     return this.store.members.map(({ node }) => node);
   }
 
-  /** Machines whose acknowledgements count. */
+  /** Machines whose replica is active: its acknowledgements count towards a quorum. */
   activeNames(): string[] {
     return [...this.machines].flatMap(([name, { replica }]) => (replica?.active ? [name] : []));
   }
 
-  /** Whether every active replica has a turn. */
+  /** Machines whose replica has a turn. */
   holdersOf(turn: string): string[] {
     return [...this.machines].flatMap(([name, { replica }]) =>
       replica?.state.hasTurn(turn) ? [name] : [],
     );
   }
 
-  /** A gateway's client; it knows the members that a machine knows. */
+  /** Creates the turn client of a gateway, with the members that the machine `knownTo` knows. */
   client(
     name: string,
     zone: string,
     knownTo: string,
   ): { client: TurnClient; process: SimulatedProcess } {
     const process = new SimulatedProcess(name, this.clock, this.random, this.log);
-    const runtime = process.begin();
+    const runtime = process.start();
     const directory = new MemberDirectory(runtime);
     directory.offerText(this.machine(knownTo).directory?.currentText ?? '', knownTo);
-    const caller = this.callerOf(name, runtime, directory);
+    const caller = this.createCaller(name, runtime, directory);
     return { client: new TurnClient({ runtime, directory, caller, zone }), process };
   }
 
-  /** A gateway's client for quotas; it knows the members that a machine knows, and follows them. */
+  /** Creates the quota client of a gateway, with the members that the machine `knownTo` knows. */
   quotaClient(name: string, knownTo: string): QuotaClient {
     const process = new SimulatedProcess(name, this.clock, this.random, this.log);
-    const runtime = process.begin();
+    const runtime = process.start();
     const directory = new MemberDirectory(runtime);
     directory.offerText(this.machine(knownTo).directory?.currentText ?? '', knownTo);
-    const caller = this.callerOf(name, runtime, directory);
+    const caller = this.createCaller(name, runtime, directory);
     return new QuotaClient({ runtime, directory, caller });
   }
 
   private machine(name: string): SimulatedMachine {
     const machine = this.machines.get(name);
     if (machine === undefined) {
-      throw new Error(`no machine ${name}`);
+      throw new Error(`machine "${name}" does not exist`);
     }
     return machine;
   }
 
   private delay(): number {
-    return LINK_MILLISECONDS + this.random.uniform() * LINK_JITTER_MILLISECONDS;
+    return LINK_DELAY_MILLISECONDS + this.random.uniform() * LINK_JITTER_MILLISECONDS;
   }
 
-  private callerOf(from: string, runtime: Runtime, directory: MemberDirectory): ReplicaCaller {
+  private createCaller(from: string, runtime: Runtime, directory: MemberDirectory): ReplicaCaller {
     return {
       call: (member, request, timeout, listener) =>
         this.call(from, runtime, directory, member, request, timeout, listener),
       notify: (member, message) => {
-        this.clock.schedule(this.delay(), () => this.tell(from, member, message));
+        this.clock.schedule(this.delay(), () => this.deliverNotification(from, member, message));
       },
     };
   }
 
-  private tell(from: string, member: Member, message: OneWayMessage): void {
+  private deliverNotification(from: string, member: Member, message: OneWayMessage): void {
     const machine = this.machines.get(member.node);
-    if (machine?.replica !== undefined && !this.cuts.has(`${from} ${member.node}`)) {
+    if (machine?.replica !== undefined && !this.cutLinks.has(`${from} ${member.node}`)) {
       if (message.type === 'settle') {
         machine.replica.settle(message.entry);
       } else {
@@ -404,28 +410,28 @@
     timeout: number,
     listener: ReplyListener,
   ): void {
-    this.lastCall += 1;
-    let over = false;
+    this.lastCallNumber += 1;
+    let hasEnded = false;
     const finish = (reply: ReplicaReply | undefined): void => {
-      if (!over) {
-        over = true;
+      if (!hasEnded) {
+        hasEnded = true;
         listener(reply);
       }
     };
     runtime.setTimer(timeout, () => finish(undefined));
-    const numbered = { ...request, call: this.lastCall } as ReplicaRequest;
+    const numberedRequest = { ...request, call: this.lastCallNumber } as ReplicaRequest;
     const target = this.machines.get(member.node);
     const { replica } = target ?? {};
     this.clock.schedule(this.delay(), () => {
-      const gone = replica === undefined || target?.replica !== replica;
-      if (gone || this.cuts.has(`${from} ${member.node}`)) {
+      const isReplicaGone = replica === undefined || target?.replica !== replica;
+      if (isReplicaGone || this.cutLinks.has(`${from} ${member.node}`)) {
         return;
       }
       const serve = (): void =>
-        replica.handle(numbered, (reply) => {
+        replica.handle(numberedRequest, (reply) => {
           this.copiedTurns += reply.type === 'fetched' ? reply.turns.length : 0;
           this.clock.schedule(this.delay(), () => {
-            if (this.cuts.has(`${member.node} ${from}`)) {
+            if (this.cutLinks.has(`${member.node} ${from}`)) {
               return;
             }
             if (reply.type === 'members') {
@@ -435,7 +441,7 @@
             }
           });
         });
-      target?.process.enter(serve);
+      target?.process.execute(serve);
     });
   }
 }
--- a/src/wire/call-fields.ts
+++ b/src/wire/call-fields.ts
@@ -1,59 +1,63 @@
-/** Fields that messages and log commands share: calls, answers, errors. */
+/** Codecs that messages and log commands share: calls, answers, errors. */
 import { CALL_CLASSES } from '../model/call.js';
 import { CALL_ERROR_TAGS, VERDICTS } from '../model/verdict.js';
 import {
-  count,
-  flag,
+  uint32,
+  bool,
   listOf,
   longText,
   oneOf,
-  real,
+  float64,
   record,
   shortText,
   TaggedUnion,
 } from './fields.js';
 
-/** Roles in wire order; append only. */
+/** Roles in wire order; append-only. */
 const CHAT_ROLES = ['system', 'user', 'assistant', 'tool'] as const;
 
-/** `ChatMessage`. */
+/** Codec of `ChatMessage`. */
 export const chatMessage = record({ role: oneOf(CHAT_ROLES), content: longText });
 
-/** `Usage`. */
-export const usage = record({ promptTokens: real, cachedTokens: real, completionTokens: real });
+/** Codec of `Usage`. */
+export const usage = record({
+  promptTokens: float64,
+  cachedTokens: float64,
+  completionTokens: float64,
+});
 
-/** `CallError`. */
+/** Codec of `CallError`. */
 export const callError = record({
   tag: oneOf(CALL_ERROR_TAGS),
   verdict: oneOf(VERDICTS),
   detail: longText,
-  retryAfterSeconds: real,
+  retryAfterSeconds: float64,
 });
 
-/** `CallRequest`. */
+/** Codec of `CallRequest`. */
 export const callRequest = record({
   call: shortText,
   program: shortText,
   group: shortText,
   service: shortText,
   callClass: oneOf(CALL_CLASSES),
-  sequence: count,
+  sequence: uint32,
   idempotencyKey: shortText,
-  repeatable: flag,
+  repeatable: bool,
   messages: listOf(chatMessage),
   payload: longText,
-  maximumTokens: real,
-  timeoutMilliseconds: real,
-  endsProgram: flag,
+  maximumTokens: float64,
+  timeoutMilliseconds: float64,
+  endsProgram: bool,
   receivedText: longText,
 });
 
-/** `Answer`. */
-export const answer = record({ call: shortText, sequence: count, text: longText, usage });
+/** Codec of `Answer`. */
+export const answer = record({ call: shortText, sequence: uint32, text: longText, usage });
 
-/** `CallEvent`. */
+/** Codec of `CallEvent`. */
 export const callEvent = new TaggedUnion([
-  { type: 'piece', fields: { offset: count, text: longText } },
+  { type: 'piece', fields: { offset: uint32, text: longText } },
   { type: 'answered', fields: { answer } },
   { type: 'failed', fields: { error: callError } },
 ]);
